--- a/crates/hoisthitch-core/src/edit.rs
+++ b/crates/hoisthitch-core/src/edit.rs
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// Nothing is applied when one edit fails.
-    pub fn edited(&self, edits: &[RowEdit], stamp: WriterStamp) -> Result<Self, EditError> {
+    pub fn with_edits(&self, edits: &[RowEdit], stamp: WriterStamp) -> Result<Self, EditError> {
         let mut table = self.clone();
         table.sign(table.revision + 1, stamp);
         for edit in edits {
--- a/crates/hoisthitch-core/src/fleet.rs
+++ b/crates/hoisthitch-core/src/fleet.rs
@@ -34,7 +34,7 @@
 
 /// A VM as the platform lists it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct VmSighting {
+pub struct ObservedVm {
     /// Whether the VM runs and does not leave.
     pub live: bool,
     /// Times that the VM was started.
@@ -52,7 +52,7 @@
     /// Waves.
     pub waves: &'a [WaveRecord],
     /// VMs that the platform lists.
-    pub listed: &'a BTreeMap<String, VmSighting>,
+    pub listed: &'a BTreeMap<String, ObservedVm>,
 }
 
 /// A VM, and the state that an action was planned on.
--- a/crates/hoisthitch-core/src/hall.rs
+++ b/crates/hoisthitch-core/src/hall.rs
@@ -91,12 +91,12 @@
 
 impl VmAssignment {
     /// Whether the VM went through a wave.
-    pub fn went_through(&self, wave: &str) -> bool {
+    pub fn completed_wave(&self, wave: &str) -> bool {
         self.last_wave == wave
     }
 
     /// Whether the VM is absent for a wave.
-    pub fn is_maintained_by(&self, name: &str) -> bool {
+    pub fn is_in_wave(&self, name: &str) -> bool {
         matches!(&self.task, Some(VmTask::Maintain { wave, .. }) if wave == name)
     }
 }
--- a/crates/hoisthitch-core/src/ledger.rs
+++ b/crates/hoisthitch-core/src/ledger.rs
@@ -171,7 +171,7 @@
     /// Gives a slot back and notes how the request went.
     ///
     /// `healthy` is `None` when the request says nothing about the runner.
-    pub fn give_back(&mut self, key: RunnerKey, healthy: Option<bool>, now: Instant) {
+    pub fn release(&mut self, key: RunnerKey, healthy: Option<bool>, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let ejected = self.ejected();
         let cap = self.eject_cap;
@@ -180,8 +180,8 @@
         };
         runner.in_flight = runner.in_flight.saturating_sub(1);
         match healthy {
-            Some(true) => runner.note_success(),
-            Some(false) => runner.note_failure(ejected < cap, now),
+            Some(true) => runner.record_success(),
+            Some(false) => runner.record_failure(ejected < cap, now),
             None => runner.note_nothing(now),
         }
         if runner.in_flight == 0 && runner.removed {
@@ -206,7 +206,7 @@
     }
 
     /// Whether any runner may take work, now or when a slot comes free.
-    pub fn takes_work(&self) -> bool {
+    pub fn has_runner(&self) -> bool {
         self.runners
             .values()
             .any(|runner| !runner.leaving && !runner.removed)
@@ -263,12 +263,12 @@
         free * SHARE_SCALE / u64::from(self.limit)
     }
 
-    fn note_success(&mut self) {
+    fn record_success(&mut self) {
         self.failures = 0;
         self.health = RunnerHealth::Healthy;
     }
 
-    fn note_failure(&mut self, may_eject: bool, now: Instant) {
+    fn record_failure(&mut self, may_eject: bool, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         let period = match self.health {
             RunnerHealth::Probing { period } => (period * 2).min(EJECT_MAX),
--- a/crates/hoisthitch-core/src/lib.rs
+++ b/crates/hoisthitch-core/src/lib.rs
@@ -30,7 +30,7 @@
 pub use fleet::{
     FleetAction,
     FleetSnapshot,
-    VmSighting,
+    ObservedVm,
     VmTarget,
     lost_vms,
     plan_pool, //
@@ -97,7 +97,7 @@
     PaidPriority,
     PolicyTable,
     PoolRow,
-    RepeatRule,
+    RetryRule,
     TeamRow,
     WriterStamp, //
 };
--- a/crates/hoisthitch-core/src/limit.rs
+++ b/crates/hoisthitch-core/src/limit.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns a token that was taken for a request which was then refused.
-    pub fn put_back(&mut self) {
+    pub fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(capacity(self.rate));
     }
 
--- a/crates/hoisthitch-core/src/permit.rs
+++ b/crates/hoisthitch-core/src/permit.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns a permit; answers whether it was there.
-    pub fn give_back(&mut self, operation: u64) -> bool {
+    pub fn release(&mut self, operation: u64) -> bool {
         let before = self.permits.len();
         self.permits.retain(|permit| permit.operation != operation);
         self.permits.len() < before
--- a/crates/hoisthitch-core/src/scheduler.rs
+++ b/crates/hoisthitch-core/src/scheduler.rs
@@ -245,7 +245,7 @@
     }
 
     /// Forgets a request that was admitted, once it has its answer.
-    pub fn leave(&mut self, team: TeamKey) {
+    pub fn finish_admitted(&mut self, team: TeamKey) {
         if let Some(quota) = self.quotas.get_mut(team) {
             quota.held = quota.held.saturating_sub(1);
         }
@@ -282,7 +282,7 @@
 
     /// Gives a slot back.
     pub fn finish(&mut self, result: WorkResult, now: Instant) {
-        self.ledger.give_back(result.runner, result.healthy, now);
+        self.ledger.release(result.runner, result.healthy, now);
         if result.healthy == Some(true) {
             let sample = result.service.as_secs_f64();
             self.service_seconds += SERVICE_GAIN * (sample - self.service_seconds);
@@ -302,11 +302,11 @@
         }
         let runner = self.ledger.take(now, None)?;
         let Some(unit) = self.queue.pop(now, background_allowed) else {
-            self.ledger.give_back(runner, None, now);
+            self.ledger.release(runner, None, now);
             return None;
         };
         if unit.deadline < now + self.least_service() {
-            self.ledger.give_back(runner, None, now);
+            self.ledger.release(runner, None, now);
             let refusal = self.refusal(RefusalReason::Deadline, unit.priority);
             return Some(WorkGrant::Refused(unit, refusal));
         }
@@ -331,7 +331,7 @@
     }
 
     /// Empties the queue, for a stop.
-    pub fn take_queue(&mut self) -> Vec<WorkUnit<T>> {
+    pub fn drain_queue(&mut self) -> Vec<WorkUnit<T>> {
         self.queue.take_all()
     }
 
@@ -368,7 +368,7 @@
         {
             return Ok(WorkAdmission::Granted(runner));
         }
-        if !self.ledger.takes_work() {
+        if !self.ledger.has_runner() {
             return Err(self.refusal(RefusalReason::NoRunner, unit.priority));
         }
         let priority = unit.priority;
@@ -395,11 +395,11 @@
             return Ok(());
         };
         if quota.held >= quota.limit {
-            self.limiter.put_back();
+            self.limiter.refund();
             return Err(refusal(RefusalReason::TeamInFlight, RETRY_AFTER_MIN));
         }
         if let Err(wait) = quota.limiter.take(now) {
-            self.limiter.put_back();
+            self.limiter.refund();
             return Err(refusal(RefusalReason::TeamRate, wait));
         }
         quota.held += 1;
@@ -407,9 +407,9 @@
     }
 
     fn put_back_quota(&mut self, team: TeamKey) {
-        self.limiter.put_back();
+        self.limiter.refund();
         if let Some(quota) = self.quotas.get_mut(team) {
-            quota.limiter.put_back();
+            quota.limiter.refund();
             quota.held = quota.held.saturating_sub(1);
         }
     }
--- a/crates/hoisthitch-core/src/table.rs
+++ b/crates/hoisthitch-core/src/table.rs
@@ -36,7 +36,7 @@
 /// Which requests of a pool may be sent a second time.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum RepeatRule {
+pub enum RetryRule {
     /// Those whose method RFC 9110, section 9.2.2, calls idempotent.
     #[default]
     Method,
@@ -46,7 +46,7 @@
     Never,
 }
 
-impl RepeatRule {
+impl RetryRule {
     /// Whether a request with `method` may be sent again.
     pub fn allows(self, method: &str) -> bool {
         match self {
@@ -122,7 +122,7 @@
     /// Retries allowed, in percent of first tries.
     pub retry_percent: u32,
     /// Which requests may be sent a second time.
-    pub repeat: RepeatRule,
+    pub repeat: RetryRule,
     /// Fewest VMs that the pool holds.
     pub min_vms: u32,
     /// Most VMs that may be absent at once: the availability budget.
--- a/crates/hoisthitch-core/src/transition.rs
+++ b/crates/hoisthitch-core/src/transition.rs
@@ -36,7 +36,7 @@
     /// # Errors
     ///
     /// Fails when the VM is not as planned.
-    pub fn begin_leave(
+    pub fn begin_drain(
         &mut self,
         fence: u64,
         pool: &str,
@@ -98,7 +98,7 @@
     /// Fails when the VM is not as planned.
     pub fn end_maintenance(&mut self, fence: u64, wave: &str) -> Result<(), TransitionError> {
         self.check_fence(fence)?;
-        self.check_leaving(self.is_maintained_by(wave))?;
+        self.check_leaving(self.is_in_wave(wave))?;
         self.return_to_service();
         wave.clone_into(&mut self.last_wave);
         Ok(())
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// Fails when the VM is not as planned.
-    pub fn end_leave(&mut self, fence: u64) -> Result<(), TransitionError> {
+    pub fn cancel_drain(&mut self, fence: u64) -> Result<(), TransitionError> {
         self.check_fence(fence)?;
         self.check_leaving(true)?;
         self.return_to_service();
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// Fails when the VM leaves under the permit.
-    pub fn void_plans(&mut self, fence: u64, pool: &str) -> Result<(), TransitionError> {
+    pub fn invalidate_plans(&mut self, fence: u64, pool: &str) -> Result<(), TransitionError> {
         self.check_fence(fence)?;
         if self.pool == pool && self.state == AssignmentState::Leaving {
             return Err(TransitionError::Leaving);
--- a/crates/hoisthitch-core/src/wave.rs
+++ b/crates/hoisthitch-core/src/wave.rs
@@ -97,8 +97,8 @@
                 continue;
             }
             progress.total += 1;
-            progress.done += usize::from(assignment.went_through(&self.name));
-            progress.under_way += usize::from(assignment.is_maintained_by(&self.name));
+            progress.done += usize::from(assignment.completed_wave(&self.name));
+            progress.under_way += usize::from(assignment.is_in_wave(&self.name));
         }
         progress
     }
@@ -131,10 +131,10 @@
                 continue;
             }
             let rack = begun.entry((&hall.hall, &assignment.rack)).or_default();
-            *rack |= assignment.went_through(&wave.name) || assignment.is_maintained_by(&wave.name);
+            *rack |= assignment.completed_wave(&wave.name) || assignment.is_in_wave(&wave.name);
             let waits = assignment.state == AssignmentState::Serving
                 && assignment.task.is_none()
-                && !assignment.went_through(&wave.name);
+                && !assignment.completed_wave(&wave.name);
             if waits {
                 candidates.push(WaveCandidate {
                     hall: &hall.hall,
--- a/crates/hoisthitch-core/tests/fleet.rs
+++ b/crates/hoisthitch-core/tests/fleet.rs
@@ -11,12 +11,12 @@
     FleetAction,
     FleetSnapshot,
     HallRecord,
+    ObservedVm,
     PermitLedger,
     PolicyTable,
     PoolRow,
-    RepeatRule,
+    RetryRule,
     VmAssignment,
-    VmSighting,
     VmTask,
     WaveRecord,
     plan_pool, //
@@ -53,7 +53,7 @@
         background_deadline_ms: 1_000,
         background_percent: 80,
         retry_percent: 10,
-        repeat: RepeatRule::Method,
+        repeat: RetryRule::Method,
         min_vms: 0,
         max_absent: 2,
     }
@@ -90,7 +90,7 @@
     });
     let ledgers = BTreeMap::from([("quotes".to_owned(), ledger)]);
     let waves = [WaveRecord::new("spring", vec!["quotes".to_owned()])];
-    let sighting = VmSighting {
+    let sighting = ObservedVm {
         live: true,
         boots: 1,
     };
--- a/crates/hoisthitch-core/tests/ledger.rs
+++ b/crates/hoisthitch-core/tests/ledger.rs
@@ -98,7 +98,7 @@
             }
             Step::GiveBack(index, healthy) if !held.is_empty() => {
                 let (key, _) = held.swap_remove(index % held.len());
-                ledger.give_back(key, healthy, now);
+                ledger.release(key, healthy, now);
             }
             Step::GiveBack(..) => {}
             Step::SetLimit(runner, limit) => {
@@ -143,12 +143,12 @@
     ledger.put("vm-1", address(1), 0, false);
     for _ in 0..3 {
         let key = ledger.take(start, None).unwrap();
-        ledger.give_back(key, Some(false), start);
+        ledger.release(key, Some(false), start);
     }
     assert_eq!(ledger.take(start, None), None);
     let later = start + Duration::from_millis(500);
     let probe = ledger.take(later, None).unwrap();
     assert_eq!(ledger.take(later, None), None);
-    ledger.give_back(probe, Some(true), later);
+    ledger.release(probe, Some(true), later);
     assert!(ledger.take(later, None).is_some());
 }
--- a/crates/hoisthitch-core/tests/permit.rs
+++ b/crates/hoisthitch-core/tests/permit.rs
@@ -167,7 +167,7 @@
                     step: MaintainStep::Drain,
                 };
                 let assignment = self.hall.find_mut(&plan.vm).ok()?;
-                assignment.begin_leave(fence, "quotes", task).ok()?;
+                assignment.begin_drain(fence, "quotes", task).ok()?;
                 None
             }
             Write::EndMaintenance => {
@@ -178,12 +178,12 @@
             }
             Write::VoidPlans => {
                 let assignment = self.hall.find_mut(&plan.vm).ok()?;
-                assignment.void_plans(fence, "quotes").ok()?;
+                assignment.invalidate_plans(fence, "quotes").ok()?;
                 plan.next = Write::GiveBack;
                 Some(plan)
             }
             Write::GiveBack => {
-                self.ledger.give_back(plan.permit?);
+                self.ledger.release(plan.permit?);
                 None
             }
         }
--- a/crates/hoisthitch-core/tests/table.rs
+++ b/crates/hoisthitch-core/tests/table.rs
@@ -32,7 +32,7 @@
 /// A table of two teams, at revision 1.
 fn table() -> PolicyTable {
     let rows = [team(1, 1, 0), team(2, 1, 0)].map(RowEdit::PutTeam);
-    let edited = PolicyTable::default().edited(&rows, stamp(1));
+    let edited = PolicyTable::default().with_edits(&rows, stamp(1));
     edited.unwrap_or_default()
 }
 
@@ -65,7 +65,7 @@
 
     fn edited_table_keeps_the_rules(name: u8, weight: u32, revision: u64) -> bool {
         let table = table();
-        match table.edited(&[RowEdit::PutTeam(team(name, weight, revision))], stamp(2)) {
+        match table.with_edits(&[RowEdit::PutTeam(team(name, weight, revision))], stamp(2)) {
             Ok(edited) => edited.check().is_ok() && edited.revision == table.revision + 1,
             Err(_) => true,
         }
@@ -77,9 +77,9 @@
         let mine = RowEdit::PutTeam(team(1, weight(first), 1));
         let theirs = RowEdit::PutTeam(team(1, weight(second), 1));
         let other = RowEdit::PutTeam(team(2, weight(second), 1));
-        let accepted = read.edited(&[mine], stamp(2)).unwrap();
-        let refused = accepted.edited(&[theirs], stamp(3));
-        let merged = accepted.edited(&[other], stamp(4));
+        let accepted = read.with_edits(&[mine], stamp(2)).unwrap();
+        let refused = accepted.with_edits(&[theirs], stamp(3));
+        let merged = accepted.with_edits(&[other], stamp(4));
         matches!(refused, Err(EditError::Conflict { .. }))
             && merged.is_ok_and(|merged| {
                 merged.team("team-1").is_some_and(|row| row.weight == weight(first))
--- a/crates/hoisthitch-entry/src/control/writer.rs
+++ b/crates/hoisthitch-entry/src/control/writer.rs
@@ -268,7 +268,7 @@
             }
         };
         let change = |stored: Option<PolicyTable>, stamp| {
-            let table = newest(stored).edited(edits, stamp)?;
+            let table = newest(stored).with_edits(edits, stamp)?;
             Ok::<_, OperatorError>(table)
         };
         let table = self.records.update(&key, change).await?;
--- a/crates/hoisthitch-entry/src/operators/api.rs
+++ b/crates/hoisthitch-entry/src/operators/api.rs
@@ -163,7 +163,7 @@
     let view = keeper.send(ReadView).await;
     let view = view.map_err(|_| OperatorError::Stopping)?;
     let stamp = view.table.stamp.clone();
-    Ok(view.table.edited(edits, stamp)?)
+    Ok(view.table.with_edits(edits, stamp)?)
 }
 
 async fn post_assign(
@@ -234,7 +234,7 @@
 
 fn wave_answer(wave: WaveRecord, view: &ViewSummary) -> WaveAnswer {
     let assignments = view.halls.values().flat_map(|hall| &hall.vms);
-    let absent = assignments.filter(|assignment| assignment.is_maintained_by(&wave.name));
+    let absent = assignments.filter(|assignment| assignment.is_in_wave(&wave.name));
     WaveAnswer {
         progress: wave.progress(view.halls.values()),
         absent: absent.map(|assignment| assignment.vm.clone()).collect(),
@@ -256,7 +256,7 @@
         OperatorError::UnknownVm(_)
         | OperatorError::UnknownPool(_)
         | OperatorError::UnknownWave(_) => StatusCode::NOT_FOUND,
-        OperatorError::Write(WriteError::Unclear { .. }) => StatusCode::GATEWAY_TIMEOUT,
+        OperatorError::Write(WriteError::OutcomeUnknown { .. }) => StatusCode::GATEWAY_TIMEOUT,
         OperatorError::Write(WriteError::Encode { .. } | WriteError::Malformed { .. }) => {
             StatusCode::INTERNAL_SERVER_ERROR
         }
--- a/crates/hoisthitch-entry/src/traffic/claim.rs
+++ b/crates/hoisthitch-entry/src/traffic/claim.rs
@@ -15,10 +15,10 @@
 use hoisthitch_store::{
     ClaimAnswer,
     ClaimClient,
-    ClaimEnd,
+    ClaimOutcome,
     ClaimRecord,
+    ClaimResolution,
     ClaimTicket,
-    ClaimVerdict,
     KeySpace, //
 };
 use hoisthitch_telemetry::event;
@@ -82,7 +82,7 @@
 impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.client.end(ticket, ClaimEnd::NotRun);
+            self.client.end(ticket, ClaimResolution::NotRun);
         }
     }
 }
@@ -116,33 +116,33 @@
         fingerprint: fingerprint(request, body),
         answer: None,
     };
-    let give_up = scope.deadline.min(Instant::now() + CLAIM_WAIT);
+    let deadline = scope.deadline.min(Instant::now() + CLAIM_WAIT);
     let key = keys.claim(scope.pool, scope.team, &key);
-    let verdict = shared.claims.claim(key, record, give_up).await;
-    log_verdict(&scope, &verdict);
-    judge(&shared.claims, verdict)
+    let outcome = shared.claims.claim(key, record, deadline).await;
+    log_verdict(&scope, &outcome);
+    judge(&shared.claims, outcome)
 }
 
-fn judge(client: &ClaimClient, verdict: ClaimVerdict) -> Result<ClaimResult, Box<ProblemAnswer>> {
-    let problem = match verdict {
-        ClaimVerdict::Granted(ticket) => {
+fn judge(client: &ClaimClient, outcome: ClaimOutcome) -> Result<ClaimResult, Box<ProblemAnswer>> {
+    let problem = match outcome {
+        ClaimOutcome::Granted(ticket) => {
             return Ok(ClaimResult::Send(Some(ClaimGuard::new(client, ticket))));
         }
-        ClaimVerdict::Answered(answer) => return Ok(ClaimResult::Answer(replay(answer))),
-        ClaimVerdict::InProgress => ProblemAnswer::new(
+        ClaimOutcome::Answered(answer) => return Ok(ClaimResult::Answer(replay(answer))),
+        ClaimOutcome::InProgress => ProblemAnswer::new(
             StatusCode::CONFLICT,
             RequestOutcome::Unknown,
             "in-progress",
             "another try under this key was sent and has no answer yet",
         )
         .retry_after(CLAIM_RETRY),
-        ClaimVerdict::Mismatch => ProblemAnswer::new(
+        ClaimOutcome::Mismatch => ProblemAnswer::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             RequestOutcome::NotRun,
             "key-reused",
             "the key was used for another request",
         ),
-        ClaimVerdict::Unavailable => ProblemAnswer::unavailable(
+        ClaimOutcome::Unavailable => ProblemAnswer::unavailable(
             "no-claim",
             "the key can't be claimed while the platform's store fails",
             CLAIM_RETRY,
@@ -200,19 +200,19 @@
     hash_bytes(&bytes)
 }
 
-fn log_verdict(scope: &ClaimScope<'_>, verdict: &ClaimVerdict) {
-    let verdict = match verdict {
-        ClaimVerdict::Granted(_) => "granted",
-        ClaimVerdict::InProgress => "in-progress",
-        ClaimVerdict::Answered(_) => "answered",
-        ClaimVerdict::Mismatch => "mismatch",
-        ClaimVerdict::Unavailable => "unavailable",
+fn log_verdict(scope: &ClaimScope<'_>, outcome: &ClaimOutcome) {
+    let outcome = match outcome {
+        ClaimOutcome::Granted(_) => "granted",
+        ClaimOutcome::InProgress => "in-progress",
+        ClaimOutcome::Answered(_) => "answered",
+        ClaimOutcome::Mismatch => "mismatch",
+        ClaimOutcome::Unavailable => "unavailable",
     };
     event!(
         Info,
         "claim",
         pool = scope.pool,
         team = scope.team,
-        verdict = verdict,
+        verdict = outcome,
     );
 }
--- a/crates/hoisthitch-entry/src/traffic/dispatcher.rs
+++ b/crates/hoisthitch-entry/src/traffic/dispatcher.rs
@@ -205,7 +205,7 @@
 
     /// Refuses everything that waits, for a stop.
     pub fn refuse_all(&self, refusal: WorkRefusal) {
-        for unit in self.lock().take_queue() {
+        for unit in self.lock().drain_queue() {
             // A waiter that is gone needs no notice.
             let _ = unit.item.send(WorkNotice::Refused(refusal));
         }
@@ -370,6 +370,6 @@
 
 impl Drop for TeamHold {
     fn drop(&mut self) {
-        self.dispatcher.lock().leave(self.team);
+        self.dispatcher.lock().finish_admitted(self.team);
     }
 }
--- a/crates/hoisthitch-entry/src/traffic/exchange.rs
+++ b/crates/hoisthitch-entry/src/traffic/exchange.rs
@@ -17,7 +17,7 @@
 use hoisthitch_store::{
     ClaimAnswer,
     ClaimBody,
-    ClaimEnd,
+    ClaimResolution,
     ClaimTicket, //
 };
 use hoisthitch_telemetry::event;
@@ -275,8 +275,8 @@
     fn end_unanswered(&mut self, err: &AttemptError) {
         let end = match err {
             AttemptError::Hop(HopError::Sent(_)) => return,
-            AttemptError::Hop(HopError::Unsent(_)) => ClaimEnd::NotRun,
-            AttemptError::Cut { status, .. } => ClaimEnd::Ran(ClaimAnswer {
+            AttemptError::Hop(HopError::Unsent(_)) => ClaimResolution::NotRun,
+            AttemptError::Cut { status, .. } => ClaimResolution::Ran(ClaimAnswer {
                 status: *status,
                 content_type: String::new(),
                 body: None,
@@ -305,7 +305,7 @@
             content_type: content_type.unwrap_or_default().to_owned(),
             body,
         };
-        self.shared.claims.end(ticket, ClaimEnd::Ran(answer));
+        self.shared.claims.end(ticket, ClaimResolution::Ran(answer));
     }
 
     fn log_retry(&self, failed: &SlotPermit, next: &SlotPermit, was_sent: bool) {
--- a/crates/hoisthitch-jobs/src/account.rs
+++ b/crates/hoisthitch-jobs/src/account.rs
@@ -102,8 +102,8 @@
     /// Time within which the job is to be done, in milliseconds, where its tasks
     /// take `time`.
     pub(crate) fn objective(&self, time: Millis) -> Millis {
-        let chain = self.spec.chain_of(|_| time);
-        self.policy.aim_ms + scale(chain, self.policy.stretch)
+        let chain = self.spec.critical_path(|_| time);
+        self.policy.target_latency_ms + scale(chain, self.policy.stretch)
     }
 }
 
@@ -114,7 +114,7 @@
             return;
         };
         job.keep_account(now);
-        let Some(job) = self.jobs.get(key).filter(|job| !job.spec.lasts()) else {
+        let Some(job) = self.jobs.get(key).filter(|job| !job.spec.is_long_running()) else {
             return;
         };
         let reruns = job
--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -83,7 +83,7 @@
         if runner.facts.draining {
             return Some(StartObstacle::Draining);
         }
-        if runner.retired {
+        if runner.unlisted {
             return Some(StartObstacle::Unlisted);
         }
         if !runner.facts.capacity.covers(runner.used) {
@@ -95,13 +95,13 @@
         if self.is_suspect(task) && !self.is_tried_on(task, runner) {
             return Some(StartObstacle::NotAlone);
         }
-        if is_first && !runner.open {
+        if is_first && !runner.ready {
             return Some(StartObstacle::Closed);
         }
         if !is_first && self.is_over_limit(task.job) {
             return Some(StartObstacle::OverLimit);
         }
-        runner.leaving.then_some(StartObstacle::Emptied)
+        runner.evacuating.then_some(StartObstacle::Emptied)
     }
 
     /// Whether the runner is kept for the task, or for the gang that it is of.
@@ -117,7 +117,7 @@
         else {
             return false;
         };
-        let uses = self.team_uses();
+        let uses = self.team_usage();
         uses.get(team)
             .is_some_and(|found| !allowed.covers(found.used))
     }
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -31,7 +31,7 @@
 
 /// A question for an adviser.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AdviceAsk {
+pub struct AdviceRequest {
     /// One of the tasks that wait; tells the step.
     pub task: TaskRef,
     /// Name of the step: identifier of the job, round, step.
@@ -66,7 +66,7 @@
 
 impl PoolState {
     /// The next question for an adviser.
-    pub fn ask_advice(&mut self, now: Millis) -> Option<AdviceAsk> {
+    pub fn next_advice_request(&mut self, now: Millis) -> Option<AdviceRequest> {
         let (task, waiting) = self.unadvised(now)?;
         let job = self.jobs.get(task.job)?;
         let step = job.step_of(task.slot)?;
@@ -85,7 +85,7 @@
             return None;
         }
         self.advice.entry(key).or_default().asked_at = now;
-        Some(AdviceAsk {
+        Some(AdviceRequest {
             task,
             step: name,
             runners: runners.into_iter().map(|(_, name)| name).collect(),
@@ -125,7 +125,7 @@
     }
 
     /// Takes in what an adviser said; its leave holds until `until`.
-    pub fn take_advice(&mut self, task: TaskRef, tickets: Vec<AdviceTicket>, until: Millis) {
+    pub fn record_advice(&mut self, task: TaskRef, tickets: Vec<AdviceTicket>, until: Millis) {
         let Some(entry) = self.task(task) else {
             return;
         };
--- a/crates/hoisthitch-jobs/src/balance.rs
+++ b/crates/hoisthitch-jobs/src/balance.rs
@@ -21,7 +21,7 @@
 
 /// What a pool has and wants.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PoolShare {
+pub struct VmBalance {
     /// VMs wanted now.
     pub want: u32,
     /// VMs wanted for what comes in all the time; what is above it can go to a
@@ -35,7 +35,7 @@
     pub spare: bool,
 }
 
-impl PoolShare {
+impl VmBalance {
     /// VMs of the pool that were not sent away.
     pub fn staying(&self) -> usize {
         let sent = |vm: &&String| self.sent.contains_key(*vm);
@@ -45,7 +45,7 @@
 
 /// VMs that go from one pool to another.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PoolMove {
+pub struct VmMove {
     /// Pool that gives.
     pub from: String,
     /// Pool that gets.
@@ -66,7 +66,7 @@
 /// A pool while moves are worked out.
 struct PoolLevel<'a> {
     name: &'a String,
-    share: &'a PoolShare,
+    share: &'a VmBalance,
     /// VMs that stay in it and may be given.
     staying: usize,
     /// VMs that it has or gets.
@@ -89,7 +89,7 @@
 
 /// Works out the moves that are due: first to pools that lack VMs for their work,
 /// then to those below an even share.
-pub fn plan_moves(pools: &BTreeMap<String, PoolShare>) -> Vec<PoolMove> {
+pub fn plan_moves(pools: &BTreeMap<String, VmBalance>) -> Vec<VmMove> {
     let mut levels: Vec<PoolLevel<'_>> = pools
         .iter()
         .map(|(name, share)| PoolLevel {
@@ -128,7 +128,7 @@
 /// those of pools that lack far less than the taker.
 fn fill(
     levels: &mut [PoolLevel<'_>],
-    moves: &mut Vec<PoolMove>,
+    moves: &mut Vec<VmMove>,
     wanted: impl Fn(&PoolLevel<'_>) -> usize,
     kept: impl Fn(&PoolLevel<'_>) -> usize,
     least: Option<usize>,
@@ -191,7 +191,7 @@
         .map(|(place, _)| place)
 }
 
-fn add_move(moves: &mut Vec<PoolMove>, from: &str, to: &str) {
+fn add_move(moves: &mut Vec<VmMove>, from: &str, to: &str) {
     let same = moves
         .iter_mut()
         .find(|order| order.from == from && order.to == to);
@@ -199,7 +199,7 @@
         order.count += 1;
         return;
     }
-    moves.push(PoolMove {
+    moves.push(VmMove {
         from: from.to_owned(),
         to: to.to_owned(),
         count: 1,
@@ -207,7 +207,7 @@
 }
 
 /// VMs that are in a pool or on their way to it.
-fn count_vms(pools: &BTreeMap<String, PoolShare>, pool: &str) -> usize {
+fn count_vms(pools: &BTreeMap<String, VmBalance>, pool: &str) -> usize {
     let Some(share) = pools.get(pool) else {
         return 0;
     };
--- a/crates/hoisthitch-jobs/src/demand.rs
+++ b/crates/hoisthitch-jobs/src/demand.rs
@@ -93,18 +93,18 @@
         let late = self.latest_start(job) < now;
         let missed = self.is_missed(job, now);
         let wait = if late { LATE_BACKLOG_MS } else { BACKLOG_MS };
-        for step in job.spec.steps.iter().filter(|step| step.lasting) {
+        for step in job.spec.steps.iter().filter(|step| step.long_running) {
             let vms = step.count.div_ceil(step.most_together());
             sums.spread = sums.spread.max(vms);
         }
         for (slot, task) in job.tasks.iter().enumerate() {
-            let Some(step) = job.step_of(slot).filter(|step| !step.filler) else {
+            let Some(step) = job.step_of(slot).filter(|step| !step.best_effort) else {
                 continue;
             };
             let cpu = step.need.cpu_milli;
             let runs = task.runner().is_some();
             let waits = job.waits_for_runner(slot);
-            match (step.lasting, runs, waits) {
+            match (step.long_running, runs, waits) {
                 (true, true, _) | (true, _, true) => sums.lasting += cpu,
                 (false, true, _) if missed => sums.backlog += cpu * time / (wait + time),
                 (false, true, _) => sums.running += cpu,
@@ -138,7 +138,7 @@
     /// Notes the work of a job that came in at `at`.
     pub(crate) fn note_arrival(&mut self, job: &JobEntry, at: Millis, now: Millis) {
         let time = self.task_time(&job.queue);
-        let steps = job.spec.steps.iter().filter(|step| !step.lasting);
+        let steps = job.spec.steps.iter().filter(|step| !step.long_running);
         let work = steps.map(|step| u64::from(step.count) * step.need.cpu_milli * time);
         self.arrivals.note(at, work.sum(), now);
     }
@@ -146,7 +146,7 @@
     /// VMs of the pool's runners.
     pub fn vms(&self) -> Vec<String> {
         let runners = self.runners.values();
-        let staying = runners.filter(|runner| !runner.is_going());
+        let staying = runners.filter(|runner| !runner.is_departing());
         staying.map(|runner| runner.facts.vm.clone()).collect()
     }
 
@@ -155,10 +155,10 @@
         let mut spare: Vec<(bool, u64, RunnerKey)> = self
             .runners
             .iter()
-            .filter(|(_, runner)| runner.open && !runner.is_going())
+            .filter(|(_, runner)| runner.ready && !runner.is_departing())
             .filter(|(_, runner)| runner.known_since + STAY_MS <= now)
             .filter(|(_, runner)| !runner.holds_lasting())
-            .map(|(key, runner)| (!runner.leaving, runner.used.cpu_milli, key))
+            .map(|(key, runner)| (!runner.evacuating, runner.used.cpu_milli, key))
             .collect();
         spare.sort();
         spare.truncate(limit);
--- a/crates/hoisthitch-jobs/src/drain.rs
+++ b/crates/hoisthitch-jobs/src/drain.rs
@@ -15,11 +15,11 @@
     /// step only so many at once as it may miss. Without it they would be away
     /// until the lease of a runner that is gone is over. Tasks for which there is
     /// no room elsewhere stay to the end.
-    pub fn leave_draining(&mut self, now: Millis) {
+    pub fn move_off_draining(&mut self, now: Millis) {
         let leaving: Vec<TaskRef> = self
             .runners
             .values()
-            .filter(|runner| runner.facts.draining && runner.open)
+            .filter(|runner| runner.facts.draining && runner.ready)
             .flat_map(|runner| runner.tasks.iter().copied())
             .filter(|task| self.lasts(*task) && !self.is_gang(*task))
             .collect();
@@ -59,13 +59,13 @@
         let others = job.tasks_of(entry.round, entry.step);
         let others = others.filter(|(slot, _)| *slot != task.slot);
         let away = others.filter(|(_, other)| !self.stays_at_work(other));
-        u32::try_from(away.count()).is_ok_and(|away| away < step.may_miss.max(1))
+        u32::try_from(away.count()).is_ok_and(|away| away < step.max_unavailable.max(1))
     }
 
     /// Whether a task works, on a runner that is not about to go down: an upkeep or
     /// a move of its VM may have been ordered already.
     fn stays_at_work(&self, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
-        self.is_at_work(entry) && runner.is_some_and(|runner| !runner.leaving)
+        self.is_at_work(entry) && runner.is_some_and(|runner| !runner.evacuating)
     }
 }
--- a/crates/hoisthitch-jobs/src/vacate.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -27,11 +27,11 @@
 
 impl PoolState {
     /// Stops tasks of a leaving runner that can go on elsewhere.
-    pub fn vacate(&mut self, key: RunnerKey, now: Millis) {
+    pub fn evict_resumable(&mut self, key: RunnerKey, now: Millis) {
         let Some(runner) = self.runners.get(key) else {
             return;
         };
-        if !runner.open || !runner.leaving {
+        if !runner.ready || !runner.evacuating {
             return;
         }
         let tasks: Vec<(TaskRef, u64)> = runner
@@ -69,7 +69,7 @@
         };
         entry.is_running()
             && step.checkpoints
-            && !step.lasting
+            && !step.long_running
             && !step.gang
             && time_left(entry, self.expected_time(job), now) > LEFT_MS
     }
--- a/crates/hoisthitch-jobs/src/fair.rs
+++ b/crates/hoisthitch-jobs/src/fair.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     pool::PoolState,
-    quota::TeamUse, //
+    quota::TeamUsage, //
 };
 
 /// What a team may have beyond its share before it waits, in hundredths: jobs come in sizes
@@ -28,7 +28,7 @@
     /// Teams that have more of a full pool than their share.
     pub(crate) fn teams_beyond_share<'a>(
         &self,
-        uses: &HashMap<&'a str, TeamUse>,
+        uses: &HashMap<&'a str, TeamUsage>,
     ) -> HashSet<&'a str> {
         if self.weights.is_empty() || !self.was_full {
             return HashSet::new();
--- a/crates/hoisthitch-jobs/src/forecast.rs
+++ b/crates/hoisthitch-jobs/src/forecast.rs
@@ -23,11 +23,11 @@
 
 /// What a pool wanted in the last second.
 #[derive(Clone, Debug, Default)]
-pub struct WantHistory {
+pub struct DemandHistory {
     steady: Vec<(Millis, u32)>,
 }
 
-impl WantHistory {
+impl DemandHistory {
     /// Takes in what is wanted now; answers with what will be.
     pub fn forecast(&mut self, want: WantedVms, now: Millis) -> VmForecast {
         self.steady.retain(|(at, _)| at + TREND_MS > now);
--- a/crates/hoisthitch-jobs/src/job.rs
+++ b/crates/hoisthitch-jobs/src/job.rs
@@ -12,7 +12,7 @@
         TaskPhase,
         TaskProgress, //
     },
-    runner::RunnerLife,
+    runner::RunnerInstance,
     spec::{
         JobSpec,
         StepSpec, //
@@ -128,7 +128,7 @@
         if name.index >= step.count {
             return None;
         }
-        let slot = name.round.checked_mul(self.spec.tasks_a_round())? + before + name.index;
+        let slot = name.round.checked_mul(self.spec.tasks_per_round())? + before + name.index;
         let slot = usize::try_from(slot).ok()?;
         (slot < self.tasks.len()).then_some(slot)
     }
@@ -190,11 +190,16 @@
         self.tasks.iter().any(|task| task.run > 0)
     }
 
-    /// The job's record; `lives` tells the runner's life that has a task.
-    pub fn progress(&self, lives: impl Fn(&TaskEntry) -> Option<RunnerLife>) -> JobProgress {
-        let life_of = |task: &TaskEntry| lives(task).unwrap_or_else(|| RunnerLife::untold(""));
-        let tasks = self.tasks.iter().map(|task| (task, life_of(task)));
-        let tasks = tasks.map(|(task, life)| TaskProgress {
+    /// The job's record; `instances` tells the runner's life that has a task.
+    pub fn progress(
+        &self,
+        instances: impl Fn(&TaskEntry) -> Option<RunnerInstance>,
+    ) -> JobProgress {
+        let instance_of = |task: &TaskEntry| {
+            instances(task).unwrap_or_else(|| RunnerInstance::without_start_time(""))
+        };
+        let tasks = self.tasks.iter().map(|task| (task, instance_of(task)));
+        let tasks = tasks.map(|(task, instance)| TaskProgress {
             phase: match task.place {
                 TaskPlace::Waiting => TaskPhase::Waiting,
                 TaskPlace::Done => TaskPhase::Done,
@@ -203,8 +208,8 @@
             run: task.run,
             failed: task.failed,
             suspicion: task.suspicion,
-            runner: life.name,
-            born: life.born,
+            runner: instance.name,
+            started_at: instance.started_at,
             checkpoint: task.checkpoint.clone(),
         });
         // An ended job needs no tasks any more, unless some may still run.
--- a/crates/hoisthitch-jobs/src/lib.rs
+++ b/crates/hoisthitch-jobs/src/lib.rs
@@ -13,13 +13,13 @@
 mod balance;
 mod demand;
 mod drain;
+mod evict;
 mod fair;
 mod forecast;
 mod gang;
 mod job;
 mod lives;
 mod losses;
-mod need;
 mod observe;
 mod pace;
 mod place;
@@ -29,6 +29,7 @@
 mod rank;
 mod record;
 mod report;
+mod resources;
 mod runner;
 mod silent;
 mod spec;
@@ -38,7 +39,6 @@
 mod suspicion;
 mod task;
 mod upkeep;
-mod vacate;
 mod wave;
 
 pub use account::{
@@ -46,29 +46,28 @@
     TimeAccount, //
 };
 pub use advice::{
-    AdviceAsk,
+    AdviceRequest,
     AdviceTicket, //
 };
 pub use balance::{
-    PoolMove,
-    PoolShare,
+    VmBalance,
+    VmMove,
     plan_moves, //
 };
 pub use demand::WantedVms;
 pub use forecast::{
-    VmForecast,
-    WantHistory, //
+    DemandHistory,
+    VmForecast, //
 };
 pub use job::{
     JobEntry,
     JobKey, //
 };
-pub use lives::RenewedRunner;
+pub use lives::RestartedRunner;
 pub use losses::{
     LostRun,
     RunnerLoss, //
 };
-pub use need::TaskNeed;
 pub use pace::PaceOrder;
 pub use plan::FlushPlan;
 pub use pool::{
@@ -76,8 +75,8 @@
     PoolState, //
 };
 pub use quota::{
-    QuotaParts,
-    TeamUse, //
+    QuotaAllocations,
+    TeamUsage, //
 };
 pub use record::{
     JobPhase,
@@ -90,15 +89,16 @@
 pub use report::{
     EndKind,
     EndedTask,
-    HoldReport,
+    HeartbeatReport,
     RunningTask,
     StartOutcome, //
 };
+pub use resources::ResourceAmounts;
 pub use runner::{
     RunnerEntry,
     RunnerFacts,
-    RunnerKey,
-    RunnerLife, //
+    RunnerInstance,
+    RunnerKey, //
 };
 pub use silent::{
     InheritedRuns,
@@ -111,7 +111,7 @@
     SpecError,
     StepSpec, //
 };
-pub use suspects::GivenUpTask;
+pub use suspects::CrashingTask;
 pub use suspicion::TaskSuspicion;
 pub use task::{
     StartOrder,
@@ -121,7 +121,7 @@
     TaskPlace,
     TaskRef, //
 };
-pub use upkeep::UpkeepView;
+pub use upkeep::EvacuationStatus;
 pub use wave::{
     WaveChange,
     WaveProgress, //
--- a/crates/hoisthitch-jobs/src/lives.rs
+++ b/crates/hoisthitch-jobs/src/lives.rs
@@ -22,7 +22,7 @@
 
 /// A runner's next life, and what became of the tasks of the one before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct RenewedRunner {
+pub struct RestartedRunner {
     /// Key of the next life.
     pub key: RunnerKey,
     /// Runs that ended with the life before.
@@ -38,17 +38,17 @@
     /// after its last report, or never, may have reached the next life: such a task stays
     /// where it is until that life has answered, or until `until`. The next life gets no
     /// tasks before it is listed, for it may be of another kind.
-    pub fn renew_runner(
+    pub fn replace_restarted_runner(
         &mut self,
         key: RunnerKey,
-        born: u64,
+        started_at: u64,
         until: Millis,
         now: Millis,
-    ) -> Option<RenewedRunner> {
+    ) -> Option<RestartedRunner> {
         self.note_loss(key, RunnerLoss::Crashed, now);
         let runner = self.runners.get(key)?;
         let facts = RunnerFacts {
-            born: Some(born),
+            started_at: Some(started_at),
             ..runner.facts.clone()
         };
         let name = facts.name.clone();
@@ -65,7 +65,7 @@
                 *task,
                 TaskPlace::Unlocated {
                     runner,
-                    born: None,
+                    started_at: None,
                     until,
                 },
                 now,
@@ -78,12 +78,12 @@
         }
         self.runners.remove(key);
         let mut next = RunnerEntry::new(facts, until, now);
-        next.retired = true;
+        next.unlisted = true;
         next.renewed = true;
         let key = self.runners.insert(next);
         self.runner_names.insert(name, key);
         self.give_up(now);
-        Some(RenewedRunner {
+        Some(RestartedRunner {
             key,
             ended: ended.len(),
             doubtful: doubtful.len(),
@@ -95,7 +95,7 @@
     ///
     /// A start that was not answered may yet be carried out by the next process there, and
     /// keeps its task until that one has answered, or until the lease is over.
-    pub fn end_runs(&mut self, key: RunnerKey, now: Millis) -> usize {
+    pub fn record_process_exit(&mut self, key: RunnerKey, now: Millis) -> usize {
         self.note_loss(key, RunnerLoss::Crashed, now);
         let Some(runner) = self.runners.get(key) else {
             return 0;
@@ -140,10 +140,10 @@
     }
 
     /// Takes in when the life that answered was born, where its record does not tell.
-    pub fn note_birth(&mut self, key: RunnerKey, born: u64) {
+    pub fn record_start_time(&mut self, key: RunnerKey, started_at: u64) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.facts.born = runner.facts.born.or(Some(born));
-            runner.tells_birth = true;
+            runner.facts.started_at = runner.facts.started_at.or(Some(started_at));
+            runner.reports_start_time = true;
         }
     }
 }
--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -23,8 +23,8 @@
     pool::PoolState,
     runner::{
         RunnerEntry,
-        RunnerKey,
-        RunnerLife, //
+        RunnerInstance,
+        RunnerKey, //
     },
     suspicion::{
         LossEvidence,
@@ -90,16 +90,16 @@
     /// Number of the run.
     pub run: u32,
     /// The runner's life, as far as it is known.
-    pub runner: RunnerLife,
+    pub runner: RunnerInstance,
     /// How the runner was lost.
     pub loss: RunnerLoss,
     /// How long the run had gone on when the runner was lost, in milliseconds; zero where
     /// its start was not answered, none where that is not known.
     pub ran: Option<Millis>,
     /// Other runs that were lost with it.
-    pub beside: usize,
+    pub other_runs: usize,
     /// Whether other runners were lost at that moment.
-    pub company: bool,
+    pub concurrent_loss: bool,
     /// What counts against the task now.
     pub suspicion: TaskSuspicion,
 }
@@ -130,7 +130,7 @@
 
 /// A runner that was lost, and what it may have run.
 struct LostRunner {
-    life: RunnerLife,
+    instance: RunnerInstance,
     loss: RunnerLoss,
     moment: LossMoment,
     /// When its runs ended, as far as that is known: between its last answer and the first
@@ -143,7 +143,7 @@
     /// One of which this owner heard nothing, and so knows not when it was lost.
     fn unknown(name: String, loss: RunnerLoss, tasks: Vec<TaskRef>, now: Millis) -> Self {
         Self {
-            life: RunnerLife::untold(&name),
+            instance: RunnerInstance::without_start_time(&name),
             loss,
             moment: LossMoment {
                 at: now,
@@ -180,14 +180,14 @@
             known: runner.heard_at.is_some(),
         };
         let loss = match loss {
-            _ if runner.facts.draining || runner.leaving => RunnerLoss::Planned,
+            _ if runner.facts.draining || runner.evacuating => RunnerLoss::Planned,
             // Nothing listened there any more.
             RunnerLoss::Silent if moment.reset => RunnerLoss::Crashed,
             loss => loss,
         };
         let heard_at = runner.heard_at.filter(|_| !moment.reset);
         let lost = LostRunner {
-            life: runner.facts.life(),
+            instance: runner.facts.instance(),
             loss,
             moment,
             ended_at: heard_at.map_or(moment.at, |at| at.midpoint(moment.at)),
@@ -239,18 +239,21 @@
     /// Takes in that a runner answers with a life: runs that an earlier owner ordered of one
     /// before were lost with that.
     pub(crate) fn note_earlier_life(&mut self, key: RunnerKey, now: Millis) {
-        let Some(life) = self.life_of(key) else {
+        let Some(instance) = self.instance_of(key) else {
             return;
         };
         let was_before = |entry: &TaskEntry| match &entry.place {
             TaskPlace::Unlocated {
-                born: Some(born), ..
-            } => life.born.is_some_and(|later| later != *born),
+                started_at: Some(started_at),
+                ..
+            } => instance
+                .started_at
+                .is_some_and(|later| later != *started_at),
             _ => false,
         };
-        let mut tasks = self.tasks_unlocated_on(&life.name);
+        let mut tasks = self.tasks_unlocated_on(&instance.name);
         tasks.retain(|task| self.task(*task).is_some_and(was_before));
-        let lost = LostRunner::unknown(life.name, RunnerLoss::Crashed, tasks, now);
+        let lost = LostRunner::unknown(instance.name, RunnerLoss::Crashed, tasks, now);
         self.note_lost_runs(&lost, None);
     }
 
@@ -318,13 +321,13 @@
             share: if alone { 1.0 } else { share },
             silent: lost.moment.known && !lost.moment.reset,
             alone,
-            company: self.has_company(task, lost.moment, key),
+            concurrent_loss: self.has_company(task, lost.moment, key),
             rate: self.loss_rate(task, ran, lost.moment.at, key),
         };
-        let beside = others.count();
+        let other_runs = others.count();
         self.suspect(task, evidence);
 
-        self.tell_lost_run(task, lost, evidence, beside);
+        self.tell_lost_run(task, lost, evidence, other_runs);
     }
 
     fn tell_lost_run(
@@ -332,7 +335,7 @@
         task: TaskRef,
         lost: &LostRunner,
         evidence: LossEvidence,
-        beside: usize,
+        other_runs: usize,
     ) {
         let Some((name, entry)) = self.name_of(task).zip(self.task(task)) else {
             return;
@@ -340,11 +343,11 @@
         let told = LostRun {
             task: name,
             run: evidence.run,
-            runner: lost.life.clone(),
+            runner: lost.instance.clone(),
             loss: lost.loss,
             ran: evidence.ran,
-            beside,
-            company: evidence.company,
+            other_runs,
+            concurrent_loss: evidence.concurrent_loss,
             suspicion: entry.suspicion,
         };
         self.lost_runs.push(told);
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -11,7 +11,7 @@
     report::{
         EndKind,
         EndedTask,
-        HoldReport,
+        HeartbeatReport,
         RunningTask,
         StartOutcome, //
     },
@@ -37,10 +37,10 @@
 impl PoolState {
     /// Takes in a runner's answer to a hold that was sent at `asked_at`;
     /// answers with the starts to send again.
-    pub fn take_hold(
+    pub fn record_heartbeat(
         &mut self,
         key: RunnerKey,
-        report: &HoldReport,
+        report: &HeartbeatReport,
         asked_at: Millis,
         now: Millis,
     ) -> Vec<StartOrder> {
@@ -51,7 +51,7 @@
         runner.silent_since = None;
         runner.loss_noted = false;
         runner.heard_at = runner.heard_at.max(Some(asked_at));
-        let seen = runner.seen;
+        let seen = runner.last_seen_end;
         let mut present = HashSet::new();
         for row in &report.running {
             present.extend(self.take_running(key, row, now));
@@ -62,32 +62,32 @@
         if let Some(last) = report.ended.iter().map(|row| row.number).max()
             && let Some(runner) = self.runners.get_mut(key)
         {
-            runner.seen = runner.seen.max(last);
+            runner.last_seen_end = runner.last_seen_end.max(last);
         }
         self.settle_located(key, now);
         self.take_absent(key, &present, asked_at, now)
     }
 
     /// Takes in that the runner has a lease of this owner.
-    pub fn open_runner(&mut self, key: RunnerKey) {
+    pub fn mark_runner_ready(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
-            self.plan_needed |= !runner.open;
-            runner.open = true;
+            self.plan_needed |= !runner.ready;
+            runner.ready = true;
         }
     }
 
     /// Takes in until when the runner has a lease of this owner for certain.
-    pub fn cover_runner(&mut self, key: RunnerKey, until: Millis) {
+    pub fn confirm_runner_lease(&mut self, key: RunnerKey, until: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.covered_until = Some(until);
+            runner.lease_confirmed_until = Some(until);
         }
     }
 
     /// Takes in that a hold got no answer.
     /// `reset`, at once, since nothing listens there any more.
-    pub fn miss_hold(&mut self, key: RunnerKey, reset: bool, now: Millis) {
+    pub fn record_missed_heartbeat(&mut self, key: RunnerKey, reset: bool, now: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.open = false;
+            runner.ready = false;
             if runner.silent_since.is_none() {
                 runner.silent_since = Some(now);
                 runner.was_reset = reset;
@@ -96,9 +96,9 @@
     }
 
     /// Takes a runner as one that may be down, until it answers again.
-    pub fn doubt_runner(&mut self, key: RunnerKey) {
+    pub fn mark_runner_unreachable(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.open = false;
+            runner.ready = false;
         }
     }
 
@@ -325,7 +325,7 @@
         };
         job.dirty = true;
         let limit = job.policy.max_attempts.max(1);
-        let lasting = job.step_of(task.slot).is_some_and(|step| step.lasting);
+        let lasting = job.step_of(task.slot).is_some_and(|step| step.long_running);
         let Some(entry) = job.tasks.get_mut(task.slot) else {
             return;
         };
@@ -418,7 +418,7 @@
     }
 
     /// Takes in that a runner answered a stop: the run does not begin any more.
-    pub fn take_stop(&mut self, order: &StopOrder, now: Millis) {
+    pub fn record_stop_ack(&mut self, order: &StopOrder, now: Millis) {
         let task = self.locate(&order.name.to_string());
         if let Some(entry) = task.and_then(|task| self.task_mut(task))
             && entry.place == TaskPlace::Stopping(order.runner)
@@ -429,7 +429,7 @@
     }
 
     /// Takes in what became of an order to start a task.
-    pub fn take_start(&mut self, order: &StartOrder, outcome: StartOutcome, now: Millis) {
+    pub fn record_start_outcome(&mut self, order: &StartOrder, outcome: StartOutcome, now: Millis) {
         let task = order.task;
         let Some(entry) = self.task_mut(task) else {
             return;
--- a/crates/hoisthitch-jobs/src/pace.rs
+++ b/crates/hoisthitch-jobs/src/pace.rs
@@ -93,7 +93,7 @@
             .get(task.job)
             .and_then(|job| job.step_of(task.slot));
         let running = self.task(task).is_some_and(TaskEntry::is_running);
-        running && step.is_some_and(|step| step.filler)
+        running && step.is_some_and(|step| step.best_effort)
     }
 
     fn set_pace(&mut self, runner: RunnerKey, task: TaskRef, percent: u32) -> Option<PaceOrder> {
@@ -110,7 +110,7 @@
     }
 
     /// Takes in that a pace was not set, so that it is decided anew.
-    pub fn fail_pace(&mut self, order: &PaceOrder, now: Millis) {
+    pub fn record_pace_failure(&mut self, order: &PaceOrder, now: Millis) {
         if let Some(entry) = self.task_mut(order.task)
             && entry.run == order.run
         {
--- a/crates/hoisthitch-jobs/src/place.rs
+++ b/crates/hoisthitch-jobs/src/place.rs
@@ -78,7 +78,9 @@
             .filter(|(_, runner)| !runner.is_on_trial() || runner.tasks.is_empty())
             .filter(move |(_, runner)| has_label(runner, step))
             .filter(move |(_, runner)| self.is_advised(task, runner, now))
-            .filter(move |(_, runner)| step.spread == 0 || self.alike(task, runner) < step.spread)
+            .filter(move |(_, runner)| {
+                step.max_per_runner == 0 || self.alike(task, runner) < step.max_per_runner
+            })
     }
 
     /// Whether a runner could run the task if nothing else ran there.
@@ -114,12 +116,12 @@
         // Short tasks are packed, so that other VMs are empty when a pool needs
         // them: 1 to 4 in 100 more of what is owed is earned (70 plays before what
         // else empties VMs, 40 after, docs/decisions.md).
-        let mut cost = if step.lasting { load } else { 1.0 - load };
+        let mut cost = if step.long_running { load } else { 1.0 - load };
         cost += self.suspect_cost(task, runner, now);
         if far {
             cost += FAR_COST;
         }
-        if step.lasting && self.alike(task, runner) >= step.most_together() {
+        if step.long_running && self.alike(task, runner) >= step.most_together() {
             cost += TOGETHER_COST;
         }
         if !runner.holds_lasting() {
@@ -131,14 +133,16 @@
     /// Tasks on the runner that would disturb the step's, or be disturbed.
     fn mixed_neighbours(&self, runner: &RunnerEntry, step: &StepSpec) -> u32 {
         let serves = step.target_ms > 0;
-        if !serves && !step.filler {
+        if !serves && !step.best_effort {
             return 0;
         }
         let count = runner
             .tasks
             .iter()
             .filter_map(|task| self.jobs.get(task.job)?.step_of(task.slot))
-            .filter(|other| (serves && other.filler) || (step.filler && other.target_ms > 0))
+            .filter(|other| {
+                (serves && other.best_effort) || (step.best_effort && other.target_ms > 0)
+            })
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -6,7 +6,6 @@
     Millis,
     admission::StartAdmission,
     job::JobKey,
-    need::TaskNeed,
     pool::PoolState,
     quota::{
         QuotaBudget,
@@ -14,9 +13,10 @@
         gangs_waiting, //
     },
     record::JobProgress,
+    resources::ResourceAmounts,
     runner::{
-        RunnerKey,
-        RunnerLife, //
+        RunnerInstance,
+        RunnerKey, //
     },
     spec::StepSpec,
     task::{
@@ -32,7 +32,7 @@
     /// Records by identifier of the job.
     pub records: Vec<(String, JobProgress)>,
     /// Ends that runners may forget, by number.
-    pub seen: Vec<(RunnerKey, u64)>,
+    pub acked_ends: Vec<(RunnerKey, u64)>,
     starts: Vec<(TaskRef, u32)>,
 }
 
@@ -44,7 +44,7 @@
     /// Jobs that are to be written yet.
     left: HashSet<JobKey>,
     /// Last end taken in, by runner.
-    seen: Vec<(RunnerKey, u64)>,
+    acked_ends: Vec<(RunnerKey, u64)>,
 }
 
 /// Needs for which no runner has room. Room only shrinks while a plan is made, so
@@ -52,7 +52,7 @@
 /// runners need not be looked through for each task that waits.
 #[derive(Default)]
 struct FullNeeds {
-    needs: Vec<TaskNeed>,
+    needs: Vec<ResourceAmounts>,
 }
 
 impl FullNeeds {
@@ -64,12 +64,12 @@
 
 /// Whether any runner with room may run a task of the step.
 fn is_unbound(step: &StepSpec) -> bool {
-    step.label.is_none() && step.spread == 0
+    step.label.is_none() && step.max_per_runner == 0
 }
 
 impl PoolState {
-    /// Begins rounds that are due by the time of day `today_ms`.
-    pub fn begin_rounds(&mut self, now: Millis, today_ms: u64) {
+    /// Begins rounds that are due by the time of day `unix_ms`.
+    pub fn begin_due_rounds(&mut self, now: Millis, unix_ms: u64) {
         for key in &self.active {
             let Some(job) = self.jobs.get_mut(*key) else {
                 continue;
@@ -83,7 +83,7 @@
                     .spec
                     .schedule
                     .map_or(0, |times| times.first_ms + round * times.interval_ms);
-                if due > today_ms {
+                if due > unix_ms {
                     break;
                 }
                 job.begin_round(now);
@@ -105,7 +105,7 @@
         let uses = self.uses_for_plan();
         let mut budget = self.quota_budget(&uses);
         let order = self.plan_order(&uses, now);
-        self.held_back.clear();
+        self.tasks_over_quota.clear();
         for key in order {
             planned += self.plan_job(key, &mut full, &mut budget, now);
         }
@@ -169,7 +169,7 @@
         planned
     }
 
-    fn need_of(&self, task: TaskRef) -> TaskNeed {
+    fn need_of(&self, task: TaskRef) -> ResourceAmounts {
         let step = self
             .jobs
             .get(task.job)
@@ -197,7 +197,7 @@
     }
 
     /// Drops what was planned and not written: it will not be ordered.
-    pub fn drop_plans(&mut self, now: Millis) {
+    pub fn cancel_planned_starts(&mut self, now: Millis) {
         let planned: Vec<TaskRef> = self
             .active_tasks()
             .filter(|(_, entry)| matches!(entry.place, TaskPlace::Planned(_)))
@@ -261,7 +261,7 @@
         }
         // Ends count as recorded once no record that they changed is behind any more.
         if round.left.is_empty() {
-            plan.seen = round.seen;
+            plan.acked_ends = round.acked_ends;
         } else {
             self.flush_round = Some(round);
         }
@@ -280,7 +280,9 @@
         let runners = self.runners.iter();
         FlushRound {
             left: dirty.iter().copied().collect(),
-            seen: runners.map(|(key, runner)| (key, runner.seen)).collect(),
+            acked_ends: runners
+                .map(|(key, runner)| (key, runner.last_seen_end))
+                .collect(),
         }
     }
 
@@ -291,13 +293,15 @@
         };
         job.dirty = false;
         let progress = job.progress(|task| match &task.place {
-            TaskPlace::Unlocated { runner, born, .. } => Some(RunnerLife {
+            TaskPlace::Unlocated {
+                runner, started_at, ..
+            } => Some(RunnerInstance {
                 name: runner.clone(),
-                born: *born,
+                started_at: *started_at,
             }),
             _ => {
                 let runner = task.runner().and_then(|key| runners.get(key));
-                runner.map(|runner| runner.facts.life())
+                runner.map(|runner| runner.facts.instance())
             }
         });
         plan.records.push((job.id.clone(), progress));
--- a/crates/hoisthitch-jobs/src/pool.rs
+++ b/crates/hoisthitch-jobs/src/pool.rs
@@ -22,7 +22,6 @@
         RoundStep,
         RunnerLoss, //
     },
-    need::TaskNeed,
     pace::UNKNOWN_PACE,
     plan::FlushRound,
     record::{
@@ -32,14 +31,15 @@
         QueuePolicy,
         TaskPhase, //
     },
+    resources::ResourceAmounts,
     runner::{
         RunnerEntry,
         RunnerFacts,
-        RunnerKey,
-        RunnerLife, //
+        RunnerInstance,
+        RunnerKey, //
     },
     silent::InheritedRuns,
-    suspects::GivenUpTask,
+    suspects::CrashingTask,
     task::{
         StopOrder,
         TaskEntry,
@@ -97,17 +97,17 @@
     /// Tasks that are to be given up.
     pub(crate) condemned: Vec<TaskRef>,
     /// Tasks that were given up and were not taken yet.
-    pub(crate) given_up: Vec<GivenUpTask>,
+    pub(crate) given_up: Vec<CrashingTask>,
     /// Work that came in of late.
     pub(crate) arrivals: ArrivalLog,
     /// What teams with a limit may have running here, by name.
-    pub(crate) allowances: HashMap<String, TaskNeed>,
+    pub(crate) allowances: HashMap<String, ResourceAmounts>,
     /// Whether some task found no room when starts were last planned.
     pub(crate) was_full: bool,
     /// Weights of teams, by name.
     pub(crate) weights: HashMap<String, f64>,
     /// Tasks that limits held back when starts were last planned, by team.
-    pub(crate) held_back: HashMap<String, u32>,
+    pub(crate) tasks_over_quota: HashMap<String, u32>,
     /// Records that are being written, where one write does not take them all.
     pub(crate) flush_round: Option<FlushRound>,
 }
@@ -185,10 +185,10 @@
                     let until = self.inherited.until_on(&recorded.runner);
                     let runner = recorded.runner;
                     task.pace = UNKNOWN_PACE;
-                    let born = recorded.born;
+                    let started_at = recorded.started_at;
                     task.place = TaskPlace::Unlocated {
                         runner,
-                        born,
+                        started_at,
                         until,
                     };
                 }
@@ -202,15 +202,18 @@
     }
 
     /// Takes a runner in, or what changed of it; another life of one that is known comes
-    /// in by [`Self::renew_runner`].
+    /// in by [`Self::replace_restarted_runner`].
     pub fn set_runner(&mut self, facts: RunnerFacts, now: Millis) -> RunnerKey {
         self.plan_needed = true;
         if let Some(key) = self.runner_names.get(&facts.name).copied()
             && let Some(runner) = self.runners.get_mut(key)
         {
-            let born = facts.born.or(runner.facts.born);
-            runner.facts = RunnerFacts { born, ..facts };
-            runner.retired = false;
+            let started_at = facts.started_at.or(runner.facts.started_at);
+            runner.facts = RunnerFacts {
+                started_at,
+                ..facts
+            };
+            runner.unlisted = false;
             return key;
         }
         let name = facts.name.clone();
@@ -221,9 +224,9 @@
     }
 
     /// Gives a runner no more tasks; it is listed no more.
-    pub fn retire_runner(&mut self, key: RunnerKey) {
+    pub fn unlist_runner(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.retired = true;
+            runner.unlisted = true;
         }
     }
 
@@ -256,14 +259,14 @@
     }
 
     /// Takes in that a life of a runner that is not in the list has ended.
-    pub fn forget_life(&mut self, name: &str, now: Millis) {
+    pub fn record_unlisted_loss(&mut self, name: &str, now: Millis) {
         self.note_unknown_loss(name, RunnerLoss::Crashed, now);
         self.settle_unlocated(|runner, _| runner == name, now);
         self.give_up(now);
     }
 
     /// Lets go of runs that have ended for certain by now.
-    pub fn expire(&mut self, now: Millis) -> Vec<RunnerKey> {
+    pub fn expire_leases(&mut self, now: Millis) -> Vec<RunnerKey> {
         self.note_expired(now);
         self.settle_unlocated(|_, until| until <= now, now);
         self.give_up(now);
@@ -271,7 +274,7 @@
             .runners
             .iter()
             .filter(|(_, runner)| {
-                !runner.open && runner.lease_until <= now && !runner.tasks.is_empty()
+                !runner.ready && runner.lease_until <= now && !runner.tasks.is_empty()
             })
             .map(|(key, _)| key)
             .collect();
@@ -405,20 +408,22 @@
     }
 
     /// The life that is known of a runner.
-    pub fn life_of(&self, key: RunnerKey) -> Option<RunnerLife> {
-        self.runner(key).map(|runner| runner.facts.life())
+    pub fn instance_of(&self, key: RunnerKey) -> Option<RunnerInstance> {
+        self.runner(key).map(|runner| runner.facts.instance())
     }
 
     /// The life that is known under a name; one without a birth where none is.
-    pub fn life_named(&self, name: &str) -> RunnerLife {
-        let known = self.runner_key(name).and_then(|key| self.life_of(key));
-        known.unwrap_or_else(|| RunnerLife::untold(name))
+    pub fn instance_by_name(&self, name: &str) -> RunnerInstance {
+        let known = self.runner_key(name).and_then(|key| self.instance_of(key));
+        known.unwrap_or_else(|| RunnerInstance::without_start_time(name))
     }
 
     /// Key of a runner whose life is that one, as far as births tell.
-    pub fn life_key(&self, life: &RunnerLife) -> Option<RunnerKey> {
-        let key = self.runner_key(&life.name)?;
-        let is_same = self.life_of(key).is_some_and(|known| known.may_be(life));
+    pub fn key_of_instance(&self, instance: &RunnerInstance) -> Option<RunnerKey> {
+        let key = self.runner_key(&instance.name)?;
+        let is_same = self
+            .instance_of(key)
+            .is_some_and(|known| known.may_be(instance));
         is_same.then_some(key)
     }
 
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -20,8 +20,8 @@
         JobEntry,
         JobKey, //
     },
-    need::TaskNeed,
     pool::PoolState,
+    resources::ResourceAmounts,
     task::TaskPlace, //
 };
 
@@ -34,29 +34,29 @@
 
 /// What a pool has of a team's work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct TeamUse {
+pub struct TeamUsage {
     /// Taken by tasks that run, or may.
-    pub used: TaskNeed,
+    pub used: ResourceAmounts,
     /// Asked for by tasks that could start.
-    pub waiting: TaskNeed,
+    pub waiting: ResourceAmounts,
 }
 
 /// Parts of a team's limit, by pool.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
-pub struct QuotaParts {
-    parts: BTreeMap<String, TaskNeed>,
+pub struct QuotaAllocations {
+    parts: BTreeMap<String, ResourceAmounts>,
 }
 
-impl QuotaParts {
+impl QuotaAllocations {
     /// The part of a pool.
-    pub fn part(&self, pool: &str) -> TaskNeed {
+    pub fn allocation(&self, pool: &str) -> ResourceAmounts {
         self.parts.get(pool).copied().unwrap_or_default()
     }
 
     /// Changes the part of a pool.
-    pub fn set(&mut self, pool: &str, part: TaskNeed) {
-        if part == TaskNeed::default() {
+    pub fn set(&mut self, pool: &str, part: ResourceAmounts) {
+        if part == ResourceAmounts::default() {
             self.parts.remove(pool);
         } else {
             self.parts.insert(pool.to_owned(), part);
@@ -64,24 +64,29 @@
     }
 
     /// The sum of all parts.
-    pub fn total(&self) -> TaskNeed {
+    pub fn total(&self) -> ResourceAmounts {
         let parts = self.parts.values();
-        parts.fold(TaskNeed::default(), |sum, part| sum.plus(*part))
+        parts.fold(ResourceAmounts::default(), |sum, part| sum.plus(*part))
     }
 
-    fn others(&self, pool: &str) -> TaskNeed {
+    fn others(&self, pool: &str) -> ResourceAmounts {
         let others = self.parts.iter().filter(|(other, _)| *other != pool);
-        others.fold(TaskNeed::default(), |sum, (_, part)| sum.plus(*part))
+        others.fold(ResourceAmounts::default(), |sum, (_, part)| sum.plus(*part))
     }
 
     /// The part that a pool should have now.
-    pub fn next_part(&self, pool: &str, limit: TaskNeed, needs: TeamUse) -> TaskNeed {
+    pub fn next_allocation(
+        &self,
+        pool: &str,
+        limit: ResourceAmounts,
+        needs: TeamUsage,
+    ) -> ResourceAmounts {
         let limits = limit.amounts();
-        let parts = self.part(pool).amounts();
+        let parts = self.allocation(pool).amounts();
         let others = self.others(pool).amounts();
         let used = needs.used.amounts();
         let need = needs.used.plus(needs.waiting).amounts();
-        TaskNeed::each(|place| {
+        ResourceAmounts::each(|place| {
             let free = limits[place].saturating_sub(others[place]);
             next_amount(limits[place], parts[place], free, used[place], need[place])
         })
@@ -89,11 +94,11 @@
 
     /// What a pool may have running by its part. Where a limit was lowered below the sum of
     /// the parts, each is lowered alike until the parts follow.
-    pub fn allowed(&self, pool: &str, limit: TaskNeed) -> TaskNeed {
+    pub fn allowed(&self, pool: &str, limit: ResourceAmounts) -> ResourceAmounts {
         let limits = limit.amounts();
-        let parts = self.part(pool).amounts();
-        let sums = self.part(pool).plus(self.others(pool)).amounts();
-        TaskNeed::each(|place| match limits[place] {
+        let parts = self.allocation(pool).amounts();
+        let sums = self.allocation(pool).plus(self.others(pool)).amounts();
+        ResourceAmounts::each(|place| match limits[place] {
             0 => u64::MAX,
             limit => {
                 let part = u128::from(parts[place]) * u128::from(limit);
@@ -121,7 +126,7 @@
 #[derive(Default)]
 pub(crate) struct QuotaBudget {
     places: HashMap<String, usize>,
-    left: Vec<TaskNeed>,
+    left: Vec<ResourceAmounts>,
 }
 
 /// A team in a budget; none has no limit.
@@ -142,13 +147,13 @@
     }
 
     /// Whether a job's team may start so much more.
-    pub(crate) fn allows(&self, team: BudgetKey, need: TaskNeed) -> bool {
+    pub(crate) fn allows(&self, team: BudgetKey, need: ResourceAmounts) -> bool {
         let left = team.0.and_then(|place| self.left.get(place));
         left.is_none_or(|left| left.covers(need))
     }
 
     /// Takes in that it was started.
-    pub(crate) fn take(&mut self, team: BudgetKey, need: TaskNeed) {
+    pub(crate) fn take(&mut self, team: BudgetKey, need: ResourceAmounts) {
         if let Some(left) = team.0.and_then(|place| self.left.get_mut(place)) {
             *left = left.minus(need);
         }
@@ -157,19 +162,19 @@
 
 impl PoolState {
     /// Limits what a team may have running in this pool.
-    pub fn set_allowance(&mut self, team: &str, allowed: TaskNeed) {
+    pub fn set_quota_allocation(&mut self, team: &str, allowed: ResourceAmounts) {
         let before = self.allowances.insert(team.to_owned(), allowed);
         self.plan_needed |= before != Some(allowed);
     }
 
     /// Limits no team but those.
-    pub fn keep_allowances(&mut self, limited: impl Fn(&str) -> bool) {
+    pub fn retain_quota_allocations(&mut self, limited: impl Fn(&str) -> bool) {
         self.allowances.retain(|team, _| limited(team));
     }
 
     /// What the pool has of each team's work.
-    pub fn team_uses(&self) -> HashMap<&str, TeamUse> {
-        let mut uses: HashMap<&str, TeamUse> = HashMap::new();
+    pub fn team_usage(&self) -> HashMap<&str, TeamUsage> {
+        let mut uses: HashMap<&str, TeamUsage> = HashMap::new();
         let active = self.active.iter().filter_map(|key| self.jobs.get(*key));
         for job in active.filter(|job| !job.team.is_empty()) {
             let found = uses.entry(&job.team).or_default();
@@ -187,21 +192,21 @@
     }
 
     /// Work that limits held back when starts were last planned, in tasks by team.
-    pub fn held_back(&self) -> &HashMap<String, u32> {
-        &self.held_back
+    pub fn tasks_over_quota(&self) -> &HashMap<String, u32> {
+        &self.tasks_over_quota
     }
 
     /// What a plan has to know of teams' work: nothing where neither limits nor shares
     /// are to be looked at.
-    pub(crate) fn uses_for_plan(&self) -> HashMap<&str, TeamUse> {
+    pub(crate) fn uses_for_plan(&self) -> HashMap<&str, TeamUsage> {
         if self.allowances.is_empty() && !self.was_full {
             return HashMap::new();
         }
-        self.team_uses()
+        self.team_usage()
     }
 
     /// What teams may have started by now, besides what they have.
-    pub(crate) fn quota_budget(&self, uses: &HashMap<&str, TeamUse>) -> QuotaBudget {
+    pub(crate) fn quota_budget(&self, uses: &HashMap<&str, TeamUsage>) -> QuotaBudget {
         let mut budget = QuotaBudget::default();
         for (team, allowed) in &self.allowances {
             let found = uses.get(team.as_str()).copied().unwrap_or_default();
@@ -216,22 +221,22 @@
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        let held = self.held_back.entry(job.team.clone()).or_default();
+        let held = self.tasks_over_quota.entry(job.team.clone()).or_default();
         *held += 1;
     }
 }
 
 /// What a job's gangs would take that wait.
-pub(crate) fn gangs_waiting(job: &JobEntry) -> TaskNeed {
+pub(crate) fn gangs_waiting(job: &JobEntry) -> ResourceAmounts {
     gang_needs(job, |place| *place == TaskPlace::Waiting)
 }
 
 /// What a job's gangs take that are placed and not ordered yet.
-pub(crate) fn gangs_planned(job: &JobEntry) -> TaskNeed {
+pub(crate) fn gangs_planned(job: &JobEntry) -> ResourceAmounts {
     gang_needs(job, |place| matches!(place, TaskPlace::Planned(_)))
 }
 
-fn gang_needs(job: &JobEntry, counts: impl Fn(&TaskPlace) -> bool) -> TaskNeed {
+fn gang_needs(job: &JobEntry, counts: impl Fn(&TaskPlace) -> bool) -> ResourceAmounts {
     let tasks = job.tasks.iter().enumerate();
     let needs = tasks
         .filter(|(_, task)| counts(&task.place))
@@ -239,5 +244,5 @@
             let step = job.step_of(slot).filter(|step| step.gang)?;
             Some(step.need)
         });
-    needs.fold(TaskNeed::default(), TaskNeed::plus)
+    needs.fold(ResourceAmounts::default(), ResourceAmounts::plus)
 }
--- a/crates/hoisthitch-jobs/src/rank.rs
+++ b/crates/hoisthitch-jobs/src/rank.rs
@@ -24,7 +24,7 @@
         JobKey, //
     },
     pool::PoolState,
-    quota::TeamUse, //
+    quota::TeamUsage, //
 };
 
 /// Time of a job beside its tasks', in milliseconds: records, orders, reports
@@ -54,7 +54,7 @@
 
 impl PoolState {
     /// Jobs with work, the one to serve first in front.
-    pub(crate) fn plan_order(&self, uses: &HashMap<&str, TeamUse>, now: Millis) -> Vec<JobKey> {
+    pub(crate) fn plan_order(&self, uses: &HashMap<&str, TeamUsage>, now: Millis) -> Vec<JobKey> {
         let jobs: Vec<(JobKey, &JobEntry, Millis)> = self
             .active
             .iter()
@@ -64,7 +64,7 @@
             .collect();
         let missed = jobs.iter().filter(|(_, job, start)| {
             let lately = *start < now && now < *start + OVERLOAD_MS;
-            lately && !job.spec.lasts() && !job.has_begun()
+            lately && !job.spec.is_long_running() && !job.has_begun()
         });
         let overloaded: BTreeSet<u32> = missed.map(|(_, job, _)| job.policy.priority).collect();
         let beyond = self.teams_beyond_share(uses);
@@ -84,7 +84,7 @@
     /// that its queue's tasks take.
     pub(crate) fn latest_start(&self, job: &JobEntry) -> Millis {
         let time = self.task_time(&job.queue);
-        let left = job.spec.chain_of(|step| {
+        let left = job.spec.critical_path(|step| {
             let round = job.rounds_begun().saturating_sub(1);
             if job.open_tasks(round, step) > 0 {
                 time
@@ -113,7 +113,7 @@
     beyond: bool,
     now: Millis,
 ) -> JobRank {
-    let short = !job.spec.lasts();
+    let short = !job.spec.is_long_running();
     let late = short && latest_start < now;
     let passed_over = overload && short && !late && !job.has_begun();
     JobRank {
--- a/crates/hoisthitch-jobs/src/record.rs
+++ b/crates/hoisthitch-jobs/src/record.rs
@@ -44,7 +44,8 @@
     /// Factor on the longest chain of work in the objective.
     pub stretch: f64,
     /// Fixed part of the objective, in milliseconds.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub target_latency_ms: u64,
     /// Whether an adviser says which runners may run a step.
     #[serde(default)]
     pub advised: bool,
@@ -119,7 +120,7 @@
     pub runner: String,
     /// Birth of its life, where that is told.
     #[serde(rename = "b", skip_serializing_if = "is_default")]
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// Last saved progress.
     #[serde(rename = "c", skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
--- a/crates/hoisthitch-jobs/src/report.rs
+++ b/crates/hoisthitch-jobs/src/report.rs
@@ -10,11 +10,11 @@
     /// It was told to stop.
     Stopped,
     /// Its lease lapsed.
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// The other members of its gang did not come.
-    Alone,
+    GangIncomplete,
 }
 
 /// A task that a runner runs.
@@ -50,12 +50,12 @@
 
 /// What a runner holds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct HoldReport {
+pub struct HeartbeatReport {
     /// Clock of the runner, in milliseconds.
     pub clock_ms: u64,
-    /// When the life that answers started, as in [`crate::RunnerLife`]; none where that
+    /// When the life that answers started, as in [`crate::RunnerInstance`]; none where that
     /// is not told.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// Tasks that run.
     pub running: Vec<RunningTask>,
     /// Runs that ended.
--- a/crates/hoisthitch-jobs/src/need.rs
+++ b/crates/hoisthitch-jobs/src/resources.rs
@@ -8,7 +8,7 @@
 /// Room that a task takes on its runner.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
-pub struct TaskNeed {
+pub struct ResourceAmounts {
     /// Thousandths of a core.
     pub cpu_milli: u64,
     /// Memory, in MB.
@@ -17,7 +17,7 @@
     pub gpus: u64,
 }
 
-impl TaskNeed {
+impl ResourceAmounts {
     pub(crate) fn amounts(self) -> [u64; 3] {
         [self.cpu_milli, self.memory_mb, self.gpus]
     }
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     Millis,
-    need::TaskNeed,
+    resources::ResourceAmounts,
     spec::StepSpec,
     task::TaskRef, //
 };
@@ -49,46 +49,47 @@
 
 /// One life of a runner: a runner that starts again may keep its name.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct RunnerLife {
+pub struct RunnerInstance {
     /// Name of the runner.
     pub name: String,
     /// When it started, by its VM's time of day in milliseconds since 1970; none where
     /// that is not told.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
-impl RunnerLife {
+impl RunnerInstance {
     /// A life of which no birth is known.
-    pub fn untold(name: &str) -> Self {
+    pub fn without_start_time(name: &str) -> Self {
         Self {
             name: name.to_owned(),
-            born: None,
+            started_at: None,
         }
     }
 
     /// Reads a life as [`Display`] writes it; a text without a birth is a name.
     pub fn parse(text: &str) -> Self {
         let told = text.rsplit_once('@');
-        let told = told.and_then(|(name, born)| Some((name, born.parse().ok()?)));
-        let (name, born) = told.map_or((text, None), |(name, born)| (name, Some(born)));
+        let told = told.and_then(|(name, started_at)| Some((name, started_at.parse().ok()?)));
+        let (name, started_at) =
+            told.map_or((text, None), |(name, started_at)| (name, Some(started_at)));
         Self {
             name: name.to_owned(),
-            born,
+            started_at,
         }
     }
 
     /// Whether both are one life, as far as their births tell.
     pub fn may_be(&self, other: &Self) -> bool {
-        let births = self.born.zip(other.born);
+        let births = self.started_at.zip(other.started_at);
         self.name == other.name && births.is_none_or(|(one, other)| one == other)
     }
 }
 
-impl Display for RunnerLife {
+impl Display for RunnerInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.name)?;
-        match self.born {
-            Some(born) => write!(f, "@{born}"),
+        match self.started_at {
+            Some(started_at) => write!(f, "@{started_at}"),
             None => Ok(()),
         }
     }
@@ -99,12 +100,12 @@
 pub struct RunnerFacts {
     /// Name, which a runner may keep when it starts again.
     pub name: String,
-    /// When this life of it started, as in [`RunnerLife`].
-    pub born: Option<u64>,
+    /// When this life of it started, as in [`RunnerInstance`].
+    pub started_at: Option<u64>,
     /// VM that it runs on.
     pub vm: String,
     /// Room for tasks.
-    pub capacity: TaskNeed,
+    pub capacity: ResourceAmounts,
     /// Labels.
     pub labels: Vec<String>,
     /// Rack.
@@ -115,10 +116,10 @@
 
 impl RunnerFacts {
     /// The life that the facts are of.
-    pub fn life(&self) -> RunnerLife {
-        RunnerLife {
+    pub fn instance(&self) -> RunnerInstance {
+        RunnerInstance {
             name: self.name.clone(),
-            born: self.born,
+            started_at: self.started_at,
         }
     }
 }
@@ -129,16 +130,16 @@
     /// What the platform tells.
     pub facts: RunnerFacts,
     /// Whether it answers, and knows this owner.
-    pub open: bool,
+    pub ready: bool,
     /// Whether it is listed no more: it may leave, or its record lapsed in an
     /// outage of the store.
-    pub retired: bool,
+    pub unlisted: bool,
     /// Whether it is to be emptied for an upkeep or a move.
-    pub leaving: bool,
+    pub evacuating: bool,
     /// When everything on it has ended if no hold is answered any more.
     pub lease_until: Millis,
     /// Until when it has a lease of its owner for certain; none where it was never told.
-    pub covered_until: Option<Millis>,
+    pub lease_confirmed_until: Option<Millis>,
     /// Until when a lasting task that was moved off it may take to work
     /// elsewhere.
     pub relocating_until: Millis,
@@ -152,18 +153,18 @@
     /// given this one leases by a clock that is not its own.
     pub renewed: bool,
     /// Whether its answers tell its birth.
-    pub tells_birth: bool,
+    pub reports_start_time: bool,
     /// When it was first seen.
     pub known_since: Millis,
     /// Room taken.
-    pub used: TaskNeed,
+    pub used: ResourceAmounts,
     /// Tasks that take room.
     pub tasks: HashSet<TaskRef>,
     /// Those of them that last. Counted here, for each choice of a runner asks it of all
     /// runners.
     lasting: u32,
     /// Number of the last end that was taken in.
-    pub seen: u64,
+    pub last_seen_end: u64,
     /// Whether its connections were reset when it was last lost: its process ended.
     pub(crate) was_reset: bool,
     /// Whether its loss was taken in, and it has not answered since.
@@ -186,22 +187,22 @@
     pub fn new(facts: RunnerFacts, lease_until: Millis, now: Millis) -> Self {
         Self {
             facts,
-            open: false,
-            retired: false,
-            leaving: false,
+            ready: false,
+            unlisted: false,
+            evacuating: false,
             lease_until,
-            covered_until: None,
+            lease_confirmed_until: None,
             relocating_until: 0,
             fenced: false,
             silent_since: Some(now),
             heard_at: None,
             renewed: false,
-            tells_birth: false,
+            reports_start_time: false,
             known_since: now,
-            used: TaskNeed::default(),
+            used: ResourceAmounts::default(),
             tasks: HashSet::new(),
             lasting: 0,
-            seen: 0,
+            last_seen_end: 0,
             was_reset: false,
             loss_noted: false,
             trial: None,
@@ -213,19 +214,19 @@
     }
 
     /// Whether it is about to leave, or is not listed and may be.
-    pub fn is_going(&self) -> bool {
-        self.facts.draining || self.retired
+    pub fn is_departing(&self) -> bool {
+        self.facts.draining || self.unlisted
     }
 
     /// Whether it answers, and neither leaves nor is emptied.
     pub fn is_staying(&self) -> bool {
-        self.open && !self.is_going() && !self.leaving
+        self.ready && !self.is_departing() && !self.evacuating
     }
 
     /// Whether it may get tasks: its lease has to outlast the record and the order of
     /// their starts.
     pub fn takes_tasks(&self, now: Millis) -> bool {
-        let covered = self.covered_until;
+        let covered = self.lease_confirmed_until;
         let covered = covered.is_none_or(|until| until > now + START_TIME_MS);
         self.is_staying() && covered && self.shunned_until <= now
     }
@@ -259,7 +260,7 @@
     /// Takes room for a task.
     pub fn add(&mut self, task: TaskRef, step: &StepSpec) {
         if self.tasks.insert(task) {
-            self.lasting += u32::from(step.lasting);
+            self.lasting += u32::from(step.long_running);
             self.used = self.used.plus(step.room());
         }
     }
@@ -268,7 +269,7 @@
     pub fn remove(&mut self, task: TaskRef, step: &StepSpec) {
         if self.tasks.remove(&task) {
             self.trial = self.trial.filter(|trial| *trial != task);
-            self.lasting = self.lasting.saturating_sub(u32::from(step.lasting));
+            self.lasting = self.lasting.saturating_sub(u32::from(step.long_running));
             self.used = self.used.minus(step.room());
         }
     }
--- a/crates/hoisthitch-jobs/src/spec.rs
+++ b/crates/hoisthitch-jobs/src/spec.rs
@@ -8,7 +8,7 @@
 };
 use thiserror::Error;
 
-use crate::need::TaskNeed;
+use crate::resources::ResourceAmounts;
 
 /// Longest payload, in bytes; the platform's limit.
 pub const SPEC_LIMIT: usize = 4_000;
@@ -47,7 +47,7 @@
     /// Number of tasks.
     pub count: u32,
     /// Room of each task.
-    pub need: TaskNeed,
+    pub need: ResourceAmounts,
     /// The caller's guess of a task's time, in milliseconds.
     pub estimate_ms: u64,
     /// Steps that must be done first.
@@ -66,11 +66,13 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_rack: Option<String>,
     /// Most tasks of the step on one runner; zero for no limit.
-    pub spread: u32,
+    #[serde(rename = "spread")]
+    pub max_per_runner: u32,
     /// Whether copies of a task may run side by side.
     pub speculative: bool,
     /// Whether tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// What the tasks run; tasks of one image behave alike.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub image: String,
@@ -78,17 +80,23 @@
     /// when the task serves nobody.
     pub target_ms: u64,
     /// Whether tasks only use processor time that others leave.
-    pub filler: bool,
+    #[serde(rename = "filler")]
+    pub best_effort: bool,
     /// Lasting tasks that may be away at once through hoisthitch's doing.
-    pub may_miss: u32,
+    #[serde(rename = "may_miss")]
+    pub max_unavailable: u32,
 }
 
 impl StepSpec {
     /// Room that a task of the step takes on its runner; a filler takes no
     /// processor.
-    pub(crate) fn room(&self) -> TaskNeed {
-        let cpu_milli = if self.filler { 0 } else { self.need.cpu_milli };
-        TaskNeed {
+    pub(crate) fn room(&self) -> ResourceAmounts {
+        let cpu_milli = if self.best_effort {
+            0
+        } else {
+            self.need.cpu_milli
+        };
+        ResourceAmounts {
             cpu_milli,
             ..self.need
         }
@@ -142,7 +150,7 @@
         for (number, step) in self.steps.iter().enumerate() {
             step.check(number)?;
         }
-        let tasks = u64::from(self.tasks_a_round()) * u64::from(self.rounds());
+        let tasks = u64::from(self.tasks_per_round()) * u64::from(self.rounds());
         if tasks > TASK_LIMIT {
             return Err(SpecError::TooManyTasks(tasks));
         }
@@ -155,7 +163,7 @@
     }
 
     /// Tasks of all steps.
-    pub fn tasks_a_round(&self) -> u32 {
+    pub fn tasks_per_round(&self) -> u32 {
         self.steps
             .iter()
             .fold(0, |sum: u32, step| sum.saturating_add(step.count))
@@ -167,12 +175,12 @@
     }
 
     /// Whether any step lasts until the job is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|step| step.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 
     /// Longest chain of steps, in milliseconds, given the time of each.
-    pub fn chain_of(&self, time: impl Fn(u32) -> u64) -> u64 {
+    pub fn critical_path(&self, time: impl Fn(u32) -> u64) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for (number, step) in (0..).zip(&self.steps) {
             let start = step
@@ -191,11 +199,11 @@
     /// Tasks of a lasting step that should be on one runner at most, so that
     /// its VM can go down without more being away than may be.
     pub fn most_together(&self) -> u32 {
-        let may_miss = self.may_miss.max(1);
-        if self.spread == 0 {
-            may_miss
+        let max_unavailable = self.max_unavailable.max(1);
+        if self.max_per_runner == 0 {
+            max_unavailable
         } else {
-            may_miss.min(self.spread)
+            max_unavailable.min(self.max_per_runner)
         }
     }
 
--- a/crates/hoisthitch-jobs/src/stall.rs
+++ b/crates/hoisthitch-jobs/src/stall.rs
@@ -40,7 +40,7 @@
                     let TaskPlace::Running(runner) = task.place else {
                         return None;
                     };
-                    let stands = task.moved_at + limit < now && !step.lasting && !step.gang;
+                    let stands = task.moved_at + limit < now && !step.long_running && !step.gang;
                     stands.then_some((TaskRef { job: key, slot }, runner))
                 })
             })
@@ -48,7 +48,7 @@
         let mut runners = Vec::new();
         for (task, key) in stalled {
             // What a silent runner does is not known, nor can it be told.
-            let Some(runner) = self.runners.get_mut(key).filter(|runner| runner.open) else {
+            let Some(runner) = self.runners.get_mut(key).filter(|runner| runner.ready) else {
                 continue;
             };
             runner.shun(now, STALL_SHUN_MS);
--- a/crates/hoisthitch-jobs/src/stops.rs
+++ b/crates/hoisthitch-jobs/src/stops.rs
@@ -78,7 +78,7 @@
     }
 
     /// Stops that are to be sent.
-    pub fn take_stops(&mut self) -> Vec<StopOrder> {
+    pub fn take_stop_orders(&mut self) -> Vec<StopOrder> {
         std::mem::take(&mut self.stops)
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Sends stops again of which no end was heard.
-    pub fn stop_again(&mut self, now: Millis) {
+    pub fn resend_stops(&mut self, now: Millis) {
         let overdue: Vec<(TaskRef, RunnerKey)> = self
             .active_tasks()
             .filter_map(|(task, entry)| match entry.place {
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -74,7 +74,7 @@
 
 /// A task that was given up, and its job with it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct GivenUpTask {
+pub struct CrashingTask {
     /// Name of the task.
     pub task: TaskName,
     /// Number of its last run.
@@ -138,7 +138,7 @@
                 continue;
             }
             if let Some((name, entry)) = self.name_of(task).zip(self.task(task)) {
-                self.given_up.push(GivenUpTask {
+                self.given_up.push(CrashingTask {
                     task: name,
                     run: entry.run,
                     suspicion: entry.suspicion,
@@ -149,7 +149,7 @@
     }
 
     /// Tasks that were given up since they were last taken.
-    pub fn take_given_up(&mut self) -> Vec<GivenUpTask> {
+    pub fn take_crashing_tasks(&mut self) -> Vec<CrashingTask> {
         std::mem::take(&mut self.given_up)
     }
 
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -161,7 +161,7 @@
     /// Whether nothing else ran there.
     pub(crate) alone: bool,
     /// Whether other runners were lost at that moment.
-    pub(crate) company: bool,
+    pub(crate) concurrent_loss: bool,
     /// How often a runner of the pool is lost without the task, a second.
     pub(crate) rate: f64,
 }
@@ -170,7 +170,7 @@
     /// Takes a loss in; answers whether the task is to be given up for it.
     pub(crate) fn add(&mut self, evidence: LossEvidence) -> bool {
         self.last_run = evidence.run;
-        let excused = evidence.company && self.recent < EXCUSED_CRASHES;
+        let excused = evidence.concurrent_loss && self.recent < EXCUSED_CRASHES;
         self.losses += 1;
         self.recent += 1;
         if excused {
--- a/crates/hoisthitch-jobs/src/task.rs
+++ b/crates/hoisthitch-jobs/src/task.rs
@@ -77,7 +77,7 @@
         /// Name of the runner.
         runner: String,
         /// Birth of its life that was told to run it; none where that is not known.
-        born: Option<u64>,
+        started_at: Option<u64>,
         /// When the run has certainly ended.
         until: Millis,
     },
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/upkeep.rs
@@ -24,7 +24,7 @@
 
 /// Whether a VM may go down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum UpkeepView {
+pub enum EvacuationStatus {
     /// Nothing that may not be interrupted runs on it.
     Free,
     /// This many short tasks still run on it.
@@ -35,22 +35,24 @@
 
 impl PoolState {
     /// Says whether a runner is to be emptied.
-    pub fn set_leaving(&mut self, key: RunnerKey, leaving: bool) {
+    pub fn set_evacuating(&mut self, key: RunnerKey, evacuating: bool) {
         if let Some(runner) = self.runners.get_mut(key)
-            && runner.leaving != leaving
+            && runner.evacuating != evacuating
         {
-            runner.leaving = leaving;
+            runner.evacuating = evacuating;
             self.plan_needed = true;
         }
     }
 
     /// Whether the runner's VM may go down now.
-    pub fn upkeep_view(&self, key: RunnerKey) -> UpkeepView {
-        self.upkeep_views(&[key]).pop().unwrap_or(UpkeepView::Free)
+    pub fn evacuation_status(&self, key: RunnerKey) -> EvacuationStatus {
+        self.evacuation_statuses(&[key])
+            .pop()
+            .unwrap_or(EvacuationStatus::Free)
     }
 
     /// Which runners' VMs may go down now: those that are free, all together.
-    pub fn upkeep_views(&self, keys: &[RunnerKey]) -> Vec<UpkeepView> {
+    pub fn evacuation_statuses(&self, keys: &[RunnerKey]) -> Vec<EvacuationStatus> {
         let mut ending = Vec::new();
         keys.iter()
             .map(|key| self.view_beside(*key, &mut ending))
@@ -59,13 +61,13 @@
 
     /// Whether a runner's VM may go down beside those whose tasks are `ending`; adds
     /// its tasks if so.
-    fn view_beside(&self, key: RunnerKey, ending: &mut Vec<TaskRef>) -> UpkeepView {
+    fn view_beside(&self, key: RunnerKey, ending: &mut Vec<TaskRef>) -> EvacuationStatus {
         let Some(runner) = self.runners.get(key) else {
-            return UpkeepView::Free;
+            return EvacuationStatus::Free;
         };
         // What an earlier owner ordered there shows in the runner's answers.
-        if !runner.open {
-            return UpkeepView::Held;
+        if !runner.ready {
+            return EvacuationStatus::Held;
         }
         let short = runner.tasks.iter().filter(|task| !self.lasts(**task));
         let short = short.count();
@@ -73,19 +75,19 @@
         let lasting: Vec<TaskRef> = lasting.copied().collect();
         let together: Vec<TaskRef> = ending.iter().chain(&lasting).copied().collect();
         if !lasting.is_empty() && !self.may_end(&together) {
-            return UpkeepView::Held;
+            return EvacuationStatus::Held;
         }
         if short > 0 {
-            return UpkeepView::Busy(short);
+            return EvacuationStatus::Busy(short);
         }
         *ending = together;
-        UpkeepView::Free
+        EvacuationStatus::Free
     }
 
     /// Whether the VM of a runner that is not in the list may go down now, by
     /// the tasks that were recorded there; none when there are none. A runner's
     /// record lapses in an outage of the store while the runner works on.
-    pub fn unlisted_view(&self, name: &str) -> Option<UpkeepView> {
+    pub fn unlisted_evacuation_status(&self, name: &str) -> Option<EvacuationStatus> {
         let mut short = 0;
         for (task, entry) in self.active_tasks() {
             let here =
@@ -94,18 +96,18 @@
                 continue;
             }
             if self.lasts(task) {
-                return Some(UpkeepView::Held);
+                return Some(EvacuationStatus::Held);
             }
             short += 1;
         }
-        (short > 0).then_some(UpkeepView::Busy(short))
+        (short > 0).then_some(EvacuationStatus::Busy(short))
     }
 
     /// Whether the task is of a step that lasts.
     pub(crate) fn lasts(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(task.job);
         job.and_then(|job| job.step_of(task.slot))
-            .is_some_and(|step| step.lasting)
+            .is_some_and(|step| step.long_running)
     }
 
     /// Whether these tasks may be ended together, beside those that are away.
@@ -129,14 +131,15 @@
             let spec = usize::try_from(step)
                 .ok()
                 .and_then(|step| job.spec.steps.get(step));
-            let Some(spec) = spec.filter(|spec| spec.lasting) else {
+            let Some(spec) = spec.filter(|spec| spec.long_running) else {
                 return true;
             };
             let tasks = job.tasks_of(round, step);
             let away = tasks
                 .filter(|(slot, task)| slots.contains(slot) || !self.is_at_work(task))
                 .count();
-            job.phase.is_final() || u32::try_from(away).is_ok_and(|away| away <= spec.may_miss)
+            job.phase.is_final()
+                || u32::try_from(away).is_ok_and(|away| away <= spec.max_unavailable)
         })
     }
 
@@ -145,14 +148,14 @@
         let TaskPlace::Running(key) = task.place else {
             return false;
         };
-        let heard = self.runners.get(key).is_some_and(|runner| runner.open);
+        let heard = self.runners.get(key).is_some_and(|runner| runner.ready);
         heard && task.away_since.is_none()
     }
 
     /// Moves one lasting task off a runner that holds more of a step than may be
     /// away at once; answers whether it did, or did a moment ago.
-    pub fn relocate_one(&mut self, key: RunnerKey, now: Millis) -> bool {
-        let Some(runner) = self.runners.get(key).filter(|runner| runner.open) else {
+    pub fn relocate_task(&mut self, key: RunnerKey, now: Millis) -> bool {
+        let Some(runner) = self.runners.get(key).filter(|runner| runner.ready) else {
             return false;
         };
         if runner.relocating_until > now {
@@ -179,7 +182,7 @@
         let Some(job) = self.jobs.get(task.job) else {
             return false;
         };
-        let Some(step) = job.step_of(task.slot).filter(|step| step.lasting) else {
+        let Some(step) = job.step_of(task.slot).filter(|step| step.long_running) else {
             return false;
         };
         let number = job.tasks.get(task.slot).map(|entry| entry.step);
@@ -188,14 +191,15 @@
             .filter(|other| other.job == task.job)
             .filter(|other| job.tasks.get(other.slot).map(|entry| entry.step) == number)
             .count();
-        step.may_miss > 0 && u32::try_from(alike).is_ok_and(|alike| alike > step.may_miss)
+        step.max_unavailable > 0
+            && u32::try_from(alike).is_ok_and(|alike| alike > step.max_unavailable)
     }
 
     /// Takes the lasting tasks of a runner as away: its VM goes down now.
-    pub fn note_down(&mut self, key: RunnerKey, now: Millis) {
+    pub fn record_planned_shutdown(&mut self, key: RunnerKey, now: Millis) {
         self.release_runner(key, RunnerLoss::Planned, now);
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.open = false;
+            runner.ready = false;
         }
     }
 }
--- a/crates/hoisthitch-jobs/src/wave.rs
+++ b/crates/hoisthitch-jobs/src/wave.rs
@@ -47,9 +47,9 @@
 }
 
 impl WaveProgress {
-    /// The record with a change, in which at most `at_once` VMs are down; one beyond
+    /// The record with a change, in which at most `max_down` VMs are down; one beyond
     /// that is left out.
-    pub fn with(&self, change: &WaveChange, at_once: usize) -> Self {
+    pub fn with(&self, change: &WaveChange, max_down: usize) -> Self {
         let mut next = self.clone();
         for vm in &change.done {
             next.down.remove(vm);
@@ -59,10 +59,10 @@
         let begun = change.begun.iter();
         let begun = begun.filter(|vm| !next.done.contains(*vm)).cloned();
         next.begun.extend(begun);
-        for (vm, life) in &change.down {
+        for (vm, instance) in &change.down {
             let counted = next.down.contains_key(vm) || next.done.contains(vm);
-            if !counted && next.down.len() < at_once {
-                next.down.insert(vm.clone(), life.clone());
+            if !counted && next.down.len() < max_down {
+                next.down.insert(vm.clone(), instance.clone());
             }
         }
         next
--- a/crates/hoisthitch-jobs/tests/decisions/account.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/account.rs
@@ -38,7 +38,7 @@
     end_all(&mut state, &first, EndKind::Done, 2_000);
     let second = decide(&mut state, 2_000);
     for order in &second {
-        state.take_start(order, StartOutcome::Started, 2_050);
+        state.record_start_outcome(order, StartOutcome::Started, 2_050);
     }
     end_all(&mut state, &second, EndKind::Done, 4_050);
     let ended = state.take_ended_jobs();
@@ -61,7 +61,7 @@
 async fn lasting() -> Result<()> {
     let mut state = pool_of(1, 8);
     let work = StepSpec {
-        lasting: true,
+        long_running: true,
         ..step(1)
     };
     state.add_job(new_job("a", vec![work]), 1_000);
--- a/crates/hoisthitch-jobs/tests/decisions/admission.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/admission.rs
@@ -8,15 +8,15 @@
 };
 use hoisthitch_jobs::{
     AdviceTicket,
-    HoldReport,
+    HeartbeatReport,
     NewJob,
     PoolState,
+    ResourceAmounts,
     RunnerFacts,
     RunnerKey,
     StartOrder,
     StartOutcome,
-    StepSpec,
-    TaskNeed, //
+    StepSpec, //
 };
 use hoisthitch_tests::cases;
 
@@ -68,16 +68,16 @@
             let draining = true;
             state.set_runner(RunnerFacts { draining, ..facts }, 1_500);
         }
-        Change::Unlisted => state.retire_runner(key),
-        Change::Emptied => state.set_leaving(key, true),
+        Change::Unlisted => state.unlist_runner(key),
+        Change::Emptied => state.set_evacuating(key, true),
         Change::Shrinks => {
-            let capacity = TaskNeed {
+            let capacity = ResourceAmounts {
                 cpu_milli: 500,
                 ..facts.capacity
             };
             state.set_runner(RunnerFacts { capacity, ..facts }, 1_500);
         }
-        Change::LimitLowered => state.set_allowance("choir", TaskNeed::default()),
+        Change::LimitLowered => state.set_quota_allocation("choir", ResourceAmounts::default()),
     }
     Ok(())
 }
@@ -91,26 +91,26 @@
 }
 
 fn advise(state: &mut PoolState, until: u64) -> Result<()> {
-    let ask = state.ask_advice(1_000).ok_or_eyre("no question")?;
+    let request = state.next_advice_request(1_000).ok_or_eyre("no question")?;
     let ticket = AdviceTicket {
         runner: "i-0".to_owned(),
         ticket: "t".to_owned(),
     };
-    state.take_advice(ask.task, vec![ticket], until);
+    state.record_advice(request.task, vec![ticket], until);
     Ok(())
 }
 
 /// A pool of one runner, in which the job waits with a ticket.
 fn advised_pool(ends: bool) -> Result<PoolState> {
     let mut state = pool_of(1, 8);
-    let plenty = TaskNeed {
+    let plenty = ResourceAmounts {
         cpu_milli: 64_000,
         memory_mb: 64_000,
         gpus: 8,
     };
-    state.set_allowance("choir", plenty);
+    state.set_quota_allocation("choir", plenty);
     state.add_job(advised_job(), 1_000);
-    state.begin_rounds(1_000, 0);
+    state.begin_due_rounds(1_000, 0);
     advise(&mut state, if ends { TICKET_END } else { 9_000 })?;
     Ok(state)
 }
@@ -119,10 +119,10 @@
 async fn repeat(what: Change) -> Result<()> {
     let mut state = advised_pool(what == Change::TicketEnds)?;
     let order = decide(&mut state, 1_000).pop().ok_or_eyre("no order")?;
-    state.take_start(&order, StartOutcome::Unclear, 1_400);
+    state.record_start_outcome(&order, StartOutcome::Unclear, 1_400);
     change(&mut state, order.runner, what)?;
-    let again = state.take_hold(order.runner, &HoldReport::default(), 1_950, 2_000);
-    let stops = state.take_stops();
+    let again = state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_950, 2_000);
+    let stops = state.take_stop_orders();
     if what == Change::None {
         ensure!(again.len() == 1 && stops.is_empty(), "{again:?}, {stops:?}");
         ensure!(again[0].copy == 2, "{again:?}");
@@ -141,7 +141,7 @@
     change(&mut state, key, what)?;
     let orders = state.finish_flush(&plan, 2_000);
     ensure!(orders.is_empty(), "{orders:?}");
-    ensure!(state.take_stops().is_empty(), "nothing was sent");
+    ensure!(state.take_stop_orders().is_empty(), "nothing was sent");
     Ok(())
 }
 
@@ -150,31 +150,34 @@
 fn two_away() -> Result<(PoolState, StartOrder)> {
     let mut state = pool_of(3, 1);
     let lasting = StepSpec {
-        lasting: true,
-        spread: 1,
-        may_miss: 1,
+        long_running: true,
+        max_per_runner: 1,
+        max_unavailable: 1,
         ..step(3)
     };
     state.add_job(new_job("long", vec![lasting]), 1_000);
     let orders = decide(&mut state, 1_000);
     ensure!(orders.len() == 3, "{orders:?}");
     // The first works, the second never began, the third got no answer.
-    state.take_start(&orders[0], StartOutcome::Started, 1_010);
-    let report = HoldReport {
+    state.record_start_outcome(&orders[0], StartOutcome::Started, 1_010);
+    let report = HeartbeatReport {
         running: running_on(&state, orders[0].runner, None, 100),
-        ..HoldReport::default()
+        ..HeartbeatReport::default()
     };
-    state.take_hold(orders[0].runner, &report, 1_300, 1_310);
-    state.take_start(&orders[1], StartOutcome::Started, 1_010);
-    state.take_start(&orders[2], StartOutcome::Unclear, 1_400);
+    state.record_heartbeat(orders[0].runner, &report, 1_300, 1_310);
+    state.record_start_outcome(&orders[1], StartOutcome::Started, 1_010);
+    state.record_start_outcome(&orders[2], StartOutcome::Unclear, 1_400);
     Ok((state, orders[2].clone()))
 }
 
 async fn lasting(what: Change, is_sent: bool) -> Result<()> {
     let (mut state, order) = two_away()?;
     change(&mut state, order.runner, what)?;
-    let again = state.take_hold(order.runner, &HoldReport::default(), 1_950, 2_000);
-    ensure!(state.take_stops().is_empty(), "it may have come to work");
+    let again = state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_950, 2_000);
+    ensure!(
+        state.take_stop_orders().is_empty(),
+        "it may have come to work"
+    );
     ensure!(again.len() == usize::from(is_sent), "{again:?}");
     Ok(())
 }
@@ -182,8 +185,8 @@
 async fn lasting_drains() -> Result<()> {
     let (mut state, order) = two_away()?;
     change(&mut state, order.runner, Change::Drains)?;
-    let again = state.take_hold(order.runner, &HoldReport::default(), 1_950, 2_000);
+    let again = state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_950, 2_000);
     ensure!(again.is_empty(), "{again:?}");
-    ensure!(state.take_stops().len() == 1);
+    ensure!(state.take_stop_orders().len() == 1);
     Ok(())
 }
--- a/crates/hoisthitch-jobs/tests/decisions/demand.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/demand.rs
@@ -83,7 +83,7 @@
             };
             state.add_job(job, 60_000);
         }
-        state.begin_rounds(60_000, 0);
+        state.begin_due_rounds(60_000, 0);
         state.wanted_vms(60_000)
     };
     let (timely, late) = (wanted(60_000), wanted(50_000));
--- a/crates/hoisthitch-jobs/tests/decisions/lives.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/lives.rs
@@ -9,10 +9,10 @@
 use hoisthitch_jobs::{
     EndKind,
     EndedTask,
-    HoldReport,
+    HeartbeatReport,
     PoolState,
+    RunnerInstance,
     RunnerKey,
-    RunnerLife,
     RunningTask,
     StartOrder,
     StartOutcome, //
@@ -54,28 +54,28 @@
 
 /// The runner reports what it has.
 fn hear(state: &mut PoolState, runner: RunnerKey, asked_at: u64) {
-    let report = HoldReport {
+    let report = HeartbeatReport {
         running: running_on(state, runner, None, 10),
-        ..HoldReport::default()
+        ..HeartbeatReport::default()
     };
-    state.take_hold(runner, &report, asked_at, asked_at + 1);
+    state.record_heartbeat(runner, &report, asked_at, asked_at + 1);
 }
 
 async fn heard_runs() -> Result<()> {
     let (mut state, order) = one_started()?;
     hear(&mut state, order.runner, 1_100);
-    let renewed = state.renew_runner(order.runner, BORN, UNTIL, 2_000);
+    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
     let renewed = renewed.ok_or_eyre("the runner is known")?;
     ensure!((renewed.ended, renewed.doubtful) == (1, 0), "{renewed:?}");
     ensure!(state.runner(order.runner).is_none(), "the life is over");
     let runner = state.runner(renewed.key).ok_or_eyre("the next life")?;
-    ensure!(runner.seen == 0 && runner.tasks.is_empty());
+    ensure!(runner.last_seen_end == 0 && runner.tasks.is_empty());
     Ok(())
 }
 
 async fn doubtful_starts() -> Result<()> {
     let (mut state, order) = one_started()?;
-    let renewed = state.renew_runner(order.runner, BORN, UNTIL, 2_000);
+    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
     let renewed = renewed.ok_or_eyre("the runner is known")?;
     ensure!((renewed.ended, renewed.doubtful) == (0, 1), "{renewed:?}");
     ensure!(decide(&mut state, 2_100).is_empty(), "started elsewhere");
@@ -87,24 +87,24 @@
         percent: 20,
         load: 0,
     };
-    let report = HoldReport {
+    let report = HeartbeatReport {
         running: vec![row],
-        ..HoldReport::default()
+        ..HeartbeatReport::default()
     };
-    state.take_hold(renewed.key, &report, 2_200, 2_201);
-    ensure!(state.take_stops().is_empty(), "it was stopped");
+    state.record_heartbeat(renewed.key, &report, 2_200, 2_201);
+    ensure!(state.take_stop_orders().is_empty(), "it was stopped");
     let holds = |state: &PoolState| state.runner(renewed.key).map(|r| r.tasks.len());
     ensure!(holds(&state) == Some(1));
-    state.take_hold(renewed.key, &HoldReport::default(), 2_300, 2_301);
+    state.record_heartbeat(renewed.key, &HeartbeatReport::default(), 2_300, 2_301);
     ensure!(holds(&state) == Some(0), "it is not there any more");
     Ok(())
 }
 
 async fn doubtful_end() -> Result<()> {
     let (mut state, order) = one_started()?;
-    let renewed = state.renew_runner(order.runner, BORN, UNTIL, 2_000);
+    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
     let renewed = renewed.ok_or_eyre("the runner is known")?;
-    let report = HoldReport {
+    let report = HeartbeatReport {
         ended: vec![EndedTask {
             number: 1,
             name: order.name.to_string(),
@@ -112,9 +112,9 @@
             kind: EndKind::Done,
             checkpoint: String::new(),
         }],
-        ..HoldReport::default()
+        ..HeartbeatReport::default()
     };
-    state.take_hold(renewed.key, &report, 2_200, 2_201);
+    state.record_heartbeat(renewed.key, &report, 2_200, 2_201);
     ensure!(state.task(order.task).is_some_and(|task| task.is_done()));
     Ok(())
 }
@@ -124,16 +124,16 @@
     hear(&mut state, order.runner, 1_100);
     let facts = state.runner(order.runner).map(|r| r.facts.clone());
     let mut facts = facts.ok_or_eyre("the runner is known")?;
-    let renewed = state.renew_runner(order.runner, BORN, UNTIL, 2_000);
+    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
     let renewed = renewed.ok_or_eyre("the runner is known")?;
     hear(&mut state, renewed.key, 2_100);
-    state.open_runner(renewed.key);
+    state.mark_runner_ready(renewed.key);
     state.extend_lease(renewed.key, 1_000_000);
     ensure!(
         decide(&mut state, 2_200).is_empty(),
         "its kind is not known"
     );
-    facts.born = Some(BORN);
+    facts.started_at = Some(BORN);
     let key = state.set_runner(facts, 2_300);
     ensure!(key == renewed.key, "the record is that of the life");
     let again = decide(&mut state, 2_400);
@@ -143,7 +143,7 @@
 
 /// A life reports a run of a task that nothing is under way for.
 fn report_run(state: &mut PoolState, runner: RunnerKey, order: &StartOrder, at: u64) {
-    let report = HoldReport {
+    let report = HeartbeatReport {
         running: vec![RunningTask {
             name: order.name.to_string(),
             run: order.run,
@@ -151,23 +151,26 @@
             percent: 5,
             load: 0,
         }],
-        ..HoldReport::default()
+        ..HeartbeatReport::default()
     };
-    state.take_hold(runner, &report, at, at + 1);
+    state.record_heartbeat(runner, &report, at, at + 1);
 }
 
 async fn earlier_run() -> Result<()> {
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let order = start_all(&mut state, 1_000).pop().ok_or_eyre("no order")?;
-    state.take_hold(order.runner, &HoldReport::default(), 1_100, 1_101);
+    state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_100, 1_101);
     // It is free again, and its run shows all the same.
     report_run(&mut state, order.runner, &order, 1_200);
     ensure!(decide(&mut state, 1_300).is_empty(), "a second run began");
-    let stop = state.take_stops().pop().ok_or_eyre("no stop was sent")?;
+    let stop = state
+        .take_stop_orders()
+        .pop()
+        .ok_or_eyre("no stop was sent")?;
     ensure!(stop.run == order.run && stop.runner == order.runner);
-    state.take_stop(&stop, 1_400);
-    state.take_hold(order.runner, &HoldReport::default(), 1_500, 1_501);
+    state.record_stop_ack(&stop, 1_400);
+    state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_500, 1_501);
     let again = decide(&mut state, 1_600);
     ensure!(again.len() == 1 && again[0].run > order.run);
     Ok(())
@@ -177,24 +180,27 @@
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let first = start_all(&mut state, 1_000).pop().ok_or_eyre("no order")?;
-    state.take_hold(first.runner, &HoldReport::default(), 1_100, 1_101);
+    state.record_heartbeat(first.runner, &HeartbeatReport::default(), 1_100, 1_101);
     // The runner where it was may be down, so that it is started on the other one.
-    state.doubt_runner(first.runner);
+    state.mark_runner_unreachable(first.runner);
     let second = decide(&mut state, 1_150).pop().ok_or_eyre("no order")?;
     ensure!(second.runner != first.runner, "elsewhere");
-    state.take_start(&second, StartOutcome::Unclear, 1_200);
+    state.record_start_outcome(&second, StartOutcome::Unclear, 1_200);
     report_run(&mut state, first.runner, &first, 1_300);
-    let stop = state.take_stops().pop().ok_or_eyre("no stop was sent")?;
+    let stop = state
+        .take_stop_orders()
+        .pop()
+        .ok_or_eyre("no stop was sent")?;
     ensure!(stop.runner == second.runner && stop.run == second.run);
     Ok(())
 }
 
 async fn told_lives() -> Result<()> {
-    let life = |text: &str| RunnerLife::parse(text);
-    ensure!(life("i-1@7").to_string() == "i-1@7" && life("i-1").born.is_none());
-    ensure!(life("i-1@x").name == "i-1@x", "no birth");
-    ensure!(life("i-1@7").may_be(&life("i-1")));
-    ensure!(!life("i-1@7").may_be(&life("i-1@8")));
-    ensure!(!life("i-1@7").may_be(&life("i-2@7")));
+    let instance = |text: &str| RunnerInstance::parse(text);
+    ensure!(instance("i-1@7").to_string() == "i-1@7" && instance("i-1").started_at.is_none());
+    ensure!(instance("i-1@x").name == "i-1@x", "no birth");
+    ensure!(instance("i-1@7").may_be(&instance("i-1")));
+    ensure!(!instance("i-1@7").may_be(&instance("i-1@8")));
+    ensure!(!instance("i-1@7").may_be(&instance("i-2@7")));
     Ok(())
 }
--- a/crates/hoisthitch-jobs/tests/decisions/load.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/load.rs
@@ -81,7 +81,7 @@
     let mut job = new_job(&coming.id, steps);
     job.accepted_at = now;
     job.submission.team.clone_from(&coming.team);
-    job.submission.policy.aim_ms = 600;
+    job.submission.policy.target_latency_ms = 600;
     job.submission.policy.stretch = 2.0;
     state.add_job(job, now);
 }
--- a/crates/hoisthitch-jobs/tests/decisions/main.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/main.rs
@@ -26,7 +26,7 @@
     AdviceTicket,
     EndKind,
     EndedTask,
-    HoldReport,
+    HeartbeatReport,
     InheritedRuns,
     JobPhase,
     JobSpec,
@@ -34,6 +34,7 @@
     NewJob,
     PoolState,
     QueuePolicy,
+    ResourceAmounts,
     RunnerFacts,
     RunnerKey,
     RunningTask,
@@ -41,7 +42,6 @@
     StartOrder,
     StartOutcome,
     StepSpec,
-    TaskNeed,
     TaskPlace, //
 };
 use hoisthitch_tests::cases;
@@ -67,7 +67,7 @@
 fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
-        need: TaskNeed {
+        need: ResourceAmounts {
             cpu_milli: 1_000,
             memory_mb: 100,
             gpus: 0,
@@ -95,7 +95,7 @@
                 priority: 0,
                 max_attempts: 3,
                 stretch: 2.0,
-                aim_ms: 600,
+                target_latency_ms: 600,
                 advised: false,
             },
             accepted_ms: 0,
@@ -116,9 +116,9 @@
         let key = state.set_runner(
             RunnerFacts {
                 name: format!("i-{number}"),
-                born: None,
+                started_at: None,
                 vm: format!("vm-{number}"),
-                capacity: TaskNeed {
+                capacity: ResourceAmounts {
                     cpu_milli: cores * 1_000,
                     memory_mb: 10_000,
                     gpus: 0,
@@ -129,14 +129,14 @@
             },
             0,
         );
-        state.open_runner(key);
+        state.mark_runner_ready(key);
         state.extend_lease(key, 1_000_000);
     }
     state
 }
 
 fn decide(state: &mut PoolState, now: u64) -> Vec<StartOrder> {
-    state.begin_rounds(now, 0);
+    state.begin_due_rounds(now, 0);
     state.plan(now);
     let plan = state.begin_flush(100);
     state.finish_flush(&plan, now)
@@ -145,7 +145,7 @@
 fn start_all(state: &mut PoolState, now: u64) -> Vec<StartOrder> {
     let orders = decide(state, now);
     for order in &orders {
-        state.take_start(order, StartOutcome::Started, now);
+        state.record_start_outcome(order, StartOutcome::Started, now);
     }
     orders
 }
@@ -153,9 +153,12 @@
 /// Reports ends of these starts, each on its runner.
 fn end_all(state: &mut PoolState, orders: &[StartOrder], kind: EndKind, now: u64) {
     for order in orders {
-        let number = state.runner(order.runner).map_or(0, |runner| runner.seen) + 1;
-        let report = HoldReport {
-            born: None,
+        let number = state
+            .runner(order.runner)
+            .map_or(0, |runner| runner.last_seen_end)
+            + 1;
+        let report = HeartbeatReport {
+            started_at: None,
             clock_ms: now,
             running: running_on(state, order.runner, Some(order), 10),
             ended: vec![EndedTask {
@@ -166,7 +169,7 @@
                 checkpoint: String::new(),
             }],
         };
-        state.take_hold(order.runner, &report, now - 1, now);
+        state.record_heartbeat(order.runner, &report, now - 1, now);
     }
 }
 
@@ -239,9 +242,12 @@
     let orders = start_all(&mut state, 1_000);
     ensure!(orders.len() == 6 && orders.iter().all(|order| order.run == 1));
     end_all(&mut state, &orders[..1], EndKind::Failed, 2_000);
-    ensure!(state.take_stops().len() == 5, "the others are stopped");
+    ensure!(
+        state.take_stop_orders().len() == 5,
+        "the others are stopped"
+    );
     ensure!(decide(&mut state, 2_100).is_empty(), "until none is left");
-    end_all(&mut state, &orders[1..], EndKind::Broken, 2_500);
+    end_all(&mut state, &orders[1..], EndKind::GangBroken, 2_500);
     let again = start_all(&mut state, 3_000);
     ensure!(again.len() == 6 && again.iter().all(|order| order.run == 2));
     Ok(())
@@ -264,10 +270,10 @@
     state.add_job(new_job("g", vec![gang(4)]), 1_000);
     let orders = decide(&mut state, 1_000);
     for order in &orders[1..] {
-        state.take_start(order, StartOutcome::Started, 1_001);
+        state.record_start_outcome(order, StartOutcome::Started, 1_001);
     }
-    state.take_start(&orders[0], StartOutcome::NoRoom, 1_002);
-    ensure!(state.take_stops().len() == 3);
+    state.record_start_outcome(&orders[0], StartOutcome::NoRoom, 1_002);
+    ensure!(state.take_stop_orders().len() == 3);
     Ok(())
 }
 
@@ -307,14 +313,14 @@
     new.submission.policy.advised = true;
     state.add_job(new, 1_000);
     ensure!(decide(&mut state, 1_000).is_empty());
-    let ask = state.ask_advice(1_000).ok_or_eyre("no question")?;
-    ensure!(ask.step == "a.0.0" && ask.runners.len() == 3);
-    ensure!(state.ask_advice(1_010).is_none(), "asked once");
+    let request = state.next_advice_request(1_000).ok_or_eyre("no question")?;
+    ensure!(request.step == "a.0.0" && request.runners.len() == 3);
+    ensure!(state.next_advice_request(1_010).is_none(), "asked once");
     let ticket = AdviceTicket {
         runner: "i-1".to_owned(),
         ticket: "t-1".to_owned(),
     };
-    state.take_advice(ask.task, vec![ticket], 3_000);
+    state.record_advice(request.task, vec![ticket], 3_000);
     let orders = decide(&mut state, 1_050);
     ensure!(orders.len() == 2);
     ensure!(orders.iter().all(|order| order.ticket == "t-1"));
@@ -328,17 +334,17 @@
     let mut new = new_job("a", vec![step(1)]);
     new.submission.policy.advised = true;
     state.add_job(new, 1_000);
-    state.begin_rounds(1_000, 0);
-    let ask = state.ask_advice(1_000).ok_or_eyre("no question")?;
+    state.begin_due_rounds(1_000, 0);
+    let request = state.next_advice_request(1_000).ok_or_eyre("no question")?;
     let ticket = AdviceTicket {
         runner: "i-0".to_owned(),
         ticket: "t".to_owned(),
     };
-    state.take_advice(ask.task, vec![ticket], 9_000);
+    state.record_advice(request.task, vec![ticket], 9_000);
     let orders = decide(&mut state, 1_100);
-    state.take_start(&orders[0], StartOutcome::NoTicket, 1_200);
+    state.record_start_outcome(&orders[0], StartOutcome::NoTicket, 1_200);
     ensure!(decide(&mut state, 1_300).is_empty());
-    ensure!(state.ask_advice(1_300).is_some());
+    ensure!(state.next_advice_request(1_300).is_some());
     Ok(())
 }
 
@@ -348,17 +354,17 @@
     let orders = start_all(&mut state, 1_000);
     let stuck = orders[0].runner;
     for now in [1_700, 2_400, 3_100] {
-        let report = HoldReport {
-            born: None,
+        let report = HeartbeatReport {
+            started_at: None,
             clock_ms: now,
             running: running_on(&state, stuck, None, 40),
             ended: Vec::new(),
         };
-        state.take_hold(stuck, &report, now - 1, now);
+        state.record_heartbeat(stuck, &report, now - 1, now);
     }
     ensure!(state.stop_stalled(3_200).is_empty());
     ensure!(state.stop_stalled(4_000) == [stuck]);
-    ensure!(state.take_stops().len() == 1);
+    ensure!(state.take_stop_orders().len() == 1);
     end_all(&mut state, &orders, EndKind::Stopped, 4_100);
     let again = start_all(&mut state, 4_200);
     ensure!(again.len() == 1 && again[0].runner != stuck && again[0].run == 2);
@@ -392,8 +398,8 @@
 async fn spread() -> Result<()> {
     let mut state = pool_of(6, 8);
     let lasting = StepSpec {
-        lasting: true,
-        may_miss: 1,
+        long_running: true,
+        max_unavailable: 1,
         ..step(4)
     };
     state.add_job(new_job("a", vec![lasting.clone()]), 1_000);
@@ -412,13 +418,13 @@
 async fn paces() -> Result<()> {
     let mut state = pool_of(1, 8);
     let serving = StepSpec {
-        lasting: true,
+        long_running: true,
         target_ms: 100,
         ..step(1)
     };
     let filler = StepSpec {
-        filler: true,
-        lasting: true,
+        best_effort: true,
+        long_running: true,
         ..step(1)
     };
     state.add_job(new_job("a", vec![serving, filler]), 1_000);
@@ -427,13 +433,13 @@
     let mut pace_at = |load: u64, now: u64| {
         let mut running = running_on(&state, runner, None, 100);
         running.iter_mut().for_each(|row| row.load = load);
-        let report = HoldReport {
-            born: None,
+        let report = HeartbeatReport {
+            started_at: None,
             clock_ms: now,
             running,
             ended: Vec::new(),
         };
-        state.take_hold(runner, &report, now - 1, now);
+        state.record_heartbeat(runner, &report, now - 1, now);
         let paced = state.pace(runner, now);
         paced.iter().map(|order| order.percent).collect::<Vec<_>>()
     };
@@ -479,7 +485,7 @@
         let mut state = pool_of(3, 4);
         for (number, (cpu, memory, far)) in needs.iter().take(40).enumerate() {
             let wanted = StepSpec {
-                need: TaskNeed {
+                need: ResourceAmounts {
                     cpu_milli: u64::from(cpu % 40) * 100,
                     memory_mb: u64::from(memory % 40) * 250,
                     gpus: 0,
@@ -489,7 +495,7 @@
             };
             state.add_job(new_job(&format!("job-{number}"), vec![wanted]), 1_000);
         }
-        state.begin_rounds(1_000, 0);
+        state.begin_due_rounds(1_000, 0);
         state.plan(1_000);
         let jobs = (0..needs.len().min(40)).filter_map(|number| state.job(&format!("job-{number}")));
         jobs.flat_map(|job| (0..job.tasks.len()).map(move |slot| (job, slot)))
--- a/crates/hoisthitch-jobs/tests/decisions/outcomes.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/outcomes.rs
@@ -8,7 +8,7 @@
 };
 use hoisthitch_jobs::{
     EndKind,
-    HoldReport,
+    HeartbeatReport,
     PoolState,
     RunnerKey,
     StartOutcome,
@@ -42,7 +42,7 @@
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let orders = start_all(&mut state, 1_000);
-    state.miss_hold(orders[0].runner, false, 1_000);
+    state.record_missed_heartbeat(orders[0].runner, false, 1_000);
     ensure!(state.stop_stalled(60_000).is_empty());
     ensure!(decide(&mut state, 60_000).is_empty());
     Ok(())
@@ -52,9 +52,9 @@
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let orders = start_all(&mut state, 1_000);
-    state.miss_hold(orders[0].runner, false, 1_000);
-    ensure!(state.expire(999_999).is_empty());
-    ensure!(state.expire(1_000_001) == [orders[0].runner]);
+    state.record_missed_heartbeat(orders[0].runner, false, 1_000);
+    ensure!(state.expire_leases(999_999).is_empty());
+    ensure!(state.expire_leases(1_000_001) == [orders[0].runner]);
     let again = start_all(&mut state, 1_000_002);
     ensure!(again.len() == 1 && again[0].runner != orders[0].runner);
     Ok(())
@@ -67,18 +67,18 @@
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let orders = decide(&mut state, 1_000);
     let order = orders.first().ok_or_eyre("nothing was ordered")?;
-    state.take_start(order, StartOutcome::Unclear, 1_900);
-    let again = state.take_hold(order.runner, &HoldReport::default(), 1_950, 2_000);
+    state.record_start_outcome(order, StartOutcome::Unclear, 1_900);
+    let again = state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_950, 2_000);
     ensure!(again.len() == 1, "the same run is sent again");
-    state.take_start(order, StartOutcome::Refused, 2_100);
+    state.record_start_outcome(order, StartOutcome::Refused, 2_100);
     ensure!(
         decide(&mut state, 2_200).is_empty(),
         "started elsewhere at once"
     );
-    let stops = state.take_stops();
+    let stops = state.take_stop_orders();
     let stop = stops.first().ok_or_eyre("no stop was sent")?;
-    state.take_stop(stop, 2_300);
-    state.take_hold(order.runner, &HoldReport::default(), 2_350, 2_400);
+    state.record_stop_ack(stop, 2_300);
+    state.record_heartbeat(order.runner, &HeartbeatReport::default(), 2_350, 2_400);
     let next = decide(&mut state, 4_000);
     ensure!(next.first().is_some_and(|next| next.run == 2), "{next:?}");
     Ok(())
@@ -95,7 +95,7 @@
         let order = orders
             .first()
             .ok_or_eyre("the runner gets no tasks after a late start")?;
-        state.take_start(order, StartOutcome::Late, now + 50);
+        state.record_start_outcome(order, StartOutcome::Late, now + 50);
     }
     Ok(())
 }
@@ -107,10 +107,10 @@
 async fn late_lease() -> Result<()> {
     let mut state = pool_of(1, 8);
     let key = state.runner_key("i-0").ok_or_eyre("no runner")?;
-    state.cover_runner(key, 2_000);
+    state.confirm_runner_lease(key, 2_000);
     state.add_job(new_job("a", vec![step(1)]), 1_500);
     ensure!(decide(&mut state, 1_500).is_empty());
-    state.cover_runner(key, 6_500);
+    state.confirm_runner_lease(key, 6_500);
     ensure!(decide(&mut state, 1_600).len() == 1);
     Ok(())
 }
@@ -130,7 +130,7 @@
         let ended: Vec<_> = ended.cloned().collect();
         end_all(&mut state, &ended, EndKind::Done, now);
         let plan = state.begin_flush(2);
-        for (_, seen) in &plan.seen {
+        for (_, seen) in &plan.acked_ends {
             ensure!(*seen >= acknowledged, "{seen} after {acknowledged}");
             acknowledged = *seen;
         }
@@ -149,9 +149,9 @@
     let order = orders.first().ok_or_eyre("nothing was ordered")?;
     state.cancel("a", 1_100);
     let look = |state: &mut PoolState, now: u64| {
-        state.stop_again(now);
-        let stops = state.take_stops();
-        state.take_hold(order.runner, &HoldReport::default(), now - 1, now);
+        state.resend_stops(now);
+        let stops = state.take_stop_orders();
+        state.record_heartbeat(order.runner, &HeartbeatReport::default(), now - 1, now);
         let runner = state.runner(order.runner);
         (stops, runner.is_some_and(|runner| runner.tasks.is_empty()))
     };
@@ -163,8 +163,8 @@
         last.extend(stops);
     }
     let stop = last.last().ok_or_eyre("no stop was sent")?;
-    state.take_stop(stop, 9_000);
-    state.take_start(order, StartOutcome::Old, 9_010);
+    state.record_stop_ack(stop, 9_000);
+    state.record_start_outcome(order, StartOutcome::Old, 9_010);
     let (_, free) = look(&mut state, 9_100);
     ensure!(free, "the room is not free");
     Ok(())
@@ -174,11 +174,11 @@
     let mut state = pool_of(1, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let orders = decide(&mut state, 1_000);
-    state.take_start(&orders[0], StartOutcome::Unclear, 1_900);
-    let report = HoldReport::default();
-    let early = state.take_hold(orders[0].runner, &report, 1_800, 2_000);
+    state.record_start_outcome(&orders[0], StartOutcome::Unclear, 1_900);
+    let report = HeartbeatReport::default();
+    let early = state.record_heartbeat(orders[0].runner, &report, 1_800, 2_000);
     ensure!(early.is_empty(), "the hold was sent before the start ended");
-    let again = state.take_hold(orders[0].runner, &report, 2_100, 2_101);
+    let again = state.record_heartbeat(orders[0].runner, &report, 2_100, 2_101);
     ensure!(again.len() == 1 && again[0].run == orders[0].run);
     Ok(())
 }
@@ -188,8 +188,8 @@
 async fn repeated_stop() -> Result<()> {
     let mut state = pool_of(1, 8);
     let lasting = StepSpec {
-        lasting: true,
-        may_miss: 1,
+        long_running: true,
+        max_unavailable: 1,
         ..step(2)
     };
     state.add_job(new_job("long", vec![lasting]), 1_000);
@@ -197,31 +197,31 @@
     ensure!(orders.len() == 2, "{orders:?}");
     let key = orders[0].runner;
     hold(&mut state, key, 2_000);
-    state.set_leaving(key, true);
-    ensure!(state.relocate_one(key, 2_100), "none is moved");
-    let stops = state.take_stops();
+    state.set_evacuating(key, true);
+    ensure!(state.relocate_task(key, 2_100), "none is moved");
+    let stops = state.take_stop_orders();
     let moved = orders.iter().find(|order| order.name == stops[0].name);
     let moved = moved.ok_or_eyre("another task was stopped")?;
     let other = orders.iter().find(|order| order.name != moved.name);
     let other = other.ok_or_eyre("no other task")?.clone();
-    state.stop_again(2_900);
-    ensure!(state.take_stops().len() == 1, "it is sent again");
+    state.resend_stops(2_900);
+    ensure!(state.take_stop_orders().len() == 1, "it is sent again");
     end_all(&mut state, &[other], EndKind::Failed, 3_000);
     hold(&mut state, key, 3_050);
-    state.stop_again(3_700);
-    ensure!(state.take_stops().is_empty(), "none is at work then");
+    state.resend_stops(3_700);
+    ensure!(state.take_stop_orders().is_empty(), "none is at work then");
     // Once the step can miss it, or it is not there, the stop is sent again.
-    state.take_hold(key, &HoldReport::default(), 3_750, 3_760);
-    state.stop_again(4_500);
-    ensure!(state.take_stops().len() == 1);
+    state.record_heartbeat(key, &HeartbeatReport::default(), 3_750, 3_760);
+    state.resend_stops(4_500);
+    ensure!(state.take_stop_orders().len() == 1);
     Ok(())
 }
 
 /// Has a runner show all its runs at work.
 fn hold(state: &mut PoolState, key: RunnerKey, now: u64) {
-    let report = HoldReport {
+    let report = HeartbeatReport {
         running: running_on(state, key, None, 100),
-        ..HoldReport::default()
+        ..HeartbeatReport::default()
     };
-    state.take_hold(key, &report, now - 5, now);
+    state.record_heartbeat(key, &report, now - 5, now);
 }
--- a/crates/hoisthitch-jobs/tests/decisions/packing.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/packing.rs
@@ -66,11 +66,11 @@
     };
     let orders = start_all_of(&mut state, "a", work);
     let runner = orders.first().ok_or_eyre("nothing was started")?.runner;
-    state.vacate(runner, 1_100);
-    ensure!(state.take_stops().is_empty(), "it does not leave yet");
-    state.set_leaving(runner, true);
-    state.vacate(runner, 1_100);
-    let stops = state.take_stops();
+    state.evict_resumable(runner, 1_100);
+    ensure!(state.take_stop_orders().is_empty(), "it does not leave yet");
+    state.set_evacuating(runner, true);
+    state.evict_resumable(runner, 1_100);
+    let stops = state.take_stop_orders();
     ensure!(stops.len() == stopped, "{} are stopped", stops.len());
     Ok(())
 }
@@ -80,7 +80,7 @@
 async fn beside_lasting() -> Result<()> {
     let mut state = pool_of(4, 8);
     let lasting = StepSpec {
-        lasting: true,
+        long_running: true,
         ..step(1)
     };
     let early = start_all_of(&mut state, "short", step(4));
@@ -109,10 +109,13 @@
     };
     let orders = start_all_of(&mut state, "a", work);
     let runner = orders.first().ok_or_eyre("nothing was started")?.runner;
-    state.set_leaving(runner, true);
-    state.vacate(runner, 1_100);
-    ensure!(state.take_stops().is_empty(), "they are in time still");
-    state.vacate(runner, 30_000);
-    ensure!(state.take_stops().len() == 4);
+    state.set_evacuating(runner, true);
+    state.evict_resumable(runner, 1_100);
+    ensure!(
+        state.take_stop_orders().is_empty(),
+        "they are in time still"
+    );
+    state.evict_resumable(runner, 30_000);
+    ensure!(state.take_stop_orders().len() == 4);
     Ok(())
 }
--- a/crates/hoisthitch-jobs/tests/decisions/pools.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/pools.rs
@@ -7,18 +7,18 @@
     ensure, //
 };
 use hoisthitch_jobs::{
-    HoldReport,
+    EvacuationStatus,
+    HeartbeatReport,
     InheritedRuns,
     JobPhase,
     JobProgress,
     NewJob,
-    PoolMove,
-    PoolShare,
     PoolState,
     StepSpec,
     TaskPhase,
     TaskProgress,
-    UpkeepView,
+    VmBalance,
+    VmMove,
     plan_moves, //
 };
 use hoisthitch_tests::cases;
@@ -49,9 +49,9 @@
 /// A lasting step with one task on each runner, of which one may be away.
 fn lasting_step(count: u32) -> StepSpec {
     StepSpec {
-        lasting: true,
-        may_miss: 1,
-        spread: 1,
+        long_running: true,
+        max_unavailable: 1,
+        max_per_runner: 1,
         ..step(count)
     }
 }
@@ -64,17 +64,17 @@
     let orders = start_all(&mut state, 1_000);
     for order in &orders {
         let percent = if order.name.index < 2 { 60 } else { 100 };
-        let report = HoldReport {
-            born: None,
+        let report = HeartbeatReport {
+            started_at: None,
             clock_ms: 1_200,
             running: running_on(&state, order.runner, None, percent),
             ended: Vec::new(),
         };
-        state.take_hold(order.runner, &report, 1_199, 1_200);
+        state.record_heartbeat(order.runner, &report, 1_199, 1_200);
     }
     for order in &orders {
-        let view = state.upkeep_view(order.runner);
-        ensure!(view == UpkeepView::Held, "{}: {view:?}", order.name);
+        let view = state.evacuation_status(order.runner);
+        ensure!(view == EvacuationStatus::Held, "{}: {view:?}", order.name);
     }
     Ok(())
 }
@@ -99,24 +99,24 @@
         ..new_job("a", vec![lasting_step(2)])
     };
     state.add_job(job, 1_000);
-    ensure!(state.unlisted_view("i-0") == Some(UpkeepView::Held));
-    ensure!(state.unlisted_view("i-5").is_none());
-    state.expire(9_001);
-    ensure!(state.unlisted_view("i-0").is_none());
+    ensure!(state.unlisted_evacuation_status("i-0") == Some(EvacuationStatus::Held));
+    ensure!(state.unlisted_evacuation_status("i-5").is_none());
+    state.expire_leases(9_001);
+    ensure!(state.unlisted_evacuation_status("i-0").is_none());
     Ok(())
 }
 
-fn share(want: u32, vms: &[&str]) -> PoolShare {
-    PoolShare {
+fn share(want: u32, vms: &[&str]) -> VmBalance {
+    VmBalance {
         want,
         keep: want,
         vms: vms.iter().map(|vm| (*vm).to_owned()).collect(),
-        ..PoolShare::default()
+        ..VmBalance::default()
     }
 }
 
 async fn balance_off_first() -> Result<()> {
-    let off = PoolShare {
+    let off = VmBalance {
         spare: true,
         ..share(0, &["s1", "s2"])
     };
@@ -126,7 +126,7 @@
         ("off".to_owned(), off),
     ]);
     let moves = plan_moves(&pools);
-    let first = PoolMove {
+    let first = VmMove {
         from: "off".to_owned(),
         to: "a".to_owned(),
         count: 2,
@@ -162,7 +162,7 @@
 async fn balance_levels() -> Result<()> {
     let names: Vec<String> = (0..20).map(|vm| format!("vm-{vm}")).collect();
     let vms: Vec<&str> = names.iter().map(String::as_str).collect();
-    let off = PoolShare {
+    let off = VmBalance {
         spare: true,
         ..share(0, &vms[..6])
     };
@@ -195,7 +195,7 @@
 
 /// A pool whose want rises keeps less than it wants; it is no giver for that.
 async fn balance_gives_none() -> Result<()> {
-    let rising = PoolShare {
+    let rising = VmBalance {
         keep: 2,
         ..share(9, &["a1", "a2", "a3", "a4", "a5", "a6"])
     };
@@ -207,7 +207,7 @@
 quickcheck! {
     /// Moves give only what is there, and never more than is lacked.
     fn moves_add_up(wants: Vec<(u8, u8, u8)>) -> bool {
-        let pools: BTreeMap<String, PoolShare> = wants
+        let pools: BTreeMap<String, VmBalance> = wants
             .iter()
             .take(8)
             .enumerate()
@@ -215,7 +215,7 @@
                 let vms: Vec<String> = (0..has % 20).map(|vm| format!("{number}-{vm}")).collect();
                 let vms: Vec<&str> = vms.iter().map(String::as_str).collect();
                 let want = u32::from(want % 30);
-                let share = PoolShare {
+                let share = VmBalance {
                     keep: want.min(u32::from(*keep)),
                     ..share(want, &vms)
                 };
@@ -233,25 +233,25 @@
 
 /// Lasting tasks of `jobs` jobs on the first runner, which then leaves; answers
 /// with the state.
-fn draining(jobs: usize, may_miss: u32, free: u64) -> PoolState {
+fn draining(jobs: usize, max_unavailable: u32, free: u64) -> PoolState {
     let mut state = pool_of(1, 8);
     for number in 0..jobs {
         let lasting = StepSpec {
-            lasting: true,
-            may_miss,
+            long_running: true,
+            max_unavailable,
             ..step(1)
         };
         state.add_job(new_job(&format!("l{number}"), vec![lasting]), 1_000);
     }
     let orders = start_all(&mut state, 1_000);
     let leaves = orders[0].runner;
-    let report = HoldReport {
-        born: None,
+    let report = HeartbeatReport {
+        started_at: None,
         clock_ms: 1_500,
         running: running_on(&state, leaves, None, 100),
         ended: Vec::new(),
     };
-    state.take_hold(leaves, &report, 1_499, 1_500);
+    state.record_heartbeat(leaves, &report, 1_499, 1_500);
     let mut facts = state
         .runner(leaves)
         .map(|r| r.facts.clone())
@@ -261,24 +261,24 @@
     other.vm = "vm-9".to_owned();
     other.capacity.cpu_milli = free * 1_000;
     let key = state.set_runner(other, 1_500);
-    state.open_runner(key);
+    state.mark_runner_ready(key);
     state.extend_lease(key, 1_000_000);
     facts.draining = true;
     state.set_runner(facts, 1_500);
-    state.leave_draining(1_600);
+    state.move_off_draining(1_600);
     state
 }
 
 async fn drain_room() -> Result<()> {
     let mut state = draining(5, 1, 1);
-    let stops = state.take_stops().len();
+    let stops = state.take_stop_orders().len();
     ensure!(stops == 1, "{stops} stops, and room for one elsewhere");
     Ok(())
 }
 
 async fn drain_unmissable() -> Result<()> {
     let mut state = draining(2, 0, 8);
-    let stops = state.take_stops().len();
+    let stops = state.take_stop_orders().len();
     ensure!(stops > 0, "no stop though there is room");
     Ok(())
 }
@@ -288,11 +288,11 @@
 async fn balance_lacks() -> Result<()> {
     let names: Vec<String> = (0..37).map(|number| format!("v{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let ending = PoolShare {
+    let ending = VmBalance {
         keep: 24,
         ..share(36, &names[..31])
     };
-    let beginning = PoolShare {
+    let beginning = VmBalance {
         keep: 5,
         ..share(30, &names[31..])
     };
--- a/crates/hoisthitch-jobs/tests/decisions/quota.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/quota.rs
@@ -8,9 +8,9 @@
 };
 use hoisthitch_jobs::{
     PoolState,
-    QuotaParts,
-    TaskNeed,
-    TeamUse, //
+    QuotaAllocations,
+    ResourceAmounts,
+    TeamUsage, //
 };
 use hoisthitch_tests::cases;
 use quickcheck::quickcheck;
@@ -25,8 +25,8 @@
 /// When the pools of the cases decide.
 const NOW: u64 = 2_000;
 
-fn cores(cores: u64) -> TaskNeed {
-    TaskNeed {
+fn cores(cores: u64) -> ResourceAmounts {
+    ResourceAmounts {
         cpu_milli: cores * 1_000,
         memory_mb: 0,
         gpus: 0,
@@ -34,16 +34,16 @@
 }
 
 /// Leave for so many cores, and any memory.
-fn allowance(count: u64) -> TaskNeed {
-    TaskNeed {
+fn allowance(count: u64) -> ResourceAmounts {
+    ResourceAmounts {
         memory_mb: u64::MAX,
         gpus: u64::MAX,
         ..cores(count)
     }
 }
 
-fn needs(used: u64, waiting: u64) -> TeamUse {
-    TeamUse {
+fn needs(used: u64, waiting: u64) -> TeamUsage {
+    TeamUsage {
         used: cores(used),
         waiting: cores(waiting),
     }
@@ -59,55 +59,55 @@
 }
 
 async fn follows() -> Result<()> {
-    let mut parts = QuotaParts::default();
+    let mut parts = QuotaAllocations::default();
     let limit = cores(64);
-    let part = parts.next_part("halls", limit, needs(0, 8));
+    let part = parts.next_allocation("halls", limit, needs(0, 8));
     ensure!(
         part.cpu_milli >= 8_000 && part.cpu_milli <= 12_000,
         "{part:?}"
     );
     parts.set("halls", part);
     ensure!(
-        parts.next_part("halls", limit, needs(6, 2)) == part,
+        parts.next_allocation("halls", limit, needs(6, 2)) == part,
         "near enough"
     );
-    let less = parts.next_part("halls", limit, needs(1, 0));
+    let less = parts.next_allocation("halls", limit, needs(1, 0));
     ensure!(less.cpu_milli < part.cpu_milli, "{less:?}");
-    let none = parts.next_part("halls", limit, needs(0, 0));
-    ensure!(none == TaskNeed::default(), "{none:?}");
+    let none = parts.next_allocation("halls", limit, needs(0, 0));
+    ensure!(none == ResourceAmounts::default(), "{none:?}");
     Ok(())
 }
 
 async fn leaves() -> Result<()> {
-    let mut parts = QuotaParts::default();
+    let mut parts = QuotaAllocations::default();
     parts.set("concerts", cores(60));
-    let part = parts.next_part("halls", cores(64), needs(0, 30));
+    let part = parts.next_allocation("halls", cores(64), needs(0, 30));
     ensure!(part == cores(4), "{part:?}");
     ensure!(parts.allowed("halls", cores(64)) == allowance(0));
     Ok(())
 }
 
 async fn lowers() -> Result<()> {
-    let mut parts = QuotaParts::default();
+    let mut parts = QuotaAllocations::default();
     parts.set("concerts", cores(30));
     parts.set("halls", cores(30));
     let allowed = parts.allowed("halls", cores(20));
     ensure!(allowed.cpu_milli == 10_000, "{allowed:?}");
-    let kept = parts.next_part("halls", cores(20), needs(25, 5));
+    let kept = parts.next_allocation("halls", cores(20), needs(25, 5));
     ensure!(kept == cores(25), "what runs goes on: {kept:?}");
-    let less = parts.next_part("halls", cores(20), needs(5, 5));
+    let less = parts.next_allocation("halls", cores(20), needs(5, 5));
     ensure!(less == cores(5), "{less:?}");
     Ok(())
 }
 
 async fn frees() -> Result<()> {
-    let parts = QuotaParts::default();
-    let part = parts.next_part(
+    let parts = QuotaAllocations::default();
+    let part = parts.next_allocation(
         "halls",
         cores(8),
-        TeamUse {
-            used: TaskNeed::default(),
-            waiting: TaskNeed {
+        TeamUsage {
+            used: ResourceAmounts::default(),
+            waiting: ResourceAmounts {
                 cpu_milli: 1_000,
                 memory_mb: 9_000,
                 gpus: 2,
@@ -129,30 +129,35 @@
 
 async fn plans() -> Result<()> {
     let mut state = pool_of(4, 8);
-    state.set_allowance("choir", allowance(6));
+    state.set_quota_allocation("choir", allowance(6));
     hand_in(&mut state, "a", "choir");
     hand_in(&mut state, "b", "choir");
     decide(&mut state, NOW);
-    let used = state.team_uses()["choir"].used;
+    let used = state.team_usage()["choir"].used;
     ensure!(
         used.cpu_milli <= 6_000 && used.cpu_milli > 5_000,
         "{used:?}"
     );
-    ensure!(state.held_back().get("choir").is_some_and(|held| *held > 0));
-    state.set_allowance("choir", allowance(2));
+    ensure!(
+        state
+            .tasks_over_quota()
+            .get("choir")
+            .is_some_and(|held| *held > 0)
+    );
+    state.set_quota_allocation("choir", allowance(2));
     ensure!(
         decide(&mut state, NOW).is_empty(),
         "a limit that is lowered starts nothing"
     );
-    state.set_allowance("choir", allowance(60));
+    state.set_quota_allocation("choir", allowance(60));
     ensure!(!decide(&mut state, NOW).is_empty());
-    ensure!(state.held_back().is_empty());
+    ensure!(state.tasks_over_quota().is_empty());
     Ok(())
 }
 
 async fn holds_up_none() -> Result<()> {
     let mut state = pool_of(4, 8);
-    state.set_allowance("choir", allowance(0));
+    state.set_quota_allocation("choir", allowance(0));
     hand_in(&mut state, "a", "choir");
     hand_in(&mut state, "b", "band");
     hand_in(&mut state, "c", "");
@@ -168,18 +173,18 @@
     /// more than the limit in sum, and each always holds what it uses.
     fn parts_never_pass_the_limit(limit: u16, turns: Vec<(u8, u16, u16)>) -> bool {
         let limit = u64::from(limit) + 1;
-        let mut parts = QuotaParts::default();
+        let mut parts = QuotaAllocations::default();
         let mut used: BTreeMap<u8, u64> = BTreeMap::new();
         turns.into_iter().all(|(pool, wants, ends)| {
             let pool = pool % 5;
             let name = format!("pool-{pool}");
             let running = used.entry(pool).or_default();
             *running = running.saturating_sub(u64::from(ends) * 1_000);
-            let needs = TeamUse {
-                used: TaskNeed { cpu_milli: *running, ..TaskNeed::default() },
+            let needs = TeamUsage {
+                used: ResourceAmounts { cpu_milli: *running, ..ResourceAmounts::default() },
                 waiting: cores(u64::from(wants)),
             };
-            let part = parts.next_part(&name, cores(limit), needs);
+            let part = parts.next_allocation(&name, cores(limit), needs);
             parts.set(&name, part);
             let allowed = parts.allowed(&name, cores(limit)).cpu_milli;
             let start = (u64::from(wants) * 1_000).min(allowed.saturating_sub(*running));
--- a/crates/hoisthitch-jobs/tests/decisions/suspects.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/suspects.rs
@@ -6,17 +6,17 @@
     ensure, //
 };
 use hoisthitch_jobs::{
-    HoldReport,
+    HeartbeatReport,
     InheritedRuns,
     JobPhase,
     PoolState,
+    ResourceAmounts,
     RunnerFacts,
     RunnerKey,
     RunnerLoss,
     StartOrder,
     StartOutcome,
-    StepSpec,
-    TaskNeed, //
+    StepSpec, //
 };
 use hoisthitch_tests::cases;
 
@@ -46,17 +46,17 @@
 fn hear_all(state: &mut PoolState, now: u64) {
     let keys: Vec<RunnerKey> = state.runners().map(|(key, _)| key).collect();
     for key in keys {
-        let report = HoldReport {
+        let report = HeartbeatReport {
             running: running_on(state, key, None, 10),
-            ..HoldReport::default()
+            ..HeartbeatReport::default()
         };
-        state.take_hold(key, &report, now, now);
+        state.record_heartbeat(key, &report, now, now);
     }
 }
 
 /// A runner's connections are reset, and another runner is found in its place later.
 fn crash(state: &mut PoolState, runner: RunnerKey, now: u64) {
-    state.miss_hold(runner, true, now);
+    state.record_missed_heartbeat(runner, true, now);
     state.remove_runner(runner, RunnerLoss::Crashed, now + 2_000);
 }
 
@@ -93,7 +93,7 @@
     ensure!((2..=3).contains(&crashes), "{crashes} crashes");
     let phase = state.job("a").map(|job| job.phase);
     ensure!(phase == Some(JobPhase::Failed), "{phase:?}");
-    let told = state.take_given_up();
+    let told = state.take_crashing_tasks();
     ensure!(
         told.len() == 1 && told[0].suspicion.losses == crashes,
         "{told:?}"
@@ -117,7 +117,7 @@
 
 async fn given_up_lasting() -> Result<()> {
     let mut lasting = step(1);
-    lasting.lasting = true;
+    lasting.long_running = true;
     let mut state = heard_pool(8, lasting);
     let crashes = crashes_until_given_up(&mut state)?;
     ensure!((2..=3).contains(&crashes), "{crashes} crashes");
@@ -160,23 +160,26 @@
         runners.extend(orders.iter().map(|order| order.runner));
         runners.dedup();
         for key in runners.iter().rev().take(2) {
-            state.miss_hold(*key, true, now + 10);
+            state.record_missed_heartbeat(*key, true, now + 10);
         }
         for key in runners.iter().rev().take(2) {
             state.remove_runner(*key, RunnerLoss::Crashed, now + 2_000);
         }
     }
     for lost in state.take_lost_runs() {
-        ensure!(lost.company && lost.suspicion.weight() == 0, "{lost:?}");
+        ensure!(
+            lost.concurrent_loss && lost.suspicion.weight() == 0,
+            "{lost:?}"
+        );
     }
-    ensure!(state.take_given_up().is_empty());
+    ensure!(state.take_crashing_tasks().is_empty());
     Ok(())
 }
 
 async fn announced() -> Result<()> {
     let mut state = heard_pool(3, step(1));
     let order = first(&start_all(&mut state, 61_000))?;
-    state.set_leaving(order.runner, true);
+    state.set_evacuating(order.runner, true);
     crash(&mut state, order.runner, 61_010);
     let lost = state.take_lost_runs();
     ensure!(
@@ -212,7 +215,7 @@
     let mut state = PoolState::new(InheritedRuns::default());
     let facts = |cores: u64| RunnerFacts {
         name: "i-0".to_owned(),
-        capacity: TaskNeed {
+        capacity: ResourceAmounts {
             cpu_milli: cores * 1_000,
             memory_mb: 10_000,
             gpus: 0,
@@ -220,7 +223,7 @@
         ..RunnerFacts::default()
     };
     let key = state.set_runner(facts(8), 0);
-    state.open_runner(key);
+    state.mark_runner_ready(key);
     state.extend_lease(key, 1_000_000);
     state.add_job(new_job("a", vec![step(12)]), 1_000);
     ensure!(start_all(&mut state, 1_000).len() == 8);
@@ -235,7 +238,7 @@
 /// its own runner has other tasks: it is not sent again beside them.
 async fn repeated_suspect() -> Result<()> {
     let spread = StepSpec {
-        spread: 1,
+        max_per_runner: 1,
         ..step(3)
     };
     let mut state = heard_pool(3, spread);
@@ -247,21 +250,21 @@
     };
     let unclear = of_step(2).ok_or_eyre("no third task")?.clone();
     for order in orders.iter().filter(|order| order.name.job == "b") {
-        state.take_start(order, StartOutcome::Started, 61_000);
+        state.record_start_outcome(order, StartOutcome::Started, 61_000);
     }
-    state.take_start(&unclear, StartOutcome::Unclear, 61_900);
+    state.record_start_outcome(&unclear, StartOutcome::Unclear, 61_900);
     for (index, at) in [(0, 62_000), (1, 65_000)] {
         let order = of_step(index).ok_or_eyre("no task")?;
-        state.take_start(order, StartOutcome::Started, at);
+        state.record_start_outcome(order, StartOutcome::Started, at);
         crash(&mut state, order.runner, at + 10);
     }
-    let report = HoldReport {
+    let report = HeartbeatReport {
         running: running_on(&state, unclear.runner, Some(&unclear), 10),
-        ..HoldReport::default()
+        ..HeartbeatReport::default()
     };
-    let again = state.take_hold(unclear.runner, &report, 68_000, 68_000);
+    let again = state.record_heartbeat(unclear.runner, &report, 68_000, 68_000);
     ensure!(again.is_empty(), "{again:?}");
-    let stops = state.take_stops();
+    let stops = state.take_stop_orders();
     ensure!(
         stops.iter().any(|stop| stop.name == unclear.name),
         "{stops:?}"
--- a/crates/hoisthitch-jobs/tests/decisions/waves.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/waves.rs
@@ -6,10 +6,10 @@
     ensure, //
 };
 use hoisthitch_jobs::{
-    HoldReport,
+    EvacuationStatus,
+    HeartbeatReport,
     RunnerKey,
     StepSpec,
-    UpkeepView,
     WaveChange,
     WaveProgress, //
 };
@@ -31,11 +31,11 @@
 }
 
 fn down(vms: &[&str]) -> WaveChange {
-    let lives = vms
+    let instances = vms
         .iter()
         .map(|vm| ((*vm).to_owned(), format!("life-{vm}")));
     WaveChange {
-        down: lives.collect(),
+        down: instances.collect(),
         ..WaveChange::default()
     }
 }
@@ -75,27 +75,27 @@
 async fn goes_together() -> Result<()> {
     let mut state = pool_of(4, 8);
     let lasting = StepSpec {
-        lasting: true,
-        spread: 1,
-        may_miss: 1,
+        long_running: true,
+        max_per_runner: 1,
+        max_unavailable: 1,
         ..step(3)
     };
     state.add_job(new_job("long", vec![lasting]), 1_000);
     let orders = start_all(&mut state, 1_000);
     for order in &orders {
-        let report = HoldReport {
-            born: None,
+        let report = HeartbeatReport {
+            started_at: None,
             running: running_on(&state, order.runner, None, 100),
-            ..HoldReport::default()
+            ..HeartbeatReport::default()
         };
-        state.take_hold(order.runner, &report, 1_500, 1_501);
+        state.record_heartbeat(order.runner, &report, 1_500, 1_501);
     }
     let keys: Vec<RunnerKey> = state.runners().map(|(key, _)| key).collect();
     for key in &keys {
-        ensure!(state.upkeep_view(*key) == UpkeepView::Free);
+        ensure!(state.evacuation_status(*key) == EvacuationStatus::Free);
     }
-    let views = state.upkeep_views(&keys);
-    let free = views.iter().filter(|view| **view == UpkeepView::Free);
+    let views = state.evacuation_statuses(&keys);
+    let free = views.iter().filter(|view| **view == EvacuationStatus::Free);
     // The empty one, and one with a task.
     ensure!(free.count() == 2, "{views:?}");
     Ok(())
--- a/crates/hoisthitch-jobs/tests/patterns/fleet.rs
+++ b/crates/hoisthitch-jobs/tests/patterns/fleet.rs
@@ -12,26 +12,26 @@
 };
 
 use hoisthitch_jobs::{
+    DemandHistory,
     EndKind,
     EndedJob,
     EndedTask,
-    HoldReport,
+    EvacuationStatus,
+    HeartbeatReport,
     JobPhase,
     JobSpec,
     JobSubmission,
     NewJob,
-    PoolShare,
     PoolState,
     QueuePolicy,
+    ResourceAmounts,
     RunnerFacts,
     RunnerKey,
     RunnerLoss,
     RunningTask,
     StartOrder,
     StartOutcome,
-    TaskNeed,
-    UpkeepView,
-    WantHistory,
+    VmBalance,
     plan_moves, //
 };
 
@@ -85,8 +85,8 @@
 #[derive(Default)]
 struct ModelPool {
     state: PoolState,
-    wants: WantHistory,
-    share: PoolShare,
+    wants: DemandHistory,
+    share: VmBalance,
     vms: Vec<ModelVm>,
     /// VMs of a pool whose VMs are off, and since when they are there.
     idle: Vec<(String, u64)>,
@@ -106,7 +106,7 @@
     now: u64,
     pools: BTreeMap<String, ModelPool>,
     moves: Vec<ModelMove>,
-    lives: u32,
+    instances: u32,
     /// Time of each task that is left, by its name, in milliseconds.
     left: HashMap<String, u64>,
     /// VM-seconds in pools that are not off, in milliseconds.
@@ -121,7 +121,7 @@
             now: 10_000,
             pools: BTreeMap::new(),
             moves: Vec::new(),
-            lives: 0,
+            instances: 0,
             left: HashMap::new(),
             vm_ms: 0,
             moved: 0,
@@ -136,8 +136,8 @@
     }
 
     fn arrive(&mut self, pool: &str, vm: String, since: u64) {
-        self.lives += 1;
-        let life = self.lives;
+        self.instances += 1;
+        let instance = self.instances;
         let Some(entry) = self.pools.get_mut(pool) else {
             return;
         };
@@ -146,10 +146,10 @@
             return;
         }
         let facts = RunnerFacts {
-            name: format!("{vm}.{life}"),
-            born: None,
+            name: format!("{vm}.{instance}"),
+            started_at: None,
             vm: vm.clone(),
-            capacity: TaskNeed {
+            capacity: ResourceAmounts {
                 cpu_milli: VM_CPU,
                 memory_mb: 32_000,
                 gpus: 0,
@@ -159,7 +159,7 @@
             draining: false,
         };
         let key = entry.state.set_runner(facts, since);
-        entry.state.open_runner(key);
+        entry.state.mark_runner_ready(key);
         entry.state.extend_lease(key, u64::MAX / 4);
         entry.vms.push(ModelVm {
             name: vm,
@@ -217,7 +217,7 @@
                     priority: 0,
                     max_attempts: 3,
                     stretch: 1.6,
-                    aim_ms: 600,
+                    target_latency_ms: 600,
                     advised: false,
                 },
                 accepted_ms: 0,
@@ -249,7 +249,7 @@
         for (name, pool) in &mut self.pools {
             pool.tell(name == OFF, now);
         }
-        let shares: BTreeMap<String, PoolShare> = self
+        let shares: BTreeMap<String, VmBalance> = self
             .pools
             .iter()
             .map(|(name, pool)| (name.clone(), pool.share.clone()))
@@ -298,14 +298,14 @@
         }
         let spare = self.state.spare_runners(now, count);
         for key in self.leaving.iter().filter(|key| !spare.contains(key)) {
-            self.state.set_leaving(*key, false);
+            self.state.set_evacuating(*key, false);
         }
         self.leaving = spare;
         let mut free = Vec::new();
         for key in &self.leaving {
-            self.state.set_leaving(*key, true);
-            self.state.vacate(*key, now);
-            if self.state.upkeep_view(*key) == UpkeepView::Free {
+            self.state.set_evacuating(*key, true);
+            self.state.evict_resumable(*key, now);
+            if self.state.evacuation_status(*key) == EvacuationStatus::Free {
                 free.extend(self.state.runner(*key).map(|entry| entry.facts.vm.clone()));
             }
         }
@@ -318,7 +318,7 @@
         if let Some(place) = self.vms.iter().position(|entry| entry.name == vm) {
             let entry = self.vms.remove(place);
             self.leaving.retain(|key| *key != entry.key);
-            self.state.note_down(entry.key, now);
+            self.state.record_planned_shutdown(entry.key, now);
             self.state
                 .remove_runner(entry.key, RunnerLoss::Planned, now);
         }
@@ -340,23 +340,23 @@
                 vm.ends += 1;
                 rows.push(run.end(vm.ends, now, left));
             }
-            let report = HoldReport {
-                born: None,
+            let report = HeartbeatReport {
+                started_at: None,
                 clock_ms: now,
                 running: vm.runs.iter().map(|run| run.row(now)).collect(),
                 ended: rows,
             };
-            self.state.take_hold(vm.key, &report, now, now);
+            self.state.record_heartbeat(vm.key, &report, now, now);
         }
         self.ended.extend(self.state.take_ended_jobs());
     }
 
     fn decide(&mut self, now: u64, left: &HashMap<String, u64>) {
-        self.state.begin_rounds(now, 0);
-        self.state.stop_again(now);
+        self.state.begin_due_rounds(now, 0);
+        self.state.resend_stops(now);
         self.state.stop_stalled(now);
         self.state.plan(now);
-        for stop in self.state.take_stops() {
+        for stop in self.state.take_stop_orders() {
             let vms = self.vms.iter_mut().find(|vm| vm.key == stop.runner);
             let run = vms.and_then(|vm| {
                 let mut runs = vm.runs.iter_mut();
@@ -365,7 +365,7 @@
             if let Some(run) = run {
                 run.stopping = run.stopping.or(Some(now + STOP_MS));
             }
-            self.state.take_stop(&stop, now);
+            self.state.record_stop_ack(&stop, now);
         }
         let plan = self.state.begin_flush(usize::MAX);
         for order in self.state.finish_flush(&plan, now) {
@@ -385,7 +385,8 @@
             began: now + ORDER_MS,
             stopping: None,
         });
-        self.state.take_start(order, StartOutcome::Started, now);
+        self.state
+            .record_start_outcome(order, StartOutcome::Started, now);
     }
 }
 
@@ -445,7 +446,7 @@
         .map(|job| (job.id.as_str(), job.took))
         .collect();
     let mut windows: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
-    for job in jobs.iter().filter(|job| !job.spec.lasts()) {
+    for job in jobs.iter().filter(|job| !job.spec.is_long_running()) {
         let chain: u64 = job.times.iter().filter_map(|step| step.iter().max()).sum();
         let objective = 600 + chain * 16 / 10;
         let good = took
--- a/crates/hoisthitch-jobs/tests/patterns/main.rs
+++ b/crates/hoisthitch-jobs/tests/patterns/main.rs
@@ -13,8 +13,8 @@
 };
 use hoisthitch_jobs::{
     JobSpec,
-    StepSpec,
-    TaskNeed, //
+    ResourceAmounts,
+    StepSpec, //
 };
 use hoisthitch_tests::cases;
 use rand::{
@@ -79,14 +79,14 @@
 fn lasting_job(pool: &str, number: u32, rng: &mut StdRng) -> ModelJob {
     let step = StepSpec {
         count: rng.random_range(4..8),
-        need: TaskNeed {
+        need: ResourceAmounts {
             cpu_milli: 1_400,
             memory_mb: 100,
             gpus: 0,
         },
-        lasting: true,
-        spread: 1,
-        may_miss: 1,
+        long_running: true,
+        max_per_runner: 1,
+        max_unavailable: 1,
         ..StepSpec::default()
     };
     ModelJob {
@@ -112,7 +112,7 @@
 ) -> ModelJob {
     let step = |after: Vec<u32>| StepSpec {
         count: kind.tasks * size,
-        need: TaskNeed {
+        need: ResourceAmounts {
             cpu_milli: kind.cpu_milli,
             memory_mb: 100,
             gpus: 0,
--- a/crates/hoisthitch-load/src/experiments/connections.rs
+++ b/crates/hoisthitch-load/src/experiments/connections.rs
@@ -5,7 +5,7 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk, //
+    TestRequest, //
 };
 use tokio::{
     io::{
@@ -63,7 +63,7 @@
             fit.slope * 1_000.0,
             fit.r_squared
         );
-        let answer = HttpAsk::get(&fleet.caller_url(0, "/quotes/1"))
+        let answer = TestRequest::get(&fleet.caller_url(0, "/quotes/1"))
             .send()
             .await?;
         println!("a further request is answered with {}", answer.status);
--- a/crates/hoisthitch-load/src/experiments/slopes.rs
+++ b/crates/hoisthitch-load/src/experiments/slopes.rs
@@ -26,8 +26,8 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk,
     PoolPlan,
+    TestRequest,
     wait_until, //
 };
 use serde::Serialize;
@@ -163,7 +163,7 @@
         };
         let fleet = Fleet::start(plan).await?;
         write_halls(&fleet, vms).await?;
-        let answer = HttpAsk::put_json(&fleet.platform_url("/standin/vms"), &listing(vms))?
+        let answer = TestRequest::put_json(&fleet.platform_url("/standin/vms"), &listing(vms))?
             .send()
             .await?;
         if answer.status != 204 {
@@ -224,9 +224,9 @@
     async fn take(fleet: &Fleet) -> Result<Self> {
         let last = fleet.entries.len() - 1;
         let url = fleet.platform_url("/standin/calls");
-        let calls: serde_json::Value = HttpAsk::get(&url).send().await?.json()?;
+        let calls: serde_json::Value = TestRequest::get(&url).send().await?.json()?;
         let url = fleet.operator_url(last, "/metrics");
-        let metrics = HttpAsk::get(&url).send().await?.text();
+        let metrics = TestRequest::get(&url).send().await?.text();
         let number = |name: &str| calls[name].as_f64().unwrap_or(0.0);
         Ok(Self {
             at: Instant::now(),
--- a/crates/hoisthitch-scheduler/src/clock.rs
+++ b/crates/hoisthitch-scheduler/src/clock.rs
@@ -41,7 +41,7 @@
     day: DaySource,
     sleep: SleepSource,
     /// Time for which the VM was suspended so far, in milliseconds.
-    slept: Arc<AtomicU64>,
+    suspended_ms: Arc<AtomicU64>,
 }
 
 /// Where a clock takes the time of day from.
@@ -87,36 +87,36 @@
             start: Instant::now(),
             day: DaySource::System,
             sleep: SleepSource::System(asleep_at_start()),
-            slept: Arc::default(),
+            suspended_ms: Arc::default(),
         }
     }
 
-    /// A clock that starts now, whose time of day is `today_ms` now and goes on
+    /// A clock that starts now, whose time of day is `unix_ms` now and goes on
     /// with the runtime's clock, paused or not; `asleep` tells for how many milliseconds its
     /// VM was suspended so far, while the runtime's clock went on.
-    pub fn start_at(today_ms: u64, asleep: Arc<AtomicU64>) -> Self {
+    pub fn start_for_test(unix_ms: u64, asleep: Arc<AtomicU64>) -> Self {
         Self {
             start: Instant::now(),
-            day: DaySource::Steady(today_ms),
+            day: DaySource::Steady(unix_ms),
             sleep: SleepSource::Test(asleep),
-            slept: Arc::default(),
+            suspended_ms: Arc::default(),
         }
     }
 
     /// Now.
     pub fn now(&self) -> Millis {
-        START_MS + self.steady() + self.slept()
+        START_MS + self.steady() + self.suspended_ms()
     }
 
     /// Time for which the VM was suspended so far, in milliseconds.
-    pub fn slept(&self) -> Millis {
-        let before = self.slept.load(Ordering::Relaxed);
+    pub fn suspended_ms(&self) -> Millis {
+        let before = self.suspended_ms.load(Ordering::Relaxed);
         let asleep = self.sleep.read().unwrap_or(before);
         if asleep < before + SLEEP_LEAST_MS {
             return before;
         }
         // Whoever notices first tells.
-        let told = self.slept.fetch_max(asleep, Ordering::Relaxed);
+        let told = self.suspended_ms.fetch_max(asleep, Ordering::Relaxed);
         if told < asleep {
             event!(
                 Warn,
@@ -138,7 +138,7 @@
     }
 
     /// The time of day, in milliseconds since 1970.
-    pub fn today_ms(&self) -> u64 {
+    pub fn unix_ms(&self) -> u64 {
         match self.day {
             DaySource::System => SystemTime::now()
                 .duration_since(UNIX_EPOCH)
--- a/crates/hoisthitch-scheduler/src/pending.rs
+++ b/crates/hoisthitch-scheduler/src/create.rs
@@ -55,7 +55,7 @@
     /// Further values.
     pub(crate) others: Vec<(String, Vec<u8>)>,
     /// When the caller has to have an answer.
-    pub(crate) give_up: Millis,
+    pub(crate) deadline: Millis,
 }
 
 struct PendingCreate {
@@ -67,11 +67,11 @@
 
 /// Asks for creations.
 #[derive(Clone, Debug)]
-pub(crate) struct CreateClient {
+pub(crate) struct CreateBatcher {
     queue: mpsc::Sender<(CreateRequest, oneshot::Sender<CreateOutcome>)>,
 }
 
-impl CreateClient {
+impl CreateBatcher {
     /// Starts the writer on this thread.
     pub(crate) fn start<S: StoreClient>(store: S, shared: Arc<NodeShared>) -> Self {
         let (queue, asked) = mpsc::channel(QUEUE_LIMIT);
@@ -113,13 +113,13 @@
         let sent = shared.clock.now();
         match store.swap_all(items(&batch)).await {
             Ok(BatchOutcome::Written(_)) => {
-                shared.store.note_success(sent);
+                shared.store.record_success(sent);
                 for create in batch {
                     create.answer(CreateOutcome::Created);
                 }
             }
             Ok(BatchOutcome::Conflict(found)) => {
-                shared.store.note_success(sent);
+                shared.store.record_success(sent);
                 let mut found = found.into_iter();
                 for create in batch {
                     let present = found.next().flatten().is_some();
@@ -136,7 +136,7 @@
             }
             Err(err) => {
                 let clear = matches!(err, StoreError::Status { .. });
-                shared.store.note_failure(shared.clock.now());
+                shared.store.record_failure(shared.clock.now());
                 event!(Warn, "create_failed", records = batch.len(), error = err);
                 waiting.extend(batch.into_iter().map(|create| PendingCreate {
                     unclear: create.unclear || !clear,
@@ -155,7 +155,7 @@
     let lost = !shared.store.is_usable(now);
     let (over, left): (Vec<_>, Vec<_>) = mem::take(waiting)
         .into_iter()
-        .partition(|create| lost || create.request.give_up <= now);
+        .partition(|create| lost || create.request.deadline <= now);
     *waiting = left;
     for create in over {
         let outcome = if create.unclear {
--- a/crates/hoisthitch-scheduler/src/fleet.rs
+++ b/crates/hoisthitch-scheduler/src/fleet.rs
@@ -12,7 +12,7 @@
 use hoisthitch_jobs::{
     Millis,
     QueuePolicy,
-    RunnerLife, //
+    RunnerInstance, //
 };
 use hoisthitch_store::StoredValue;
 use hoisthitch_telemetry::event;
@@ -23,7 +23,7 @@
     platform::{
         FleetCodec,
         RunnerRecord,
-        WaveOrder, //
+        WaveRequest, //
     }, //
 };
 
@@ -37,20 +37,20 @@
     /// Pools.
     pub(crate) pools: Vec<String>,
     /// Waves by number.
-    pub(crate) waves: BTreeMap<u64, WaveOrder>,
+    pub(crate) waves: BTreeMap<u64, WaveRequest>,
     /// Whether the runners are listed; only nodes that own pools, or are the next
     /// to, follow them.
     pub(crate) listed: bool,
     /// Lives of runners that were listed while they were followed, by address and
     /// by VM, and when they first were.
-    lives: HashMap<String, BTreeMap<RunnerLife, Millis>>,
+    instances: HashMap<String, BTreeMap<RunnerInstance, Millis>>,
 }
 
 /// Another runner's life at a runner's place.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) struct RivalLife {
+pub(crate) struct ConflictingInstance {
     /// The life.
-    pub(crate) life: RunnerLife,
+    pub(crate) instance: RunnerInstance,
     /// When it was first listed here.
     pub(crate) listed_at: Millis,
 }
@@ -58,7 +58,7 @@
 impl FleetView {
     /// Takes in what runners wrote; answers whether it changes anything. `age` is the longest
     /// time that the change was under way, where that is known.
-    pub(crate) fn take_runners<C: FleetCodec>(
+    pub(crate) fn apply_runner_change<C: FleetCodec>(
         &mut self,
         codec: &C,
         change: FollowEvent,
@@ -66,7 +66,7 @@
         now: Millis,
     ) -> bool {
         match change {
-            FollowEvent::All(mut values) => {
+            FollowEvent::Snapshot(mut values) => {
                 self.runners.clear();
                 self.listed = true;
                 // A later record at the same address is that of a later life.
@@ -77,9 +77,9 @@
                 true
             }
             FollowEvent::Put(value) => self.put_runner(codec, &value, age, now),
-            FollowEvent::Complete(_) => false,
-            FollowEvent::Gone(key) => {
-                let name = codec.runner_name(&key);
+            FollowEvent::Progress(_) => false,
+            FollowEvent::Deleted(key) => {
+                let name = codec.parse_runner_name(&key);
                 name.is_some_and(|name| self.remove_runner(name))
             }
         }
@@ -88,7 +88,7 @@
     /// Forgets the runners, which are not followed any more.
     pub(crate) fn forget_runners(&mut self) {
         self.runners.clear();
-        self.lives.clear();
+        self.instances.clear();
         self.listed = false;
     }
 
@@ -97,7 +97,7 @@
         let Some(record) = self.runners.remove(name) else {
             return false;
         };
-        event!(Info, "runner_unlisted", runner = record.facts.life());
+        event!(Info, "runner_unlisted", runner = record.facts.instance());
         true
     }
 
@@ -109,10 +109,10 @@
         age: Option<Millis>,
         now: Millis,
     ) -> bool {
-        let Some(name) = codec.runner_name(&value.key) else {
+        let Some(name) = codec.parse_runner_name(&value.key) else {
             return false;
         };
-        let record = match codec.runner(name, &value.value) {
+        let record = match codec.parse_runner(name, &value.value) {
             Ok(record) => record,
             Err(err) => {
                 event!(Error, "runner_unreadable", runner = name, error = err);
@@ -125,15 +125,15 @@
         event!(
             Info,
             "runner_listed",
-            runner = record.facts.life(),
+            runner = record.facts.instance(),
             pool = record.pool,
             address = record.address,
             draining = record.facts.draining,
             age_ms = age.map_or_else(|| "unknown".to_owned(), |age| age.to_string())
         );
         for place in places_of(&record) {
-            let lives = self.lives.entry(place).or_default();
-            lives.entry(record.facts.life()).or_insert(now);
+            let instances = self.instances.entry(place).or_default();
+            instances.entry(record.facts.instance()).or_insert(now);
         }
         self.runners.insert(name.to_owned(), record);
         true
@@ -142,16 +142,18 @@
     /// Lives of other runners that were listed at the address or on the VM of a runner.
     /// Which of them came last no record tells: one of a dead life may be
     /// written late. While the runner answers, all that were listed before are over.
-    pub(crate) fn rivals(&self, name: &str) -> BTreeSet<RivalLife> {
+    pub(crate) fn conflicting_instances(&self, name: &str) -> BTreeSet<ConflictingInstance> {
         let Some(record) = self.runners.get(name) else {
             return BTreeSet::new();
         };
         let places = places_of(record);
-        let lives = places.filter_map(|place| self.lives.get(&place)).flatten();
-        let others = lives.filter(|(life, _)| life.name != name);
+        let instances = places
+            .filter_map(|place| self.instances.get(&place))
+            .flatten();
+        let others = instances.filter(|(instance, _)| instance.name != name);
         others
-            .map(|(life, listed_at)| RivalLife {
-                life: life.clone(),
+            .map(|(instance, listed_at)| ConflictingInstance {
+                instance: instance.clone(),
                 listed_at: *listed_at,
             })
             .collect()
@@ -159,31 +161,36 @@
 
     /// When the life that is listed under a name was first listed here, where an earlier
     /// life of that name was listed before it.
-    pub(crate) fn renewed_at(&self, name: &str) -> Option<Millis> {
+    pub(crate) fn restarted_at(&self, name: &str) -> Option<Millis> {
         let record = self.runners.get(name)?;
-        let life = record.facts.life();
-        let lives = self.lives.get(&record.address.to_string())?;
-        let listed_at = *lives.get(&life)?;
-        let mut others = lives.iter().filter(|(other, _)| !other.may_be(&life));
+        let instance = record.facts.instance();
+        let instances = self.instances.get(&record.address.to_string())?;
+        let listed_at = *instances.get(&instance)?;
+        let mut others = instances
+            .iter()
+            .filter(|(other, _)| !other.may_be(&instance));
         let renews = others.any(|(other, at)| other.name == name && *at < listed_at);
         renews.then_some(listed_at)
     }
 
     /// Whether a runner has said that it leaves, or is listed no more.
-    pub(crate) fn is_going(&self, name: &str) -> bool {
+    pub(crate) fn is_departing(&self, name: &str) -> bool {
         let record = self.runners.get(name);
         record.is_none_or(|record| record.facts.draining)
     }
 
     /// The life that is listed under a name.
-    pub(crate) fn life_of(&self, name: &str) -> RunnerLife {
+    pub(crate) fn instance_of(&self, name: &str) -> RunnerInstance {
         let record = self.runners.get(name);
-        record.map_or_else(|| RunnerLife::untold(name), |record| record.facts.life())
+        record.map_or_else(
+            || RunnerInstance::without_start_time(name),
+            |record| record.facts.instance(),
+        )
     }
 }
 
 /// Changes the view; those who follow it hear of it if `change` says so.
-pub(crate) fn change_fleet(
+pub(crate) fn update_fleet(
     fleet: &watch::Sender<Arc<FleetView>>,
     change: impl FnOnce(&mut FleetView) -> bool,
 ) {
--- a/crates/hoisthitch-scheduler/src/follow.rs
+++ b/crates/hoisthitch-scheduler/src/follow.rs
@@ -25,7 +25,7 @@
     shared::{
         NodeShared,
         RETRY_WAIT,
-        StoreWatch, //
+        StoreHealth, //
     }, //
 };
 
@@ -37,32 +37,32 @@
 #[derive(Clone, Debug)]
 pub(crate) enum FollowEvent {
     /// Everything there is; what is not in it is gone.
-    All(Vec<StoredValue>),
+    Snapshot(Vec<StoredValue>),
     /// A value was written.
     Put(StoredValue),
     /// A value was removed.
-    Gone(String),
+    Deleted(String),
     /// Nothing that was written before this time, of the node's clock, is left to
     /// tell of.
-    Complete(Millis),
+    Progress(Millis),
 }
 
 /// What is followed, and how.
 #[derive(Clone, Debug)]
-pub(crate) struct FollowOrder {
+pub(crate) struct FollowOptions {
     /// Start of the keys.
     pub(crate) prefix: String,
     /// Pause between two waits for changes.
     pub(crate) pause: FollowPause,
     /// How soon to tell up to when what was told is complete.
-    pub(crate) confirms: FollowConfirm,
+    pub(crate) confirms: FollowProgress,
     /// Waits after calls that failed.
     pub(crate) retry: FollowRetry,
 }
 
 /// How soon a follower is told up to when what it was told is complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum FollowConfirm {
+pub(crate) enum FollowProgress {
     /// Never.
     Never,
     /// Soon after each change, and now and then.
@@ -92,7 +92,7 @@
 }
 
 impl FollowPause {
-    fn length(self, store: &StoreWatch) -> Duration {
+    fn length(self, store: &StoreHealth) -> Duration {
         match self {
             Self::None => Duration::ZERO,
             Self::Fixed(length) => length,
@@ -115,7 +115,7 @@
 /// Follows a part of the store until nobody listens.
 pub(crate) async fn follow_prefix<S: StoreClient>(
     store: S,
-    order: FollowOrder,
+    order: FollowOptions,
     shared: Arc<NodeShared>,
     events: mpsc::UnboundedSender<FollowEvent>,
 ) {
@@ -130,12 +130,12 @@
 
 async fn wait_after_loss(
     lost: &mut Option<FollowLoss>,
-    order: &FollowOrder,
+    order: &FollowOptions,
     shared: &NodeShared,
     err: &StoreError,
 ) {
     let now = shared.clock.now();
-    shared.store.note_failure(now);
+    shared.store.record_failure(now);
     let failures = note_loss(lost, &order.prefix, err, now);
     let wait = match order.retry {
         FollowRetry::Short => RETRY_WAIT,
@@ -178,7 +178,7 @@
     if let Some(loss) = lost.take() {
         // None where the watch goes on.
         let values = match change {
-            WatchEvent::All(all) => all.len(),
+            WatchEvent::Snapshot(all) => all.len(),
             _ => 0,
         };
         event!(
@@ -204,7 +204,7 @@
 
 impl AwakeMark {
     fn now(clock: &NodeClock) -> Self {
-        let slept = clock.slept();
+        let slept = clock.suspended_ms();
         Self {
             call: None,
             before_call: slept,
@@ -214,7 +214,7 @@
 
     /// Time slept since the call that was sent at `at`, or a little before.
     fn slept_since(&mut self, at: Instant, clock: &NodeClock) -> Millis {
-        let slept = clock.slept();
+        let slept = clock.suspended_ms();
         if self.call != Some(at) {
             self.call = Some(at);
             self.before_call = self.before_last;
@@ -226,17 +226,17 @@
 
 async fn next_change<W: WatchStream>(
     watch: &mut W,
-    confirms: FollowConfirm,
+    confirms: FollowProgress,
 ) -> Option<Result<WatchEvent, StoreError>> {
-    if confirms == FollowConfirm::Often {
-        watch.hurry();
+    if confirms == FollowProgress::Often {
+        watch.shorten_next_wait();
     }
     watch.next().await
 }
 
 async fn follow_once<S: StoreClient>(
     store: &S,
-    order: &FollowOrder,
+    order: &FollowOptions,
     shared: &NodeShared,
     events: &mpsc::UnboundedSender<FollowEvent>,
     lost: &mut Option<FollowLoss>,
@@ -246,44 +246,44 @@
     let mut watch = store.watch(prefix, StoreRevision::default()).await?;
     while let Some(change) = next_change(&mut watch, order.confirms).await {
         let change = match change {
-            Err(err) if watch.goes_on_after(&err) => {
+            Err(err) if watch.can_resume_after(&err) => {
                 wait_after_loss(lost, order, shared, &err).await;
                 continue;
             }
             change => change?,
         };
-        shared.store.note_success(shared.clock.now());
+        shared.store.record_success(shared.clock.now());
         let change = match change {
-            WatchEvent::Opened => WatchEvent::All(store.read_prefix(prefix).await?),
+            WatchEvent::Created => WatchEvent::Snapshot(store.read_prefix(prefix).await?),
             change => change,
         };
         note_regained(lost, prefix, &change, shared.clock.now());
         let told = match change {
-            WatchEvent::All(all) => events.send(FollowEvent::All(all)),
+            WatchEvent::Snapshot(all) => events.send(FollowEvent::Snapshot(all)),
             WatchEvent::Put(stored) => {
-                if order.confirms == FollowConfirm::AfterChange {
-                    watch.hurry();
+                if order.confirms == FollowProgress::AfterChange {
+                    watch.shorten_next_wait();
                 }
                 events.send(FollowEvent::Put(stored))
             }
-            WatchEvent::Delete { key, .. } => events.send(FollowEvent::Gone(key)),
-            WatchEvent::Opened | WatchEvent::Quiet => Ok(()),
+            WatchEvent::Delete { key, .. } => events.send(FollowEvent::Deleted(key)),
+            WatchEvent::Created | WatchEvent::Unchanged => Ok(()),
         };
         if told.is_err() {
             break;
         }
-        if order.confirms != FollowConfirm::Never
-            && watch.is_drained()
-            && let Some(at) = watch.complete_at()
+        if order.confirms != FollowProgress::Never
+            && watch.is_buffer_empty()
+            && let Some(at) = watch.complete_as_of()
         {
             let age = Millis::try_from(at.elapsed().as_millis()).unwrap_or(Millis::MAX);
             let slept = awake.slept_since(at, &shared.clock);
             let at = shared.clock.now().saturating_sub(age + slept);
             // Whoever listens no more is seen at the next change.
-            let _ = events.send(FollowEvent::Complete(at));
+            let _ = events.send(FollowEvent::Progress(at));
         }
         let pause = order.pause.length(&shared.store);
-        if !pause.is_zero() && watch.is_drained() && !watch.may_lag() {
+        if !pause.is_zero() && watch.is_buffer_empty() && !watch.may_have_more() {
             tokio::time::sleep(pause).await;
         }
     }
--- a/crates/hoisthitch-scheduler/src/group.rs
+++ b/crates/hoisthitch-scheduler/src/group.rs
@@ -39,7 +39,7 @@
         NodeIdentity,
         OwnerRecord, //
     },
-    journal::encode,
+    journal::encode_record,
     keys::JobKeys,
     shared::NodeShared, //
 };
@@ -97,12 +97,14 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct MemberRecord {
     /// Life of the node.
-    pub(crate) life: u64,
+    #[serde(rename = "life")]
+    pub(crate) instance: u64,
     /// Data hall of the node.
     pub(crate) hall: String,
     /// Processor time that the node has, in thousandths of a core.
     #[serde(default = "usual_power")]
-    pub(crate) power: u64,
+    #[serde(rename = "power")]
+    pub(crate) cpu_milli: u64,
     /// Time of day at which the node started, in milliseconds since 1970; zero where
     /// it does not tell.
     #[serde(default)]
@@ -131,21 +133,21 @@
     /// When a pool was first seen without a living owner.
     vacant_since: BTreeMap<String, Millis>,
     /// Lives of the members as last looked at.
-    lives: BTreeMap<String, u64>,
+    instances: BTreeMap<String, u64>,
     /// Since when those are the same.
     same_since: Millis,
 }
 
 /// A pool that another node has much more power for.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct PoolRelief {
+pub(crate) struct PoolHandover {
     pub(crate) pool: String,
     /// Pools of this node for its power.
-    pub(crate) strain: usize,
+    pub(crate) load: usize,
     /// The other node.
     pub(crate) node: String,
     /// What it would have with the pool.
-    pub(crate) its_strain: usize,
+    pub(crate) target_load: usize,
 }
 
 impl GroupView {
@@ -157,7 +159,7 @@
 
     fn take_change(&mut self, keys: &JobKeys, change: FollowEvent) {
         match change {
-            FollowEvent::All(values) => {
+            FollowEvent::Snapshot(values) => {
                 self.members.clear();
                 self.owners.clear();
                 for value in values {
@@ -165,8 +167,8 @@
                 }
             }
             FollowEvent::Put(value) => self.put(keys, &value),
-            FollowEvent::Complete(_) => {}
-            FollowEvent::Gone(key) => {
+            FollowEvent::Progress(_) => {}
+            FollowEvent::Deleted(key) => {
                 if let Some(node) = keys.member_of(&key) {
                     event!(Warn, "node_gone", node = node);
                     self.members.remove(node);
@@ -199,13 +201,13 @@
     /// Whether this life of a node is among those that are alive.
     pub(crate) fn lists(&self, identity: &NodeIdentity) -> bool {
         let member = self.members.get(&identity.node);
-        member.is_some_and(|member| member.life == identity.life)
+        member.is_some_and(|member| member.instance == identity.instance)
     }
 
     fn is_owned(&self, pool: &str) -> bool {
         self.owners.get(pool).is_some_and(|entry| {
             let member = self.members.get(&entry.record.node);
-            member.is_some_and(|member| member.life == entry.record.life)
+            member.is_some_and(|member| member.instance == entry.record.instance)
         })
     }
 
@@ -254,28 +256,32 @@
 
     /// Notes when the members last changed.
     fn note_members(&mut self, now: Millis) {
-        let lives = self
+        let instances = self
             .members
             .iter()
-            .map(|(node, member)| (node, member.life));
-        if lives.eq(self.lives.iter().map(|(node, life)| (node, *life))) {
+            .map(|(node, member)| (node, member.instance));
+        if instances.eq(self
+            .instances
+            .iter()
+            .map(|(node, instance)| (node, *instance)))
+        {
             return;
         }
         let members = self.members.iter();
-        self.lives = members
-            .map(|(node, member)| (node.clone(), member.life))
+        self.instances = members
+            .map(|(node, member)| (node.clone(), member.instance))
             .collect();
         self.same_since = now;
     }
 
     /// A pool of this node that it should leave to another one, if the group was
     /// the same for a while.
-    pub(crate) fn relief(
+    pub(crate) fn pick_handover(
         &self,
         pools: &[String],
         identity: &NodeIdentity,
         now: Millis,
-    ) -> Option<PoolRelief> {
+    ) -> Option<PoolHandover> {
         if now < self.same_since + CALM_MS {
             return None;
         }
@@ -284,22 +290,22 @@
             .get(&identity.node)
             .copied()
             .filter(|load| *load > 0)?;
-        let strain = strain_of(own, identity.power);
+        let load = strain_of(own, identity.cpu_milli);
         let pool = pools.iter().find(|pool| self.is_own(pool, identity))?;
         let order = self.order(pool, &loads);
         let node = order.into_iter().find(|node| *node != identity.node)?;
-        let power = self.members.get(&node)?.power;
-        let its_strain = strain_of(loads.get(&node).copied().unwrap_or(0) + 1, power);
-        (strain * 2 >= its_strain * RELIEF_HALVES).then(|| PoolRelief {
+        let cpu_milli = self.members.get(&node)?.cpu_milli;
+        let target_load = strain_of(loads.get(&node).copied().unwrap_or(0) + 1, cpu_milli);
+        (load * 2 >= target_load * RELIEF_HALVES).then(|| PoolHandover {
             pool: pool.clone(),
-            strain,
+            load,
             node,
-            its_strain,
+            target_load,
         })
     }
 
     /// Whether this node is among the first to step in for some pool.
-    pub(crate) fn stands_by(&self, pools: &[String], node: &str) -> bool {
+    pub(crate) fn is_standby(&self, pools: &[String], node: &str) -> bool {
         let loads = self.loads(pools);
         pools.iter().any(|pool| {
             let order = self.order(pool, &loads);
@@ -311,7 +317,7 @@
     /// answer to its election was lost.
     fn is_own(&self, pool: &str, identity: &NodeIdentity) -> bool {
         self.owners.get(pool).is_some_and(|entry| {
-            entry.record.node == identity.node && entry.record.life == identity.life
+            entry.record.node == identity.node && entry.record.instance == identity.instance
         })
     }
 
@@ -338,10 +344,10 @@
         order.sort_by_cached_key(|node| {
             let load = loads.get(node).copied().unwrap_or(0);
             let member = self.members.get(node);
-            let power = member.map_or(1, |member| member.power);
+            let cpu_milli = member.map_or(1, |member| member.cpu_milli);
             let started_ms = member.map_or(0, |member| member.started_ms);
             (
-                strain_of(load + 1, power),
+                strain_of(load + 1, cpu_milli),
                 Reverse(started_ms / START_MS),
                 hash_name(&format!("{pool}/{node}")),
             )
@@ -351,14 +357,14 @@
 }
 
 /// Load of a node for its power, in parts of it.
-fn strain_of(load: usize, power: u64) -> usize {
-    load * STRAIN_PARTS / usize::try_from(power.max(1)).unwrap_or(1)
+fn strain_of(load: usize, cpu_milli: u64) -> usize {
+    load * STRAIN_PARTS / usize::try_from(cpu_milli.max(1)).unwrap_or(1)
 }
 
 /// Keeps the node's record alive until the node stops. `listed` tells whether the
 /// group shows it: the record may be taken away, or be overwritten by one that was
 /// written late and goes with an older lease, while its own lease is renewed on.
-pub(crate) async fn keep_member<S: StoreClient>(
+pub(crate) async fn maintain_membership<S: StoreClient>(
     store: S,
     shared: Arc<NodeShared>,
     keys: JobKeys,
@@ -370,10 +376,10 @@
     let mut unanswered = 0;
     let key = keys.member(&identity.node);
     let record = MemberRecord {
-        life: identity.life,
+        instance: identity.instance,
         hall: identity.hall.clone(),
-        power: identity.power,
-        started_ms: shared.clock.today_ms(),
+        cpu_milli: identity.cpu_milli,
+        started_ms: shared.clock.unix_ms(),
     };
     while !shared.is_stopping() {
         let sent = shared.clock.now();
@@ -383,19 +389,19 @@
                 Warn,
                 "member_missing",
                 node = identity.node,
-                life = identity.life
+                life = identity.instance
             );
             lease = None;
         }
         match renew_if_heard(&store, &key, &record, lease, unanswered).await {
             Ok(renewed) => {
-                shared.store.note_success(sent);
+                shared.store.record_success(sent);
                 if unanswered > 0 || lease != renewed {
                     event!(
                         Info,
                         "member_recorded",
                         node = identity.node,
-                        life = identity.life
+                        life = identity.instance
                     );
                 }
                 if lease != renewed {
@@ -406,7 +412,7 @@
                 tokio::time::sleep(RENEW_TIME).await;
             }
             Err(err) => {
-                shared.store.note_failure(shared.clock.now());
+                shared.store.record_failure(shared.clock.now());
                 if unanswered == 0 {
                     event!(
                         Warn,
@@ -454,7 +460,7 @@
     let item = SwapItem {
         key: key.to_owned(),
         expected: StoreRevision::ANY,
-        value: Some(encode(record)),
+        value: Some(encode_record(record)),
         lease: Some(lease),
     };
     match store.swap_all(vec![item]).await? {
