--- a/crates/hoisthitch-scheduler/src/http.rs
+++ b/crates/hoisthitch-scheduler/src/http.rs
@@ -27,13 +27,13 @@
 };
 
 use crate::{
-    desk::{
+    location::CallScope,
+    service::{
         CancelAnswer,
-        JobDesk,
+        JobService,
         SubmitAnswer, //
     },
-    location::CallScope,
-    shared::PolicyReading,
+    shared::PolicyStatus,
     teams::TeamTable, //
 };
 
@@ -54,8 +54,8 @@
         .route(&job, web::delete().to(cancel::<S>));
 }
 
-async fn list_queues<S: StoreClient>(desk: web::Data<JobDesk<S>>) -> HttpResponse {
-    let Some(policy) = desk.shared().policy.load_full() else {
+async fn list_queues<S: StoreClient>(service: web::Data<JobService<S>>) -> HttpResponse {
+    let Some(policy) = service.shared().policy.load_full() else {
         return fault(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet");
     };
     let mut rows = Vec::new();
@@ -64,17 +64,17 @@
             queue: queue.name.clone(),
             pool: queue.pool.clone(),
             priority: queue.policy.priority,
-            waiting: desk.waiting(queue).await.ok(),
+            waiting: service.waiting(queue).await.ok(),
         });
     }
     HttpResponse::Ok().json(rows)
 }
 
-async fn list_teams<S: StoreClient>(desk: web::Data<JobDesk<S>>) -> HttpResponse {
-    let Some(policy) = desk.shared().policy.load_full() else {
+async fn list_teams<S: StoreClient>(service: web::Data<JobService<S>>) -> HttpResponse {
+    let Some(policy) = service.shared().policy.load_full() else {
         return fault(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet");
     };
-    let held = desk.quota_parts().await.ok();
+    let held = service.quota_allocations().await.ok();
     let teams = policy.teams().map_or(&[][..], TeamTable::teams);
     let rows = teams.iter().map(|team| TeamRow {
         team: team.name.to_string(),
@@ -93,7 +93,7 @@
 }
 
 async fn submit<S: StoreClient>(
-    desk: web::Data<JobDesk<S>>,
+    service: web::Data<JobService<S>>,
     id: web::Path<String>,
     call: web::Json<JobCall>,
 ) -> HttpResponse {
@@ -105,12 +105,12 @@
     if let Err(err) = call.spec.check() {
         return fault(StatusCode::BAD_REQUEST, &err.to_string());
     }
-    let policy = match desk.shared().read_policy() {
-        PolicyReading::InForce(policy) => policy,
-        PolicyReading::Missing => {
+    let policy = match service.shared().policy_status() {
+        PolicyStatus::Current(policy) => policy,
+        PolicyStatus::Missing => {
             return fault(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet");
         }
-        PolicyReading::Unconfirmed { age_ms, .. } => {
+        PolicyStatus::Unconfirmed { age_ms, .. } => {
             let text = format!("the configuration was last confirmed {age_ms} ms ago");
             return fault(StatusCode::SERVICE_UNAVAILABLE, &text);
         }
@@ -120,12 +120,12 @@
         let text = format!("there is no queue {}; see {QUEUES_PATH}", call.queue);
         return fault(StatusCode::NOT_FOUND, &text);
     };
-    let give_up = desk.shared().clock.now() + PATIENCE_MS;
-    match desk
-        .submit(queue, CallScope::All, &id, call.spec.clone(), give_up)
+    let deadline = service.shared().clock.now() + PATIENCE_MS;
+    match service
+        .submit(queue, CallScope::All, &id, call.spec.clone(), deadline)
         .await
     {
-        SubmitAnswer::Accepted => describe(desk, id).await,
+        SubmitAnswer::Accepted => describe(service, id).await,
         SubmitAnswer::Refused => fault(
             StatusCode::SERVICE_UNAVAILABLE,
             "not taken, and will not run; hand it in again",
@@ -139,10 +139,10 @@
 }
 
 async fn describe<S: StoreClient>(
-    desk: web::Data<JobDesk<S>>,
+    service: web::Data<JobService<S>>,
     id: web::Path<String>,
 ) -> HttpResponse {
-    match desk.describe(&id).await {
+    match service.describe(&id).await {
         Ok(Some((pool, progress))) => {
             HttpResponse::Ok().json(summarize(id.into_inner(), pool, &progress))
         }
@@ -152,12 +152,12 @@
 }
 
 async fn cancel<S: StoreClient>(
-    desk: web::Data<JobDesk<S>>,
+    service: web::Data<JobService<S>>,
     id: web::Path<String>,
 ) -> HttpResponse {
-    let give_up = desk.shared().clock.now() + PATIENCE_MS;
-    match desk.cancel(CallScope::All, &id, give_up).await {
-        CancelAnswer::Accepted => describe(desk, id).await,
+    let deadline = service.shared().clock.now() + PATIENCE_MS;
+    match service.cancel(CallScope::All, &id, deadline).await {
+        CancelAnswer::Accepted => describe(service, id).await,
         CancelAnswer::Absent => fault(StatusCode::NOT_FOUND, "there is no such job"),
         CancelAnswer::Unknown => fault(
             StatusCode::GATEWAY_TIMEOUT,
--- a/crates/hoisthitch-scheduler/src/identity.rs
+++ b/crates/hoisthitch-scheduler/src/identity.rs
@@ -11,11 +11,11 @@
     /// Name of the node.
     pub node: String,
     /// Random number of this life of the process.
-    pub life: u64,
+    pub instance: u64,
     /// Data hall.
     pub hall: String,
     /// Processor time that it has, in thousandths of a core.
-    pub power: u64,
+    pub cpu_milli: u64,
 }
 
 /// Owner of a pool.
@@ -24,7 +24,8 @@
     /// Node.
     pub(crate) node: String,
     /// Life of the node.
-    pub(crate) life: u64,
+    #[serde(rename = "life")]
+    pub(crate) instance: u64,
     /// Number of the ownership.
     pub(crate) term: u64,
 }
--- a/crates/hoisthitch-scheduler/src/journal.rs
+++ b/crates/hoisthitch-scheduler/src/journal.rs
@@ -43,7 +43,8 @@
     /// Node of the owner.
     pub(crate) node: String,
     /// Life of the node.
-    pub(crate) life: u64,
+    #[serde(rename = "life")]
+    pub(crate) instance: u64,
     /// Number of the ownership.
     pub(crate) term: u64,
     /// Number of the write in this term.
@@ -85,7 +86,7 @@
         Self {
             store,
             shared,
-            key: keys.head(pool),
+            key: keys.journal_head(pool),
             head,
             revision,
         }
@@ -113,7 +114,7 @@
             let mut items = vec![SwapItem {
                 key: self.key.clone(),
                 expected: self.revision,
-                value: Some(encode(&head)),
+                value: Some(encode_record(&head)),
                 lease: None,
             }];
             items.extend(values.iter().cloned());
@@ -122,19 +123,19 @@
             timer.observe_duration();
             match outcome {
                 Ok(BatchOutcome::Written(revision)) => {
-                    self.shared.store.note_success(sent);
+                    self.shared.store.record_success(sent);
                     self.revision = revision;
                     self.head = head;
                     return Ok(sent);
                 }
                 Ok(BatchOutcome::Conflict(found)) => {
-                    self.shared.store.note_success(sent);
+                    self.shared.store.record_success(sent);
                     if self.settle(found.into_iter().next().flatten(), &head)? {
                         return Ok(sent);
                     }
                 }
                 Err(err) => {
-                    self.shared.store.note_failure(self.shared.clock.now());
+                    self.shared.store.record_failure(self.shared.clock.now());
                     event!(Warn, "journal_unclear", key = self.key, error = err);
                     tokio::time::sleep(RETRY_WAIT).await;
                 }
@@ -151,7 +152,7 @@
         let Some(stored) = found else {
             return Err(JournalError::Deposed);
         };
-        let record = decode(&stored).ok_or(JournalError::Deposed)?;
+        let record = decode_head(&stored).ok_or(JournalError::Deposed)?;
         let made = record == *wanted;
         if !made && record != self.head {
             return Err(JournalError::Deposed);
@@ -176,7 +177,7 @@
     pub(crate) async fn confirm(&self) -> Result<Result<Millis, JournalError>, StoreError> {
         let sent = self.shared.clock.now();
         let found = self.store.read(&self.key).await?;
-        self.shared.store.note_success(sent);
+        self.shared.store.record_success(sent);
         let own = found.is_some_and(|stored| stored.revision == self.revision);
         Ok(if own {
             Ok(sent)
@@ -186,7 +187,7 @@
     }
 }
 
-pub(crate) fn decode(stored: &StoredValue) -> Option<HeadRecord> {
+pub(crate) fn decode_head(stored: &StoredValue) -> Option<HeadRecord> {
     let record = serde_json::from_slice(&stored.value);
     if let Err(err) = &record {
         event!(Error, "head_unreadable", key = stored.key, error = err);
@@ -194,7 +195,7 @@
     record.ok()
 }
 
-pub(crate) fn encode<R: Serialize>(record: &R) -> Vec<u8> {
+pub(crate) fn encode_record<R: Serialize>(record: &R) -> Vec<u8> {
     serde_json::to_vec(record).unwrap_or_else(|err| {
         event!(Error, "record_not_encoded", error = err);
         Vec::new()
--- a/crates/hoisthitch-scheduler/src/keys.rs
+++ b/crates/hoisthitch-scheduler/src/keys.rs
@@ -15,7 +15,7 @@
     }
 
     /// Nodes that are alive, and owners of pools.
-    pub fn group(&self) -> String {
+    pub fn group_prefix(&self) -> String {
         format!("{}/group/", self.root)
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// Head of a pool's journal, which each of its owner's writes changes.
-    pub fn head(&self, pool: &str) -> String {
+    pub fn journal_head(&self, pool: &str) -> String {
         format!("{}/head/{pool}", self.root)
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// What a pool's owner is told: submissions and cancels.
-    pub fn inbox(&self, pool: &str) -> String {
+    pub fn inbox_prefix(&self, pool: &str) -> String {
         format!("{}/in/{pool}/", self.root)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Progress of all jobs of a pool.
-    pub fn all_progress(&self, pool: &str) -> String {
+    pub fn progress_prefix(&self, pool: &str) -> String {
         format!("{}/run/{pool}/", self.root)
     }
 
@@ -82,17 +82,17 @@
     }
 
     /// What all pools have and want.
-    pub fn all_shares(&self) -> String {
+    pub fn vm_balances_prefix(&self) -> String {
         format!("{}/share/", self.root)
     }
 
     /// What a pool has and wants.
-    pub fn share(&self, pool: &str) -> String {
+    pub fn vm_balance(&self, pool: &str) -> String {
         format!("{}/share/{pool}", self.root)
     }
 
     /// Parts of all teams' limits.
-    pub fn all_quotas(&self) -> String {
+    pub fn quotas_prefix(&self) -> String {
         format!("{}/quota/", self.root)
     }
 
--- a/crates/hoisthitch-scheduler/src/lib.rs
+++ b/crates/hoisthitch-scheduler/src/lib.rs
@@ -9,7 +9,7 @@
 //! The platform is met through the traits of [`platform`].
 
 mod clock;
-mod desk;
+mod create;
 mod fleet;
 mod follow;
 mod group;
@@ -21,35 +21,35 @@
 mod location;
 mod metrics;
 mod node;
+mod operators;
 mod owner;
-mod pending;
 pub mod platform;
 mod policy;
+mod service;
 mod session;
 mod shared;
-mod table;
 mod takeover;
 mod teams;
 mod vms;
 
 pub use clock::NodeClock;
-pub use desk::{
-    CancelAnswer,
-    JobDesk,
-    StatusAnswer,
-    SubmitAnswer, //
-};
 pub use http::job_routes;
 pub use identity::NodeIdentity;
 pub use keys::JobKeys;
 pub use location::CallScope;
 pub use metrics::NodeMetrics;
 pub use node::run_node;
+pub use service::{
+    CancelAnswer,
+    JobService,
+    StatusAnswer,
+    SubmitAnswer, //
+};
 pub use shared::{
     NodeShared,
-    PolicyReading,
-    StoreWatch,
-    ViewHolds, //
+    PolicyStatus,
+    StalenessLimits,
+    StoreHealth, //
 };
 pub use teams::{
     CallerError,
--- a/crates/hoisthitch-scheduler/src/location.rs
+++ b/crates/hoisthitch-scheduler/src/location.rs
@@ -57,7 +57,7 @@
             Self::All => true,
             Self::Caller { queue, team } => {
                 let own = || team.0.as_deref() == Some(job.team.as_str());
-                let open = || queue.open && queue.name == job.queue;
+                let open = || queue.anonymous && queue.name == job.queue;
                 job.team.is_empty() || own() || open()
             }
         }
--- a/crates/hoisthitch-scheduler/src/metrics.rs
+++ b/crates/hoisthitch-scheduler/src/metrics.rs
@@ -37,7 +37,7 @@
     /// Seconds that a write of an owner's journal took.
     pub journal: Histogram,
     /// Seconds of a look of an owner's loop, by loop.
-    pub looks: HistogramVec,
+    pub loop_seconds: HistogramVec,
     /// Calls to the platform and to runners, by purpose.
     pub platform_calls: IntCounterVec,
     /// Bytes of those calls' paths and bodies, by purpose and direction.
@@ -68,21 +68,21 @@
             registry.register(Box::new(histogram.clone()))?;
             prometheus::Result::Ok(histogram)
         };
-        let looks = HistogramVec::new(
+        let loop_seconds = HistogramVec::new(
             timed(
                 "hoisthitch_owner_look_seconds",
                 "Time of a look of an owner's loop",
             ),
             &["loop"],
         )?;
-        registry.register(Box::new(looks.clone()))?;
+        registry.register(Box::new(loop_seconds.clone()))?;
         let policy_version = IntGauge::new(
             "hoisthitch_policy_version",
             "Version of the configuration in force",
         )?;
         registry.register(Box::new(policy_version.clone()))?;
         Ok(Self {
-            looks,
+            loop_seconds,
             policy_version,
             platform_calls: counter(
                 "hoisthitch_platform_calls_total",
--- a/crates/hoisthitch-scheduler/src/node.rs
+++ b/crates/hoisthitch-scheduler/src/node.rs
@@ -21,24 +21,25 @@
 use crate::{
     fleet::{
         FleetView,
-        change_fleet, //
+        update_fleet, //
     },
     follow::{
-        FollowConfirm,
         FollowEvent,
-        FollowOrder,
+        FollowOptions,
         FollowPause,
+        FollowProgress,
         FollowRetry,
         follow_prefix, //
     },
     group::{
         GroupView,
-        keep_member,
-        leave_group, //
+        leave_group,
+        maintain_membership, //
     },
     identity::NodeIdentity,
     keys::JobKeys,
     metrics::seconds,
+    operators::OperatorWatcher,
     owner::{
         OwnerContext,
         OwnerEnd,
@@ -49,7 +50,6 @@
         Platform, //
     },
     shared::NodeShared,
-    table::TableKeeper,
     takeover::{
         PoolTakeover,
         take_over, //
@@ -92,21 +92,21 @@
     let store = platform.store().clone();
     let codec = platform.codec().clone();
     let watched = shared.clone();
-    let follow = |order: FollowOrder| {
+    let follow = |order: FollowOptions| {
         let (sender, told) = mpsc::unbounded_channel();
         let follower = follow_prefix(store.clone(), order, watched.clone(), sender);
         actix_rt::spawn(follower);
         told
     };
     let mut runners = None;
-    let mut changes = follow(FollowOrder {
-        prefix: keys.group(),
+    let mut changes = follow(FollowOptions {
+        prefix: keys.group_prefix(),
         pause: FollowPause::ByNodes,
-        confirms: FollowConfirm::Never,
+        confirms: FollowProgress::Never,
         retry: FollowRetry::ByNodes,
     });
     let (shows, listed) = watch::channel(true);
-    let member = keep_member(
+    let member = maintain_membership(
         store.clone(),
         shared.clone(),
         keys.clone(),
@@ -116,7 +116,7 @@
     let member = actix_rt::spawn(member);
     let (fleet, _) = watch::channel(Arc::new(FleetView::default()));
     let fleet = Rc::new(fleet);
-    let mut operators = TableKeeper::start(&platform, shared.clone(), fleet.clone());
+    let mut operators = OperatorWatcher::start(&platform, shared.clone(), fleet.clone());
     let (ended, mut ends) = mpsc::unbounded_channel();
     let mut control = NodeControl {
         platform,
@@ -130,12 +130,12 @@
     let mut group = GroupView::default();
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut stands_by = false;
+    let mut is_standby = false;
     while !control.shared.is_stopping() {
         let mut regroup = false;
         tokio::select! {
             Some(()) = operators.recv() => regroup = true,
-            Some(change) = next_change(&mut runners) => control.take_runners(change),
+            Some(change) = next_change(&mut runners) => control.apply_runner_change(change),
             Some(change) = changes.recv() => {
                 group.take(&control.keys, change, control.shared.clock.now());
                 control.shared.store.note_nodes(group.members.len());
@@ -148,15 +148,15 @@
         control.elect(&mut group);
         if regroup {
             let pools = control.fleet.borrow().pools.clone();
-            stands_by = group.stands_by(&pools, &control.identity.node);
+            is_standby = group.is_standby(&pools, &control.identity.node);
         }
-        let follows = stands_by || !control.running.is_empty();
+        let follows = is_standby || !control.running.is_empty();
         if follows && runners.is_none() {
             event!(Info, "runners_followed", node = control.identity.node);
-            runners = Some(follow(FollowOrder {
+            runners = Some(follow(FollowOptions {
                 prefix: codec.runners_prefix(),
                 pause: FollowPause::Fixed(RUNNERS_PAUSE),
-                confirms: FollowConfirm::Often,
+                confirms: FollowProgress::Often,
                 retry: FollowRetry::Short,
             }));
         } else if !follows && runners.take().is_some() {
@@ -193,27 +193,27 @@
 impl<P: Platform> NodeControl<P> {
     /// Forgets the runners, which are not followed any more.
     fn forget_runners(&self) {
-        change_fleet(&self.fleet, |fleet| {
+        update_fleet(&self.fleet, |fleet| {
             fleet.forget_runners();
             true
         });
     }
 
-    fn take_runners(&mut self, change: FollowEvent) {
+    fn apply_runner_change(&mut self, change: FollowEvent) {
         let codec = self.platform.codec().clone();
         let now = self.shared.clock.now();
-        let lease = &self.shared.runners_lease;
+        let lease = &self.shared.runner_list_lease;
         let age = match &change {
-            FollowEvent::Complete(at) => return lease.renew(*at),
-            FollowEvent::All(_) => None,
-            FollowEvent::Put(_) | FollowEvent::Gone(_) => lease.known_age(now),
+            FollowEvent::Progress(at) => return lease.renew(*at),
+            FollowEvent::Snapshot(_) => None,
+            FollowEvent::Put(_) | FollowEvent::Deleted(_) => lease.known_age(now),
         };
         if let Some(age) = age {
             let histogram = &self.shared.metrics.runner_change_age;
             histogram.observe(seconds(age));
         }
-        change_fleet(&self.fleet, |fleet| {
-            fleet.take_runners(&codec, change, age, now)
+        update_fleet(&self.fleet, |fleet| {
+            fleet.apply_runner_change(&codec, change, age, now)
         });
     }
 
@@ -254,21 +254,21 @@
     fn relieve(&self, group: &GroupView) {
         let now = self.shared.clock.now();
         let pools = &self.fleet.borrow().pools;
-        let Some(relief) = group.relief(pools, &self.identity, now) else {
+        let Some(handover) = group.pick_handover(pools, &self.identity, now) else {
             return;
         };
         // One after the other, so that each is weighed against the last.
         if self.running.values().any(|stop| *stop.borrow()) {
             return;
         }
-        if let Some(stop) = self.running.get(&relief.pool) {
+        if let Some(stop) = self.running.get(&handover.pool) {
             event!(
                 Info,
                 "pool_offered",
-                pool = relief.pool,
-                strain = relief.strain,
-                to = relief.node,
-                its_strain = relief.its_strain
+                pool = handover.pool,
+                strain = handover.load,
+                to = handover.node,
+                its_strain = handover.target_load
             );
             stop.send_replace(true);
         }
--- a/crates/hoisthitch-scheduler/src/table.rs
+++ b/crates/hoisthitch-scheduler/src/operators.rs
@@ -23,13 +23,13 @@
 use crate::{
     fleet::{
         FleetView,
-        change_fleet, //
+        update_fleet, //
     },
     follow::{
-        FollowConfirm,
         FollowEvent,
-        FollowOrder,
+        FollowOptions,
         FollowPause,
+        FollowProgress,
         FollowRetry,
         follow_prefix, //
     },
@@ -40,7 +40,7 @@
     },
     policy::{
         PolicyChange,
-        tell_names, //
+        format_names, //
     },
     shared::NodeShared, //
 };
@@ -54,16 +54,16 @@
     changes: mpsc::UnboundedSender<FollowEvent>,
 ) {
     loop {
-        let order = FollowOrder {
+        let order = FollowOptions {
             prefix: prefix.clone(),
             pause: FollowPause::None,
-            confirms: FollowConfirm::AfterChange,
+            confirms: FollowProgress::AfterChange,
             retry: FollowRetry::ByNodes,
         };
         let follow = follow_prefix(store.clone(), order, shared.clone(), changes.clone());
         tokio::select! {
             () = follow => return,
-            version = shared.policy_ask.raised() => event!(
+            version = shared.policy_refresh.raised() => event!(
                 Info,
                 "policy_sought",
                 version = version,
@@ -74,13 +74,13 @@
 }
 
 /// Takes in what operators write.
-pub(crate) struct TableKeeper<C> {
+pub(crate) struct OperatorWatcher<C> {
     codec: C,
     shared: Arc<NodeShared>,
     fleet: Rc<watch::Sender<Arc<FleetView>>>,
 }
 
-impl<C: FleetCodec> TableKeeper<C> {
+impl<C: FleetCodec> OperatorWatcher<C> {
     /// Starts to follow the operators' records; the receiver hears of each change
     /// once it is taken in.
     pub(crate) fn start<P>(
@@ -106,7 +106,7 @@
         let (taken, hears) = mpsc::unbounded_channel();
         actix_rt::spawn(async move {
             while let Some(change) = changes.recv().await {
-                let is_change = !matches!(change, FollowEvent::Complete(_));
+                let is_change = !matches!(change, FollowEvent::Progress(_));
                 keeper.take_operators(change);
                 if is_change {
                     // The configuration is kept on when nobody owns pools here any more.
@@ -119,15 +119,17 @@
 
     fn take_operators(&self, change: FollowEvent) {
         match change {
-            FollowEvent::All(values) => values.iter().for_each(|value| self.take_operator(value)),
+            FollowEvent::Snapshot(values) => {
+                values.iter().for_each(|value| self.take_operator(value))
+            }
             FollowEvent::Put(value) => self.take_operator(&value),
-            FollowEvent::Gone(key) => event!(Warn, "operators_key_gone", key = key),
-            FollowEvent::Complete(at) => self.shared.policy_lease.renew(at),
+            FollowEvent::Deleted(key) => event!(Warn, "operators_key_gone", key = key),
+            FollowEvent::Progress(at) => self.shared.policy_lease.renew(at),
         }
     }
 
     fn take_operator(&self, value: &StoredValue) {
-        match self.codec.policy(&value.key, &value.value) {
+        match self.codec.parse_policy(&value.key, &value.value) {
             Some(Ok(policy)) => self.apply_policy(policy, value.revision),
             Some(Err(err)) => event!(
                 Error,
@@ -138,10 +140,10 @@
             ),
             None => {}
         }
-        match self.codec.wave(&value.key, &value.value) {
+        match self.codec.parse_wave(&value.key, &value.value) {
             Some(Ok(order)) => {
                 event!(Info, "wave_seen", wave = order.wave, vms = order.vms.len());
-                change_fleet(&self.fleet, |fleet| {
+                update_fleet(&self.fleet, |fleet| {
                     let before = fleet.waves.insert(order.wave, order.clone());
                     before.as_ref() != Some(&order)
                 });
@@ -169,9 +171,9 @@
             before = current.as_ref().map_or(0, |before| before.version),
             queues = policy.queues().len(),
             pools = policy.pools.len(),
-            added = tell_names(&change.added),
-            dropped = tell_names(&change.dropped),
-            moved = tell_names(&change.moved),
+            added = format_names(&change.added),
+            dropped = format_names(&change.dropped),
+            moved = format_names(&change.moved),
             teams = policy.teams().map_or(0, |teams| teams.teams().len()),
             keys_added = change.keys_added,
             keys_dropped = change.keys_dropped
@@ -181,7 +183,7 @@
         let pools = policy.pools.iter().map(|pool| pool.name.clone()).collect();
         let policies = policy.policies();
         self.shared.policy.store(Some(Arc::new(policy)));
-        change_fleet(&self.fleet, |fleet| {
+        update_fleet(&self.fleet, |fleet| {
             fleet.pools = pools;
             fleet.policies = policies;
             true
--- a/crates/hoisthitch-scheduler/src/owner/advice.rs
+++ b/crates/hoisthitch-scheduler/src/owner/advice.rs
@@ -1,23 +1,23 @@
 //! Asks the adviser of queues that have one.
 
 use hoisthitch_jobs::{
-    AdviceAsk,
+    AdviceRequest,
     Millis, //
 };
 use hoisthitch_telemetry::event;
 
 use super::PoolOwner;
 use crate::platform::{
-    AdviceAnswer,
+    AdviceResponse,
     AdviceSource,
     Platform, //
 };
 
 /// A question, when it was asked, and what came of it.
 pub(super) struct AdviceReturn {
-    ask: AdviceAsk,
+    request: AdviceRequest,
     answered_at: Millis,
-    answer: Result<AdviceAnswer, String>,
+    answer: Result<AdviceResponse, String>,
 }
 
 impl<P: Platform> PoolOwner<P> {
@@ -26,7 +26,7 @@
         if self.asking {
             return;
         }
-        let Some(ask) = self.state.ask_advice(now) else {
+        let Some(request) = self.state.next_advice_request(now) else {
             return;
         };
         self.asking = true;
@@ -34,11 +34,11 @@
         let shared = self.context.shared.clone();
         let returns = self.advice.clone();
         actix_rt::spawn(async move {
-            let turn = shared.advice_turn.acquire().await;
-            let answer = source.advise(&ask).await;
+            let turn = shared.advice_permit.acquire().await;
+            let answer = source.advise(&request).await;
             drop(turn);
             let back = AdviceReturn {
-                ask,
+                request,
                 answered_at: shared.clock.now(),
                 answer,
             };
@@ -55,16 +55,22 @@
                 event!(
                     Info,
                     "advice",
-                    step = back.ask.step,
-                    asked = back.ask.runners.len(),
+                    step = back.request.step,
+                    asked = back.request.runners.len(),
                     good = answer.tickets.len(),
-                    valid_ms = answer.valid.as_millis()
+                    valid_ms = answer.valid_for.as_millis()
                 );
-                let valid = Millis::try_from(answer.valid.as_millis()).unwrap_or(0);
+                let valid = Millis::try_from(answer.valid_for.as_millis()).unwrap_or(0);
                 let until = back.answered_at + valid;
-                self.state.take_advice(back.ask.task, answer.tickets, until);
+                self.state
+                    .record_advice(back.request.task, answer.tickets, until);
             }
-            Err(err) => event!(Warn, "advice_missing", step = back.ask.step, error = err),
+            Err(err) => event!(
+                Warn,
+                "advice_missing",
+                step = back.request.step,
+                error = err
+            ),
         }
     }
 }
--- a/crates/hoisthitch-scheduler/src/owner/awaited.rs
+++ b/crates/hoisthitch-scheduler/src/owner/awaited.rs
@@ -38,7 +38,7 @@
             version = version,
             known = known
         );
-        self.context.shared.ask_for_policy(version);
+        self.context.shared.request_policy_refresh(version);
         let since = self.awaited.map_or(now, |awaited| awaited.since);
         self.awaited = Some(AwaitedPolicy { version, since });
     }
--- a/crates/hoisthitch-scheduler/src/owner/events.rs
+++ b/crates/hoisthitch-scheduler/src/owner/events.rs
@@ -28,13 +28,13 @@
                 ran_ms = lost
                     .ran
                     .map_or_else(|| "unknown".to_owned(), |ran| ran.to_string()),
-                beside = lost.beside,
-                company = lost.company,
+                beside = lost.other_runs,
+                company = lost.concurrent_loss,
                 losses = lost.suspicion.losses,
                 weight = lost.suspicion.weight()
             );
         }
-        for given_up in self.state.take_given_up() {
+        for given_up in self.state.take_crashing_tasks() {
             self.count("task_given_up");
             event!(
                 Warn,
@@ -80,8 +80,8 @@
 
     /// The life of a runner, for the log.
     pub(super) fn life_text(&self, key: RunnerKey) -> String {
-        let life = self.state.life_of(key);
-        life.map_or_else(String::new, |life| life.to_string())
+        let instance = self.state.instance_of(key);
+        instance.map_or_else(String::new, |instance| instance.to_string())
     }
 
     /// Counts an event of the pool.
--- a/crates/hoisthitch-scheduler/src/owner/inbox.rs
+++ b/crates/hoisthitch-scheduler/src/owner/inbox.rs
@@ -24,7 +24,7 @@
         recorded: &mut HashMap<String, JobProgress>,
     ) {
         match change {
-            FollowEvent::All(values) => {
+            FollowEvent::Snapshot(values) => {
                 // Cancels come before submissions in the order of keys.
                 let (cancels, jobs): (Vec<_>, Vec<_>) = values
                     .into_iter()
@@ -34,12 +34,12 @@
                 }
             }
             FollowEvent::Put(value) => self.take_letter(&value, recorded),
-            FollowEvent::Gone(_) | FollowEvent::Complete(_) => {}
+            FollowEvent::Deleted(_) | FollowEvent::Progress(_) => {}
         }
     }
 
     fn take_letter(&mut self, value: &StoredValue, recorded: &mut HashMap<String, JobProgress>) {
-        let prefix = self.context.keys.inbox(&self.context.pool);
+        let prefix = self.context.keys.inbox_prefix(&self.context.pool);
         let now = self.now();
         match InboxKey::parse(&prefix, &value.key) {
             Some(InboxKey::Submission(id)) => {
@@ -65,7 +65,7 @@
     fn take_job(&mut self, id: &str, submission: JobSubmission, progress: Option<JobProgress>) {
         let now = self.now();
         let clock = &self.context.shared.clock;
-        let age = clock.today_ms().saturating_sub(submission.accepted_ms);
+        let age = clock.unix_ms().saturating_sub(submission.accepted_ms);
         self.await_policy(id, submission.version, now);
         let queue = submission.queue.clone();
         let restored = progress.is_some();
--- a/crates/hoisthitch-scheduler/src/owner/lives.rs
+++ b/crates/hoisthitch-scheduler/src/owner/lives.rs
@@ -20,8 +20,8 @@
 
 use hoisthitch_jobs::{
     Millis,
-    RunnerKey,
-    RunnerLife, //
+    RunnerInstance,
+    RunnerKey, //
 };
 use hoisthitch_telemetry::event;
 
@@ -100,7 +100,7 @@
 #[derive(Debug, Default)]
 pub(super) struct LifeNotes {
     /// Lives that are over, though they may be listed still.
-    over: HashSet<RunnerLife>,
+    over: HashSet<RunnerInstance>,
     /// Runners at whose place other lives were looked for since the list last changed.
     rivals_sought: HashSet<RunnerKey>,
     pub(super) tokens: TokenSource,
@@ -118,8 +118,8 @@
     }
 
     /// Whether a life is over.
-    pub(super) fn is_over(&self, life: &RunnerLife) -> bool {
-        self.over.contains(life)
+    pub(super) fn is_over(&self, instance: &RunnerInstance) -> bool {
+        self.over.contains(instance)
     }
 
     /// Whether sessions wait for the journal to be written.
@@ -154,8 +154,8 @@
         let Some(runner) = self.state.runner(key).filter(|runner| !runner.fenced) else {
             return;
         };
-        let renewed_at = self.context.fleet.borrow().renewed_at(&runner.facts.name);
-        let is_young = renewed_at.is_some_and(|at| at + STRAY_RUN_MS > now);
+        let restarted_at = self.context.fleet.borrow().restarted_at(&runner.facts.name);
+        let is_young = restarted_at.is_some_and(|at| at + STRAY_RUN_MS > now);
         let longest = if runner.renewed || is_young {
             STRAY_RUN_MS
         } else {
@@ -166,17 +166,17 @@
 
     /// Notes that a runner's life is over.
     pub(super) fn note_over(&mut self, key: RunnerKey) {
-        self.lives.over.extend(self.state.life_of(key));
+        self.instances.over.extend(self.state.instance_of(key));
     }
 
     /// Takes in the record of one of the pool's runners.
     pub(super) fn take_record(&mut self, record: &RunnerRecord, since: Millis) {
-        let life = record.facts.life();
-        if self.lives.is_over(&life) {
+        let instance = record.facts.instance();
+        if self.instances.is_over(&instance) {
             return;
         }
-        match self.state.runner_key(&life.name) {
-            Some(key) if self.state.life_key(&life).is_none() => {
+        match self.state.runner_key(&instance.name) {
+            Some(key) if self.state.key_of_instance(&instance).is_none() => {
                 self.take_other_life(key, record, since);
             }
             _ => self.list_life(record, since),
@@ -199,35 +199,35 @@
         let Some(runner) = self.state.runner(key) else {
             return;
         };
-        if record.facts.born < runner.facts.born {
+        if record.facts.started_at < runner.facts.started_at {
             return;
         }
         let session = self.sessions.get(&key);
         let moved = session.is_none_or(|session| session.address != record.address);
-        if runner.tells_birth && !moved {
+        if runner.reports_start_time && !moved {
             session.inspect(|session| session.ask_life());
             return;
         }
-        let Some(born) = record.facts.born else {
+        let Some(started_at) = record.facts.started_at else {
             return;
         };
-        self.begin_life(key, born, record.address);
+        self.begin_life(key, started_at, record.address);
         self.list_life(record, since);
     }
 
     /// Takes in that a runner answered with another life.
-    pub(super) fn take_renewed(&mut self, key: RunnerKey, born: u64) {
-        let known = self.sessions.get(&key).zip(self.state.life_of(key));
+    pub(super) fn take_renewed(&mut self, key: RunnerKey, started_at: u64) {
+        let known = self.sessions.get(&key).zip(self.state.instance_of(key));
         let Some((session, before)) = known else {
             return;
         };
-        self.begin_life(key, born, session.address);
+        self.begin_life(key, started_at, session.address);
         self.take_listed(&before.name);
     }
 
     /// Takes in that a runner's process has ended, and that none is in its place yet.
     pub(super) fn take_ended(&mut self, key: RunnerKey, now: Millis) {
-        let ended = self.state.end_runs(key, now);
+        let ended = self.state.record_process_exit(key, now);
         self.count("runner_ended");
         event!(
             Warn,
@@ -239,27 +239,30 @@
     }
 
     /// Lets go of a life that is over, and goes on with the next one.
-    fn begin_life(&mut self, key: RunnerKey, born: u64, address: SocketAddr) {
+    fn begin_life(&mut self, key: RunnerKey, started_at: u64, address: SocketAddr) {
         let now = self.now();
         let before = self.life_text(key);
         self.note_over(key);
         self.sessions.remove(&key);
-        self.lives.drop_key(key);
+        self.instances.drop_key(key);
         self.count_sessions();
         let until = now + STRAY_RUN_MS;
-        let Some(renewed) = self.state.renew_runner(key, born, until, now) else {
+        let Some(renewed) = self
+            .state
+            .replace_restarted_runner(key, started_at, until, now)
+        else {
             return;
         };
-        let Some(life) = self.state.life_of(renewed.key) else {
+        let Some(instance) = self.state.instance_of(renewed.key) else {
             return;
         };
-        self.lives.over.remove(&life);
+        self.instances.over.remove(&instance);
         self.count("runner_renewed");
         event!(
             Warn,
             "runner_answers_anew",
             pool = self.context.pool,
-            runner = life,
+            runner = instance,
             before = before,
             ended = renewed.ended,
             doubtful = renewed.doubtful
@@ -281,52 +284,56 @@
     pub(super) fn end_rivals(&mut self, key: RunnerKey, asked_at: Millis) {
         let now = self.now();
         // An answer that waited long here proves nothing about now.
-        if asked_at + PROOF_MS < now || self.lives.rivals_sought.contains(&key) {
+        if asked_at + PROOF_MS < now || self.instances.rivals_sought.contains(&key) {
             return;
         }
-        let Some(life) = self.state.life_of(key) else {
+        let Some(instance) = self.state.instance_of(key) else {
             return;
         };
-        let rivals = self.context.fleet.borrow().rivals(&life.name);
+        let rivals = self
+            .context
+            .fleet
+            .borrow()
+            .conflicting_instances(&instance.name);
         let (before, later): (Vec<_>, Vec<_>) = rivals
             .into_iter()
             .partition(|rival| rival.listed_at <= asked_at);
         if later.is_empty() {
-            self.lives.rivals_sought.insert(key);
+            self.instances.rivals_sought.insert(key);
         }
         for rival in before {
-            self.end_rival(rival.life, &life, now);
+            self.end_rival(rival.instance, &instance, now);
         }
     }
 
-    fn end_rival(&mut self, rival: RunnerLife, by: &RunnerLife, now: Millis) {
-        if !self.lives.over.insert(rival.clone()) {
+    fn end_rival(&mut self, rival: RunnerInstance, by: &RunnerInstance, now: Millis) {
+        if !self.instances.over.insert(rival.clone()) {
             return;
         }
         event!(Info, "runner_life_over", runner = rival, by = by);
-        if let Some(key) = self.state.life_key(&rival) {
+        if let Some(key) = self.state.key_of_instance(&rival) {
             self.drop_runner(key, GoneReason::Ended);
         } else if self.state.runner_key(&rival.name).is_some() {
             // Its runs may be those of the life that is there now.
             return;
         }
-        self.state.forget_life(&rival.name, now);
+        self.state.record_unlisted_loss(&rival.name, now);
     }
 
     /// Opens a session with a runner, once there is a token for it.
     fn open_session(&mut self, key: RunnerKey, address: SocketAddr) {
-        let Some(life) = self.state.life_of(key).filter(|_| !self.leaving) else {
+        let Some(instance) = self.state.instance_of(key).filter(|_| !self.leaving) else {
             return;
         };
         let now = self.now();
-        let Some(token) = self.lives.tokens.next(&life.name, now) else {
-            self.lives.waiting.insert(key, address);
+        let Some(token) = self.instances.tokens.next(&instance.name, now) else {
+            self.instances.waiting.insert(key, address);
             return;
         };
         event!(
             Info,
             "runner_taken",
-            runner = life,
+            runner = instance,
             address = address,
             pool = self.context.pool,
             epoch = self.epoch,
@@ -340,7 +347,7 @@
             confirmed: self.confirmed.clone(),
             sessions: self.open_sessions.clone(),
             key,
-            address: RunnerAddress { life, address },
+            address: RunnerAddress { instance, address },
             events: self.events.clone(),
         };
         self.sessions.insert(key, RunnerSession::open(context));
@@ -349,7 +356,7 @@
 
     /// Opens the sessions that waited for the journal to be written.
     pub(super) fn open_waiting(&mut self) {
-        for (key, address) in std::mem::take(&mut self.lives.waiting) {
+        for (key, address) in std::mem::take(&mut self.instances.waiting) {
             self.open_session(key, address);
         }
     }
--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -69,10 +69,10 @@
 use crate::{
     fleet::FleetView,
     follow::{
-        FollowConfirm,
         FollowEvent,
-        FollowOrder,
+        FollowOptions,
         FollowPause,
+        FollowProgress,
         FollowRetry,
         follow_prefix, //
     },
@@ -156,7 +156,7 @@
     /// Whether the list of runners was taken in.
     synced: bool,
     /// Which lives of runners are there, and which are over.
-    lives: LifeNotes,
+    instances: LifeNotes,
     /// Configuration that this node lacks and some job was taken by.
     awaited: Option<AwaitedPolicy>,
     /// Whether the pool is being handed on.
@@ -195,7 +195,7 @@
     takeover: PoolTakeover<P::Store>,
 ) -> Result<OwnerEnd, StoreError> {
     let inbox = follow_inbox(&context);
-    let prefix = context.keys.all_progress(&context.pool);
+    let prefix = context.keys.progress_prefix(&context.pool);
     let progress = context.platform.store().read_prefix(&prefix).await?;
     let mut recorded = read_progress(&context, progress);
     let (vm_sender, vm_requests) = mpsc::channel(VM_QUEUE);
@@ -226,7 +226,7 @@
         events,
         sessions: HashMap::new(),
         open_sessions: Rc::default(),
-        lives: LifeNotes::new(takeover.epoch),
+        instances: LifeNotes::new(takeover.epoch),
         awaited: None,
         leaving: false,
         owned_since: now,
@@ -269,10 +269,10 @@
 /// Follows what the nodes that take jobs in write for the pool.
 fn follow_inbox<P: Platform>(context: &OwnerContext<P>) -> mpsc::UnboundedReceiver<FollowEvent> {
     let (sender, inbox) = mpsc::unbounded_channel();
-    let order = FollowOrder {
-        prefix: context.keys.inbox(&context.pool),
+    let order = FollowOptions {
+        prefix: context.keys.inbox_prefix(&context.pool),
         pause: FollowPause::None,
-        confirms: FollowConfirm::Never,
+        confirms: FollowProgress::Never,
         retry: FollowRetry::Short,
     };
     let store = context.platform.store().clone();
@@ -305,7 +305,7 @@
     context: &OwnerContext<P>,
     values: Vec<StoredValue>,
 ) -> HashMap<String, JobProgress> {
-    let prefix = context.keys.all_progress(&context.pool);
+    let prefix = context.keys.progress_prefix(&context.pool);
     values
         .into_iter()
         .filter_map(|stored| {
@@ -328,7 +328,7 @@
 
     /// Whether tasks may be started by the list of runners, as far as its age tells.
     fn holds_list(&self, now: Millis) -> bool {
-        self.context.shared.runners_lease.is_held(now)
+        self.context.shared.runner_list_lease.is_valid(now)
     }
 
     /// Takes in what comes, and acts, until the pool is another's or the node
@@ -397,7 +397,8 @@
     /// When something is to be done without an event.
     fn next_wake(&self) -> Instant {
         let wanted = || {
-            let writes = self.state.needs_flush() || !self.is_noted() || self.lives.wants_token();
+            let writes =
+                self.state.needs_flush() || !self.is_noted() || self.instances.wants_token();
             writes || (self.state.needs_plan() && self.holds_list(self.now()))
         };
         if self.journal.is_none() || self.awaited.is_some() || !wanted() {
@@ -430,7 +431,7 @@
             self.state.plan(now);
         }
         self.ask_advice(now);
-        for stop in self.state.take_stops() {
+        for stop in self.state.take_stop_orders() {
             self.send(stop.runner, RunnerOrder::Stop(stop));
         }
         self.log_lost();
@@ -440,15 +441,15 @@
 
     /// Looks at what time alone changes.
     fn check_times(&mut self, now: Millis) {
-        for runner in self.state.expire(now) {
+        for runner in self.state.expire_leases(now) {
             self.count("lease_lapsed");
             event!(Warn, "lease_lapsed", runner = self.life_text(runner));
         }
-        let today = self.context.shared.clock.today_ms();
-        self.state.begin_rounds(now, today);
-        self.state.stop_again(now);
+        let today = self.context.shared.clock.unix_ms();
+        self.state.begin_due_rounds(now, today);
+        self.state.resend_stops(now);
         self.state.clear_suspects(now);
-        self.state.leave_draining(now);
+        self.state.move_off_draining(now);
         for runner in self.state.stop_stalled(now) {
             self.count("task_stalled");
             event!(Warn, "task_stalled", runner = self.life_text(runner));
@@ -477,15 +478,15 @@
                 leased_until,
                 silences,
             } => {
-                if let Some(born) = report.born {
-                    self.state.note_birth(runner, born);
+                if let Some(started_at) = report.started_at {
+                    self.state.record_start_time(runner, started_at);
                 }
                 self.fence(runner, now);
-                let again = self.state.take_hold(runner, &report, asked_at, now);
+                let again = self.state.record_heartbeat(runner, &report, asked_at, now);
                 self.take_answer(runner, silences);
                 if let Some(until) = leased_until {
-                    self.state.cover_runner(runner, until);
-                    self.state.open_runner(runner);
+                    self.state.confirm_runner_lease(runner, until);
+                    self.state.mark_runner_ready(runner);
                 }
                 self.end_rivals(runner, asked_at);
                 self.start_all(again);
@@ -493,13 +494,15 @@
                     self.send(runner, RunnerOrder::Pace(pace));
                 }
             }
-            SessionEvent::Missed { runner, reset } => self.state.miss_hold(runner, reset, now),
+            SessionEvent::Missed { runner, reset } => {
+                self.state.record_missed_heartbeat(runner, reset, now)
+            }
             SessionEvent::Ended { runner } => self.take_ended(runner, now),
             SessionEvent::Replaced { runner } => {
                 self.note_over(runner);
                 self.drop_runner(runner, GoneReason::Replaced);
             }
-            SessionEvent::Renewed { runner, born } => self.take_renewed(runner, born),
+            SessionEvent::Renewed { runner, started_at } => self.take_renewed(runner, started_at),
             // An order for a life that is over met this owner's next session.
             SessionEvent::Fenced { runner } if !self.sessions.contains_key(&runner) => {}
             SessionEvent::Fenced { .. } => {
@@ -513,13 +516,13 @@
                 return true;
             }
             SessionEvent::Started { order, outcome } => {
-                self.state.take_start(&order, outcome, now);
+                self.state.record_start_outcome(&order, outcome, now);
                 if outcome == StartOutcome::Started {
                     self.measure_start(&order, now);
                 }
             }
-            SessionEvent::Stopped(order) => self.state.take_stop(&order, now),
-            SessionEvent::PaceFailed(order) => self.state.fail_pace(&order, now),
+            SessionEvent::Stopped(order) => self.state.record_stop_ack(&order, now),
+            SessionEvent::PaceFailed(order) => self.state.record_pace_failure(&order, now),
         }
         false
     }
--- a/crates/hoisthitch-scheduler/src/owner/quota.rs
+++ b/crates/hoisthitch-scheduler/src/owner/quota.rs
@@ -12,8 +12,8 @@
 
 use hoisthitch_jobs::{
     Millis,
-    QuotaParts,
-    TeamUse, //
+    QuotaAllocations,
+    TeamUsage, //
 };
 use hoisthitch_store::{
     BatchOutcome,
@@ -27,7 +27,7 @@
 
 use super::PoolOwner;
 use crate::{
-    journal::encode,
+    journal::encode_record,
     platform::{
         Platform,
         TeamPolicy,
@@ -50,7 +50,7 @@
 /// A team's record, as last written or found.
 #[derive(Clone, Debug, Default)]
 struct TeamRecord {
-    parts: QuotaParts,
+    parts: QuotaAllocations,
     revision: StoreRevision,
     /// Whether the last write's outcome is not known.
     doubtful: bool,
@@ -59,7 +59,7 @@
 /// What came of a look.
 pub(super) struct QuotaReturn {
     /// What was to be written, by team.
-    written: BTreeMap<String, QuotaParts>,
+    written: BTreeMap<String, QuotaAllocations>,
     outcome: Result<QuotaOutcome, StoreError>,
 }
 
@@ -88,17 +88,17 @@
         &mut self,
         pool: &str,
         teams: &TeamTable,
-        uses: &HashMap<&str, TeamUse>,
-    ) -> BTreeMap<String, QuotaParts> {
+        uses: &HashMap<&str, TeamUsage>,
+    ) -> BTreeMap<String, QuotaAllocations> {
         let mut changes = BTreeMap::new();
         self.short = false;
         for team in limited(teams) {
             let needs = uses.get(&*team.name).copied().unwrap_or_default();
             let record = self.records.entry(team.name.to_string()).or_default();
-            let part = record.parts.next_part(pool, team.limit, needs);
+            let part = record.parts.next_allocation(pool, team.limit, needs);
             let asked = needs.used.plus(needs.waiting);
             self.short |= !part.is_enough(team.limit, asked);
-            if part != record.parts.part(pool) && !record.doubtful {
+            if part != record.parts.allocation(pool) && !record.doubtful {
                 let mut parts = record.parts.clone();
                 parts.set(pool, part);
                 changes.insert(team.name.to_string(), parts);
@@ -115,15 +115,15 @@
     /// told here; so the lower part goes on to count until the record is written again.
     fn take(&mut self, pool: &str, team: &str, stored: Option<&StoredValue>) {
         let record = self.records.entry(team.to_owned()).or_default();
-        let lower = record.doubtful.then(|| record.parts.part(pool));
+        let lower = record.doubtful.then(|| record.parts.allocation(pool));
         record.doubtful = false;
         let Some(stored) = stored else {
             *record = TeamRecord::default();
             return;
         };
-        match serde_json::from_slice::<QuotaParts>(&stored.value) {
+        match serde_json::from_slice::<QuotaAllocations>(&stored.value) {
             Ok(parts) => {
-                let part = parts.part(pool);
+                let part = parts.allocation(pool);
                 record.parts = parts;
                 record
                     .parts
@@ -132,7 +132,7 @@
             }
             // Nothing is started by a record that can't be read.
             Err(err) => {
-                record.parts = QuotaParts::default();
+                record.parts = QuotaAllocations::default();
                 record.doubtful = true;
                 event!(Error, "quota_unreadable", team = team, error = err);
             }
@@ -159,13 +159,13 @@
             self.quotas.version = Some(policy.version);
             self.put_in_force(teams);
         }
-        let held = !self.state.held_back().is_empty();
+        let held = !self.state.tasks_over_quota().is_empty();
         let wait = if held { HELD_LOOK_MS } else { LOOK_MS };
         if self.quotas.asking || now < self.quotas.looked_at + wait {
             return;
         }
         self.quotas.looked_at = now;
-        let uses = self.state.team_uses();
+        let uses = self.state.team_usage();
         let written = self.quotas.changes(&self.context.pool, teams, &uses);
         if !written.is_empty() {
             self.write_parts(written);
@@ -175,7 +175,7 @@
         }
     }
 
-    fn write_parts(&mut self, written: BTreeMap<String, QuotaParts>) {
+    fn write_parts(&mut self, written: BTreeMap<String, QuotaAllocations>) {
         let pool = &self.context.pool;
         let mut items = Vec::new();
         for (team, parts) in &written {
@@ -183,11 +183,11 @@
             items.push(SwapItem {
                 key: self.context.keys.quota(team),
                 expected: record.revision,
-                value: Some(encode(parts)),
+                value: Some(encode_record(parts)),
                 lease: None,
             });
             // What is given back is not used any more, whatever becomes of the write.
-            let lower = record.parts.part(pool).least(parts.part(pool));
+            let lower = record.parts.allocation(pool).least(parts.allocation(pool));
             record.parts.set(pool, lower);
         }
         self.apply_allowances();
@@ -204,7 +204,7 @@
     fn read_parts(&mut self) {
         self.quotas.asking = true;
         let store = self.context.platform.store().clone();
-        let prefix = self.context.keys.all_quotas();
+        let prefix = self.context.keys.quotas_prefix();
         let returns = self.quota_returns.clone();
         actix_rt::spawn(async move {
             let outcome = store.read_prefix(&prefix).await.map(QuotaOutcome::Read);
@@ -227,8 +227,8 @@
                         "quota_part",
                         team = team,
                         pool = self.context.pool,
-                        cpu_milli = parts.part(&self.context.pool).cpu_milli,
-                        memory_mb = parts.part(&self.context.pool).memory_mb
+                        cpu_milli = parts.allocation(&self.context.pool).cpu_milli,
+                        memory_mb = parts.allocation(&self.context.pool).memory_mb
                     );
                     let record = self.quotas.records.entry(team).or_default();
                     record.parts = parts;
@@ -284,7 +284,7 @@
                 .entry(team.name.to_string())
                 .or_default();
         }
-        self.state.keep_allowances(is_limited);
+        self.state.retain_quota_allocations(is_limited);
         let weights = teams.teams().iter();
         let weights = weights.map(|team| (team.name.to_string(), team.weight));
         self.state.set_weights(weights.collect());
@@ -300,7 +300,7 @@
             let limit = policy.teams().and_then(|teams| teams.find(team));
             if let Some(team) = limit {
                 let allowed = record.parts.allowed(&self.context.pool, team.limit);
-                self.state.set_allowance(&team.name, allowed);
+                self.state.set_quota_allocation(&team.name, allowed);
             }
         }
     }
--- a/crates/hoisthitch-scheduler/src/owner/runners.rs
+++ b/crates/hoisthitch-scheduler/src/owner/runners.rs
@@ -6,11 +6,11 @@
 };
 
 use hoisthitch_jobs::{
+    EvacuationStatus,
     Millis,
+    RunnerInstance,
     RunnerKey,
-    RunnerLife,
-    RunnerLoss,
-    UpkeepView, //
+    RunnerLoss, //
 };
 use hoisthitch_telemetry::event;
 
@@ -75,7 +75,7 @@
             VmRequest::Stay { runners } => {
                 for runner in runners {
                     if let Some(key) = self.state.runner_key(&runner) {
-                        self.state.set_leaving(key, false);
+                        self.state.set_evacuating(key, false);
                     }
                 }
             }
@@ -83,7 +83,7 @@
                 let spare = self.state.spare_runners(now, SPARE_LIMIT);
                 let spare = spare.into_iter().filter_map(|key| {
                     let facts = &self.state.runner(key)?.facts;
-                    Some((facts.life(), facts.vm.clone()))
+                    Some((facts.instance(), facts.vm.clone()))
                 });
                 let need = PoolNeed {
                     want: self.state.wanted_vms(now),
@@ -96,24 +96,24 @@
             VmRequest::Doubt { runner } => {
                 // Its next answer to a hold tells that it is still there.
                 if let Some(key) = self.state.runner_key(&runner) {
-                    self.state.doubt_runner(key);
+                    self.state.mark_runner_unreachable(key);
                 }
             }
-            VmRequest::Down { life } => self.take_down(&life, now),
+            VmRequest::Down { instance } => self.take_down(&instance, now),
         }
     }
 
     /// Takes in that a VM went down with that life of its runner. One that came since is
     /// not concerned: its name may be the same.
-    fn take_down(&mut self, life: &RunnerLife, now: Millis) {
-        let Some(key) = self.state.life_key(life) else {
+    fn take_down(&mut self, instance: &RunnerInstance, now: Millis) {
+        let Some(key) = self.state.key_of_instance(instance) else {
             return;
         };
-        self.state.note_down(key, now);
+        self.state.record_planned_shutdown(key, now);
         // Its record stays for some heartbeats.
         self.note_over(key);
         self.drop_runner(key, GoneReason::Down);
-        self.take_listed(&life.name);
+        self.take_listed(&instance.name);
     }
 
     /// Has runners emptied; answers how far each is, or nothing where it is not known
@@ -123,28 +123,33 @@
         runners: &[String],
         vacate: bool,
         now: Millis,
-    ) -> Vec<Option<UpkeepView>> {
+    ) -> Vec<Option<EvacuationStatus>> {
         let keys: Vec<Option<RunnerKey>> = runners
             .iter()
             .map(|runner| self.state.runner_key(runner))
             .collect();
         for key in keys.iter().flatten() {
-            self.state.set_leaving(*key, true);
+            self.state.set_evacuating(*key, true);
             if vacate {
-                self.state.vacate(*key, now);
+                self.state.evict_resumable(*key, now);
             }
         }
         let known: Vec<RunnerKey> = keys.iter().flatten().copied().collect();
-        let mut views = self.state.upkeep_views(&known).into_iter();
+        let mut views = self.state.evacuation_statuses(&known).into_iter();
         let asked = runners.iter().zip(keys);
         asked
             .map(|(runner, key)| match key {
                 Some(key) => {
                     let view = views.next()?;
-                    let moves = view == UpkeepView::Held && self.state.relocate_one(key, now);
-                    Some(if moves { UpkeepView::Busy(1) } else { view })
+                    let moves =
+                        view == EvacuationStatus::Held && self.state.relocate_task(key, now);
+                    Some(if moves {
+                        EvacuationStatus::Busy(1)
+                    } else {
+                        view
+                    })
                 }
-                None => self.state.unlisted_view(runner),
+                None => self.state.unlisted_evacuation_status(runner),
             })
             .collect()
     }
@@ -156,7 +161,7 @@
         // the VM worker knows better.
         let since = if self.synced { now } else { 0 };
         self.synced = true;
-        self.lives.take_list();
+        self.instances.take_list();
         let fleet = self.context.fleet.borrow().clone();
         self.state.set_policies(&fleet.policies);
         let own: Vec<_> = fleet
@@ -174,7 +179,7 @@
             .collect();
         for (key, name) in known {
             if !fleet.runners.contains_key(&name) {
-                self.state.retire_runner(key);
+                self.state.unlist_runner(key);
                 self.drop_if_empty(key, now);
             }
         }
@@ -185,7 +190,7 @@
         let over = self
             .state
             .runner(key)
-            .is_some_and(|runner| !runner.open && runner.lease_until <= now);
+            .is_some_and(|runner| !runner.ready && runner.lease_until <= now);
         if over {
             self.drop_runner(key, GoneReason::Silent);
         }
@@ -198,13 +203,13 @@
 
     pub(super) fn drop_runner(&mut self, key: RunnerKey, why: GoneReason) {
         let now = self.now();
-        let life = self.state.life_of(key);
+        let instance = self.state.instance_of(key);
         self.sessions.remove(&key);
-        self.lives.drop_key(key);
+        self.instances.drop_key(key);
         self.count_sessions();
-        if let Some(life) = life {
+        if let Some(instance) = instance {
             self.count("runner_gone");
-            event!(Info, "runner_gone", runner = life, why = why);
+            event!(Info, "runner_gone", runner = instance, why = why);
             self.state.remove_runner(key, why.loss(), now);
         }
     }
@@ -216,7 +221,7 @@
         }
         for (key, session) in &self.sessions {
             if let Some(runner) = self.state.runner(*key) {
-                session.set_recorded(runner.seen);
+                session.set_recorded(runner.last_seen_end);
             }
         }
     }
--- a/crates/hoisthitch-scheduler/src/owner/silent.rs
+++ b/crates/hoisthitch-scheduler/src/owner/silent.rs
@@ -108,7 +108,7 @@
                 event!(
                     Info,
                     "runner_silence_over",
-                    runner = self.state.life_named(runner)
+                    runner = self.state.instance_by_name(runner)
                 );
             }
             goes_on
@@ -121,7 +121,7 @@
             "runner_silent",
             pool = self.context.pool,
             epoch = self.epoch,
-            runner = self.state.life_named(runner),
+            runner = self.state.instance_by_name(runner),
             tasks = runs.tasks,
             wait_ms = runs.until.saturating_sub(now)
         );
@@ -148,8 +148,8 @@
         }
         self.leaving = true;
         self.sessions.clear();
-        self.lives.drop_waiting();
-        self.state.drop_plans(self.now());
+        self.instances.drop_waiting();
+        self.state.cancel_planned_starts(self.now());
         // Leases that were given until now.
         while let Ok(event) = events.try_recv() {
             if let SessionEvent::Extended { runner, until } = event {
--- a/crates/hoisthitch-scheduler/src/owner/writes.rs
+++ b/crates/hoisthitch-scheduler/src/owner/writes.rs
@@ -19,7 +19,7 @@
         BATCH_LIMIT,
         JournalError,
         PoolJournal,
-        encode, //
+        encode_record, //
     },
     platform::Platform, //
 };
@@ -76,12 +76,12 @@
             .iter()
             .map(|(id, progress)| {
                 let key = self.context.keys.progress(&self.context.pool, id);
-                put(key, encode(progress))
+                put(key, encode_record(progress))
             })
             .collect();
         items.extend(self.count_item(now));
         self.add_forgotten(&mut items, now);
-        if items.is_empty() && !self.needs_note(now) && !self.lives.wants_token() {
+        if items.is_empty() && !self.needs_note(now) && !self.instances.wants_token() {
             self.confirm(journal, now);
             return;
         }
@@ -123,7 +123,7 @@
     ) -> Result<(), JournalError> {
         let (journal, plan, result) = back;
         let confirmed = result?;
-        self.lives.tokens.raise(journal.token());
+        self.instances.tokens.raise(journal.token());
         self.journal = Some(journal);
         self.open_waiting();
         self.finish_note();
@@ -131,7 +131,7 @@
         let now = self.now();
         let starts = self.state.finish_flush(&plan, now);
         self.start_all(starts);
-        for (runner, seen) in &plan.seen {
+        for (runner, seen) in &plan.acked_ends {
             if let Some(session) = self.sessions.get(runner) {
                 session.set_recorded(*seen);
             }
@@ -151,7 +151,7 @@
         self.counted_at = now;
         self.counts.clone_from(&counts);
         let key = self.context.keys.counts(&self.context.pool);
-        Some(put(key, encode(&counts)))
+        Some(put(key, encode_record(&counts)))
     }
 
     /// Removes the records of jobs that ended long ago.
--- a/crates/hoisthitch-scheduler/src/platform.rs
+++ b/crates/hoisthitch-scheduler/src/platform.rs
@@ -6,12 +6,12 @@
 };
 
 use hoisthitch_jobs::{
-    AdviceAsk,
+    AdviceRequest,
     AdviceTicket,
-    HoldReport,
+    HeartbeatReport,
     PaceOrder,
     RunnerFacts,
-    RunnerLife,
+    RunnerInstance,
     StartOrder,
     StartOutcome,
     StopOrder, //
@@ -47,29 +47,29 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RunnerAddress {
     /// The life.
-    pub life: RunnerLife,
+    pub instance: RunnerInstance,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
 /// Terms of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OrderTerms {
+pub struct OrderLease {
     /// Fencing token of the owner.
     pub epoch: u64,
     /// End of the lease that the order names, by the runner's clock.
-    pub lease_ms: u64,
+    pub lease_end_ms: u64,
 }
 
 /// Asks a runner what it holds, and renews the lease of what runs there.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HoldAsk {
+pub struct HeartbeatRequest {
     /// Fencing token of the owner.
     pub epoch: u64,
     /// Last end that is recorded; the runner may forget it.
-    pub recorded: u64,
+    pub acked_end: u64,
     /// New end of the lease by the runner's clock; none to leave it.
-    pub lease_ms: Option<u64>,
+    pub lease_end_ms: Option<u64>,
     /// Time for which the runner may wait for an end.
     pub wait: Duration,
 }
@@ -101,7 +101,7 @@
         &self,
         runner: &RunnerAddress,
         order: &StartOrder,
-        terms: OrderTerms,
+        lease: OrderLease,
     ) -> impl Future<Output = StartOutcome>;
 
     /// Orders a stop.
@@ -113,11 +113,11 @@
     ) -> impl Future<Output = Result<(), RunnerError>>;
 
     /// Asks what the runner holds.
-    fn hold(
+    fn heartbeat(
         &self,
         runner: &RunnerAddress,
-        ask: HoldAsk,
-    ) -> impl Future<Output = Result<HoldReport, RunnerError>>;
+        request: HeartbeatRequest,
+    ) -> impl Future<Output = Result<HeartbeatReport, RunnerError>>;
 
     /// Sets the pace of a filler.
     fn pace(
@@ -134,14 +134,14 @@
     /// It runs.
     Up,
     /// It is in an upkeep.
-    Upkeep,
+    Maintenance,
     /// It is down, or moves between pools.
-    Away,
+    Unavailable,
 }
 
 /// A VM in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct VmRow {
+pub struct VmStatus {
     /// Name.
     pub name: String,
     /// Pool that it belongs to.
@@ -172,10 +172,10 @@
 /// Gives orders about VMs.
 pub trait VmControl: Clone + 'static {
     /// Lists all VMs.
-    fn list(&self) -> impl Future<Output = Result<Vec<VmRow>, VmError>>;
+    fn list(&self) -> impl Future<Output = Result<Vec<VmStatus>, VmError>>;
 
     /// Takes a VM into its upkeep; done at once if it was done already.
-    fn upkeep(
+    fn start_maintenance(
         &self,
         vm: &str,
         wave: u64,
@@ -184,7 +184,7 @@
     ) -> impl Future<Output = Result<(), VmError>>;
 
     /// Moves a VM to another pool; done at once if it was done already.
-    fn reassign(
+    fn move_to_pool(
         &self,
         vm: &str,
         pool: &str,
@@ -195,19 +195,19 @@
 
 /// A wave that operators ask for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WaveOrder {
+pub struct WaveRequest {
     /// Number.
     pub wave: u64,
     /// VMs that are due.
     pub vms: Vec<String>,
     /// VMs that may be down at once.
-    pub at_once: usize,
+    pub max_down: usize,
 }
 
-impl WaveOrder {
+impl WaveRequest {
     /// VMs that may be down at once; one at least, or the wave would never end.
-    pub(crate) fn most_down(&self) -> usize {
-        self.at_once.max(1)
+    pub(crate) fn max_down(&self) -> usize {
+        self.max_down.max(1)
     }
 }
 
@@ -220,34 +220,37 @@
     fn runners_prefix(&self) -> String;
 
     /// Reads the configuration, if the key is its key.
-    fn policy(&self, key: &str, value: &[u8]) -> Option<Result<FleetPolicy, String>>;
+    fn parse_policy(&self, key: &str, value: &[u8]) -> Option<Result<FleetPolicy, String>>;
 
     /// Reads a wave, if the key is a wave's.
-    fn wave(&self, key: &str, value: &[u8]) -> Option<Result<WaveOrder, String>>;
+    fn parse_wave(&self, key: &str, value: &[u8]) -> Option<Result<WaveRequest, String>>;
 
     /// Name of the life of a runner, if the key is a runner's.
-    fn runner_name<'a>(&self, key: &'a str) -> Option<&'a str>;
+    fn parse_runner_name<'a>(&self, key: &'a str) -> Option<&'a str>;
 
     /// Reads a runner's record.
-    fn runner(&self, name: &str, value: &[u8]) -> Result<RunnerRecord, String>;
+    fn parse_runner(&self, name: &str, value: &[u8]) -> Result<RunnerRecord, String>;
 
     /// Key and value that tell operators whether a wave is completed.
-    fn wave_status(&self, wave: u64, completed: bool) -> (String, Vec<u8>);
+    fn encode_wave_status(&self, wave: u64, completed: bool) -> (String, Vec<u8>);
 }
 
 /// What an adviser answered.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AdviceAnswer {
+pub struct AdviceResponse {
     /// Runners that may run the step, with their tickets.
     pub tickets: Vec<AdviceTicket>,
     /// Time for which the tickets hold, from the answer on.
-    pub valid: Duration,
+    pub valid_for: Duration,
 }
 
 /// Asks which runners may run a step.
 pub trait AdviceSource: Clone + 'static {
     /// Asks for one step; the error says why there is no answer.
-    fn advise(&self, ask: &AdviceAsk) -> impl Future<Output = Result<AdviceAnswer, String>>;
+    fn advise(
+        &self,
+        request: &AdviceRequest,
+    ) -> impl Future<Output = Result<AdviceResponse, String>>;
 }
 
 /// Everything of the platform that a node uses.
--- a/crates/hoisthitch-scheduler/src/policy.rs
+++ b/crates/hoisthitch-scheduler/src/policy.rs
@@ -33,7 +33,7 @@
     /// Policy.
     pub policy: QueuePolicy,
     /// Whether anyone may call it, without a key.
-    pub open: bool,
+    pub anonymous: bool,
 }
 
 /// A pool as the operators configured it.
@@ -94,14 +94,18 @@
     /// # Errors
     ///
     /// Fails where the queue is for teams, and the key is of none.
-    pub fn admit(&self, queue: &QueueRoute, key: Option<&str>) -> Result<CallerTeam, CallerError> {
+    pub fn authenticate(
+        &self,
+        queue: &QueueRoute,
+        key: Option<&str>,
+    ) -> Result<CallerTeam, CallerError> {
         let Some(teams) = &self.teams else {
             return Ok(CallerTeam(None));
         };
         let team = key.and_then(|key| teams.find_by_key(key));
         match team {
             Some(team) => Ok(CallerTeam(Some(team.name.clone()))),
-            None if queue.open => Ok(CallerTeam(None)),
+            None if queue.anonymous => Ok(CallerTeam(None)),
             None if key.is_some() => Err(CallerError::UnknownKey),
             None => Err(CallerError::NoKey),
         }
@@ -176,7 +180,7 @@
 }
 
 /// Count and first names, for a line.
-pub(crate) fn tell_names(names: &[String]) -> String {
+pub(crate) fn format_names(names: &[String]) -> String {
     let told = names.iter().take(NAMES_TOLD).map(String::as_str);
     let told: Vec<&str> = told.collect();
     format!("{}:{}", names.len(), told.join(","))
--- a/crates/hoisthitch-scheduler/src/desk.rs
+++ b/crates/hoisthitch-scheduler/src/service.rs
@@ -16,7 +16,7 @@
     JobSpec,
     JobSubmission,
     Millis,
-    QuotaParts, //
+    QuotaAllocations, //
 };
 use hoisthitch_store::{
     StoreClient,
@@ -25,17 +25,17 @@
 use hoisthitch_telemetry::event;
 
 use crate::{
-    journal::encode,
+    create::{
+        CreateBatcher,
+        CreateOutcome,
+        CreateRequest, //
+    },
+    journal::encode_record,
     keys::JobKeys,
     location::{
         CallScope,
         JobLocation, //
     },
-    pending::{
-        CreateClient,
-        CreateOutcome,
-        CreateRequest, //
-    },
     platform::QueueRoute,
     shared::NodeShared, //
 };
@@ -96,19 +96,19 @@
 
 /// Takes jobs in, on one thread.
 #[derive(Clone)]
-pub struct JobDesk<S> {
+pub struct JobService<S> {
     store: S,
     shared: Arc<NodeShared>,
     keys: JobKeys,
-    creates: CreateClient,
+    creates: CreateBatcher,
     memory: Rc<RefCell<HashMap<String, JobMemory>>>,
     counts: Rc<RefCell<HashMap<String, CountMemory>>>,
 }
 
-impl<S: StoreClient> JobDesk<S> {
+impl<S: StoreClient> JobService<S> {
     /// Opens the desk.
     pub fn open(store: S, shared: Arc<NodeShared>, keys: JobKeys) -> Self {
-        let creates = CreateClient::start(store.clone(), shared.clone());
+        let creates = CreateBatcher::start(store.clone(), shared.clone());
         Self {
             store,
             shared,
@@ -126,7 +126,7 @@
         scope: CallScope<'_>,
         id: &str,
         spec: JobSpec,
-        give_up: Millis,
+        deadline: Millis,
     ) -> SubmitAnswer {
         let started = self.shared.clock.now();
         if !self.shared.store.is_usable(started) {
@@ -143,14 +143,17 @@
             policy: queue.policy,
             team: location.team.clone(),
             version: self.shared.policy_version(),
-            accepted_ms: self.shared.clock.today_ms(),
+            accepted_ms: self.shared.clock.unix_ms(),
             spec,
         };
         let request = CreateRequest {
             key: self.keys.location(id),
-            value: encode(&location),
-            others: vec![(self.keys.submission(&queue.pool, id), encode(&submission))],
-            give_up,
+            value: encode_record(&location),
+            others: vec![(
+                self.keys.submission(&queue.pool, id),
+                encode_record(&submission),
+            )],
+            deadline,
         };
         let outcome = self.creates.create(request).await;
         let (answer, word) = match outcome {
@@ -204,7 +207,7 @@
             Ok(Some(phase)) => StatusAnswer::Known(phase),
             Ok(None) => StatusAnswer::Absent,
             Err(err) => {
-                self.shared.store.note_failure(self.shared.clock.now());
+                self.shared.store.record_failure(self.shared.clock.now());
                 event!(Warn, "status_unknown", job = id, error = err);
                 StatusAnswer::Unknown
             }
@@ -235,7 +238,7 @@
     async fn read_progress(&self, pool: &str, id: &str) -> Result<Option<JobProgress>, StoreError> {
         let sent = self.shared.clock.now();
         let found = self.store.read(&self.keys.progress(pool, id)).await?;
-        self.shared.store.note_success(sent);
+        self.shared.store.record_success(sent);
         let Some(stored) = found else {
             return Ok(None);
         };
@@ -248,7 +251,7 @@
     }
 
     /// Cancels a job.
-    pub async fn cancel(&self, scope: CallScope<'_>, id: &str, give_up: Millis) -> CancelAnswer {
+    pub async fn cancel(&self, scope: CallScope<'_>, id: &str, deadline: Millis) -> CancelAnswer {
         let started = self.shared.clock.now();
         let pool = match self.locate(id, scope).await {
             Ok(Some(memory)) => memory.location.pool,
@@ -265,7 +268,7 @@
             key: self.keys.cancel(&pool, id),
             value: Vec::new(),
             others: Vec::new(),
-            give_up,
+            deadline,
         };
         let (answer, word) = match self.creates.create(request).await {
             CreateOutcome::Created | CreateOutcome::Present => (CancelAnswer::Accepted, "accepted"),
@@ -288,7 +291,7 @@
             return Ok(memory.counts.get(&queue.name).copied().unwrap_or(0));
         }
         let found = self.store.read(&self.keys.counts(&queue.pool)).await?;
-        self.shared.store.note_success(now);
+        self.shared.store.record_success(now);
         let counts: HashMap<String, u32> = match found {
             Some(stored) => {
                 serde_json::from_slice(&stored.value).map_err(|err| StoreError::Malformed {
@@ -312,8 +315,8 @@
     /// # Errors
     ///
     /// Fails as the store does, and where a record can't be read.
-    pub async fn quota_parts(&self) -> Result<HashMap<String, QuotaParts>, StoreError> {
-        let prefix = self.keys.all_quotas();
+    pub async fn quota_allocations(&self) -> Result<HashMap<String, QuotaAllocations>, StoreError> {
+        let prefix = self.keys.quotas_prefix();
         let values = self.store.read_prefix(&prefix).await?;
         let parts = values.iter().filter_map(|value| {
             let team = self.keys.quota_of(&value.key)?.to_owned();
@@ -340,7 +343,7 @@
             None => {
                 let sent = self.shared.clock.now();
                 let found = self.store.read(&self.keys.location(id)).await?;
-                self.shared.store.note_success(sent);
+                self.shared.store.record_success(sent);
                 let Some(stored) = found else {
                     return Ok(None);
                 };
--- a/crates/hoisthitch-scheduler/src/session/holds.rs
+++ b/crates/hoisthitch-scheduler/src/session/holds.rs
@@ -6,7 +6,7 @@
 };
 
 use hoisthitch_jobs::{
-    HoldReport,
+    HeartbeatReport,
     Millis, //
 };
 use hoisthitch_telemetry::event;
@@ -27,7 +27,7 @@
     }, //
 };
 use crate::platform::{
-    HoldAsk,
+    HeartbeatRequest,
     RunnerControl,
     RunnerError, //
 };
@@ -86,7 +86,7 @@
     clock: Rc<LeaseClock>,
     signals: HoldSignals,
     /// Birth of the life that is there, as far as it is told.
-    life: Option<u64>,
+    instance: Option<u64>,
     /// When the last answer came; none after a hold without one.
     answered: Option<Millis>,
     /// Silences of the runner so far; it is silent before its first answer.
@@ -113,7 +113,7 @@
         signals: HoldSignals,
     ) -> Self {
         Self {
-            life: context.address.life.born,
+            instance: context.address.instance.started_at,
             context,
             clock,
             signals,
@@ -130,16 +130,18 @@
             let asked = self
                 .context
                 .runners
-                .hold(&self.context.address, self.ask(plan));
+                .heartbeat(&self.context.address, self.request(plan));
             let answer = tokio::select! {
                 answer = asked => Some(answer),
                 () = self.signals.hint.notified() => None,
             };
             match answer {
                 Some(Ok(report)) => {
-                    if let Some(born) = self.new_birth(&report) {
+                    if let Some(started_at) = self.new_birth(&report) {
                         let runner = self.context.key;
-                        return self.context.tell(SessionEvent::Renewed { runner, born });
+                        return self
+                            .context
+                            .tell(SessionEvent::Renewed { runner, started_at });
                     }
                     self.take_report(plan, report).await;
                 }
@@ -156,7 +158,7 @@
                     self.count_refusal(&err);
                     let now = self.context.shared.clock.now();
                     let waited = Duration::from_millis(now.saturating_sub(plan.asked_at));
-                    self.miss(waited < self.ask(plan).wait + RESET_LIMIT);
+                    self.miss(waited < self.request(plan).wait + RESET_LIMIT);
                     if self.refusals == Some(REFUSALS_OF_ENDED) {
                         let runner = self.context.key;
                         self.context.tell(SessionEvent::Ended { runner });
@@ -182,12 +184,12 @@
         }
     }
 
-    fn ask(&self, plan: HoldPlan) -> HoldAsk {
+    fn request(&self, plan: HoldPlan) -> HeartbeatRequest {
         let waits = plan.lease.is_some() && plan.is_whole();
-        HoldAsk {
+        HeartbeatRequest {
             epoch: self.context.token,
-            recorded: if plan.acknowledges { plan.recorded } else { 0 },
-            lease_ms: plan.lease.map(|lease| lease.lease_ms),
+            acked_end: if plan.acknowledges { plan.recorded } else { 0 },
+            lease_end_ms: plan.lease.map(|lease| lease.lease_end_ms),
             wait: if waits { HOLD_WAIT } else { Duration::ZERO },
         }
     }
@@ -195,17 +197,17 @@
     /// Birth of the life that answers, where another one was there before. A session's holds
     /// go one after the other, so that the answer of another life is that of a later one,
     /// whatever their births say: a VM's time of day may have been set back.
-    fn new_birth(&self, report: &HoldReport) -> Option<u64> {
-        let before = self.life?;
-        report.born.filter(|born| *born != before)
+    fn new_birth(&self, report: &HeartbeatReport) -> Option<u64> {
+        let before = self.instance?;
+        report.started_at.filter(|started_at| *started_at != before)
     }
 
     /// Takes in what the runner holds, and waits until the next hold is due.
-    async fn take_report(&mut self, plan: HoldPlan, report: HoldReport) {
+    async fn take_report(&mut self, plan: HoldPlan, report: HeartbeatReport) {
         let now = self.context.shared.clock.now();
         self.answered = Some(now);
         self.refusals = Some(0);
-        self.life = report.born.or(self.life);
+        self.instance = report.started_at.or(self.instance);
         self.clock.read(report.clock_ms, now);
         let last = report.ended.iter().map(|end| end.number).max();
         self.context.tell(SessionEvent::Held {
@@ -243,7 +245,7 @@
             event!(
                 Warn,
                 "runner_lost",
-                runner = self.context.address.life,
+                runner = self.context.address.instance,
                 error = err
             );
         }
--- a/crates/hoisthitch-scheduler/src/session/lease.rs
+++ b/crates/hoisthitch-scheduler/src/session/lease.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct HoldLease {
     /// Its end by the runner's clock.
-    pub(super) lease_ms: u64,
+    pub(super) lease_end_ms: u64,
     /// Its end by this node's clock.
     pub(super) until: Millis,
 }
@@ -85,10 +85,13 @@
             runner: self.key,
             until: now + longest_run(until - now),
         });
-        let lease_ms = until.checked_add_signed(offset)?;
-        clock.granted.set(clock.granted.get().max(lease_ms));
+        let lease_end_ms = until.checked_add_signed(offset)?;
+        clock.granted.set(clock.granted.get().max(lease_end_ms));
         clock.granted_here.set(clock.granted_here.get().max(until));
-        Some(HoldLease { lease_ms, until })
+        Some(HoldLease {
+            lease_end_ms,
+            until,
+        })
     }
 }
 
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -16,7 +16,7 @@
 };
 
 use hoisthitch_jobs::{
-    HoldReport,
+    HeartbeatReport,
     Millis,
     PaceOrder,
     RunnerKey,
@@ -67,7 +67,7 @@
     /// A hold was answered.
     Held {
         runner: RunnerKey,
-        report: HoldReport,
+        report: HeartbeatReport,
         asked_at: Millis,
         /// End of the lease that it gave, under which starts can be ordered; none
         /// where it gave none.
@@ -86,7 +86,7 @@
     /// Another runner answered at the runner's address.
     Replaced { runner: RunnerKey },
     /// The runner answered with another life, born then.
-    Renewed { runner: RunnerKey, born: u64 },
+    Renewed { runner: RunnerKey, started_at: u64 },
     /// Orders of a higher token came to the runner.
     Fenced { runner: RunnerKey },
     /// What became of a start.
--- a/crates/hoisthitch-scheduler/src/session/orders.rs
+++ b/crates/hoisthitch-scheduler/src/session/orders.rs
@@ -26,7 +26,7 @@
 use crate::{
     metrics::seconds,
     platform::{
-        OrderTerms,
+        OrderLease,
         RunnerControl,
         RunnerError, //
     }, //
@@ -115,23 +115,23 @@
     clock: &LeaseClock,
     order: StartOrder,
 ) {
-    let terms = OrderTerms {
+    let lease = OrderLease {
         epoch: context.token,
-        lease_ms: clock.granted.get(),
+        lease_end_ms: clock.granted.get(),
     };
     let sent = context.shared.clock.now();
     let age_ms = sent.saturating_sub(order.decided_at);
-    let list_age_ms = context.shared.runners_lease.age(sent);
+    let list_age_ms = context.shared.runner_list_lease.age(sent);
     context.shared.metrics.start_age.observe(seconds(age_ms));
     let histogram = &context.shared.metrics.start_list_age;
     histogram.observe(seconds(list_age_ms));
-    let outcome = context.runners.start(&context.address, &order, terms).await;
+    let outcome = context.runners.start(&context.address, &order, lease).await;
     event!(
         Info,
         "task_ordered",
         task = order.name,
         run = order.run,
-        runner = context.address.life,
+        runner = context.address.instance,
         token = context.token,
         copy = order.copy,
         age_ms = age_ms,
@@ -167,7 +167,7 @@
         "task_stopped",
         task = order.name,
         run = order.run,
-        runner = context.address.life,
+        runner = context.address.instance,
         outcome = outcome
     );
     if stopped.is_ok() {
@@ -186,7 +186,7 @@
         "task_paced",
         task = order.name,
         run = order.run,
-        runner = context.address.life,
+        runner = context.address.instance,
         percent = order.percent,
         outcome = outcome
     );
@@ -208,10 +208,14 @@
         if orders.is_withdrawn(order) {
             return Some(StartRefusal::Withdrawn);
         }
-        if self.fleet.borrow().is_going(&self.address.life.name) {
+        if self
+            .fleet
+            .borrow()
+            .is_departing(&self.address.instance.name)
+        {
             return Some(StartRefusal::RunnerLeaves);
         }
-        if !self.shared.runners_lease.is_held(now) {
+        if !self.shared.runner_list_lease.is_valid(now) {
             return Some(StartRefusal::ListOld);
         }
         if now > admitted + START_AGE_MS {
@@ -228,11 +232,11 @@
             "start_not_sent",
             task = order.name,
             run = order.run,
-            runner = self.address.life,
+            runner = self.address.instance,
             reason = refusal.as_str(),
             copy = order.copy,
             age_ms = now.saturating_sub(order.decided_at),
-            list_age_ms = self.shared.runners_lease.age(now),
+            list_age_ms = self.shared.runner_list_lease.age(now),
             waited_ms = now - admitted
         );
         self.count("start", "not_sent");
--- a/crates/hoisthitch-scheduler/src/shared.rs
+++ b/crates/hoisthitch-scheduler/src/shared.rs
@@ -48,21 +48,21 @@
 
 /// When calls to the store last succeeded and failed, and how many nodes call it.
 #[derive(Debug, Default)]
-pub struct StoreWatch {
+pub struct StoreHealth {
     succeeded: AtomicU64,
     failed: AtomicU64,
     /// Nodes of the group as last seen; zero while it was not.
     nodes: AtomicU32,
 }
 
-impl StoreWatch {
+impl StoreHealth {
     /// Notes that a call sent at `at` succeeded.
-    pub fn note_success(&self, at: Millis) {
+    pub fn record_success(&self, at: Millis) {
         self.succeeded.fetch_max(at, Ordering::Relaxed);
     }
 
     /// Notes that a call failed at `at`.
-    pub fn note_failure(&self, at: Millis) {
+    pub fn record_failure(&self, at: Millis) {
         self.failed.fetch_max(at, Ordering::Relaxed);
     }
 
@@ -153,14 +153,14 @@
     }
 
     /// Whether what is known may be acted on.
-    pub(crate) fn is_held(&self, now: Millis) -> bool {
+    pub(crate) fn is_valid(&self, now: Millis) -> bool {
         self.age(now) <= self.hold
     }
 }
 
 /// For how long a node acts on what it knows of the store without a confirmation.
 #[derive(Clone, Copy, Debug)]
-pub struct ViewHolds {
+pub struct StalenessLimits {
     /// On the configuration.
     pub policy: Duration,
     /// On the list of runners.
@@ -169,7 +169,7 @@
 
 /// The configuration, as a request may be answered by it.
 #[derive(Clone, Debug)]
-pub enum PolicyReading {
+pub enum PolicyStatus {
     /// There is none yet.
     Missing,
     /// There may be a newer one, for too long.
@@ -180,17 +180,17 @@
         age_ms: Millis,
     },
     /// It is in force.
-    InForce(Arc<FleetPolicy>),
+    Current(Arc<FleetPolicy>),
 }
 
 /// A version of the configuration that this node was told of and may not have.
 #[derive(Debug, Default)]
-pub(crate) struct PolicyAsk {
+pub(crate) struct PolicyRefresh {
     version: AtomicU64,
     raised: Notify,
 }
 
-impl PolicyAsk {
+impl PolicyRefresh {
     /// Waits until a version is asked for that is newer than those before.
     pub(crate) async fn raised(&self) -> u64 {
         self.raised.notified().await;
@@ -206,7 +206,7 @@
     /// Configuration in force.
     pub policy: ArcSwapOption<FleetPolicy>,
     /// The store as this node sees it.
-    pub store: StoreWatch,
+    pub store: StoreHealth,
     /// Whether the node was told to stop.
     pub stopping: AtomicBool,
     /// Metrics.
@@ -214,49 +214,49 @@
     /// For how long the node may answer by it.
     pub(crate) policy_lease: ViewLease,
     /// For how long the node may start tasks by its list of runners.
-    pub(crate) runners_lease: ViewLease,
+    pub(crate) runner_list_lease: ViewLease,
     /// Version of the configuration that is to be read at once.
-    pub(crate) policy_ask: PolicyAsk,
+    pub(crate) policy_refresh: PolicyRefresh,
     /// Leave to ask an adviser, which serves one call of a node at a time.
-    pub(crate) advice_turn: Semaphore,
+    pub(crate) advice_permit: Semaphore,
 }
 
 impl NodeShared {
     /// State of a node that starts, and that acts on what it knows of the store for those
     /// times after it was last confirmed.
-    pub fn new(metrics: NodeMetrics, holds: ViewHolds) -> Arc<Self> {
+    pub fn new(metrics: NodeMetrics, holds: StalenessLimits) -> Arc<Self> {
         Self::with_clock(metrics, holds, NodeClock::start())
     }
 
     /// State of a node that starts, with a clock.
-    pub fn with_clock(metrics: NodeMetrics, holds: ViewHolds, clock: NodeClock) -> Arc<Self> {
+    pub fn with_clock(metrics: NodeMetrics, holds: StalenessLimits, clock: NodeClock) -> Arc<Self> {
         Arc::new(Self {
             clock,
             policy: ArcSwapOption::empty(),
-            store: StoreWatch::default(),
+            store: StoreHealth::default(),
             stopping: AtomicBool::new(false),
             metrics,
             policy_lease: ViewLease::new(holds.policy),
-            runners_lease: ViewLease::new(holds.runners),
-            policy_ask: PolicyAsk::default(),
-            advice_turn: Semaphore::new(1),
+            runner_list_lease: ViewLease::new(holds.runners),
+            policy_refresh: PolicyRefresh::default(),
+            advice_permit: Semaphore::new(1),
         })
     }
 
     /// The configuration by which a request is to be answered now.
-    pub fn read_policy(&self) -> PolicyReading {
+    pub fn policy_status(&self) -> PolicyStatus {
         // The age first: it tells of the configuration of this moment or an older one.
         let age_ms = self.policy_lease.age(self.clock.now());
         let Some(policy) = self.policy.load_full() else {
-            return PolicyReading::Missing;
+            return PolicyStatus::Missing;
         };
         if age_ms > self.policy_lease.hold {
-            return PolicyReading::Unconfirmed {
+            return PolicyStatus::Unconfirmed {
                 version: policy.version,
                 age_ms,
             };
         }
-        PolicyReading::InForce(policy)
+        PolicyStatus::Current(policy)
     }
 
     /// Version of the configuration in force; zero before the first.
@@ -267,17 +267,17 @@
 
     /// Has the configuration read at once, unless it is as new as that version or was
     /// asked for before.
-    pub(crate) fn ask_for_policy(&self, version: u64) {
+    pub(crate) fn request_policy_refresh(&self, version: u64) {
         if version <= self.policy_version() {
             return;
         }
         if self
-            .policy_ask
+            .policy_refresh
             .version
             .fetch_max(version, Ordering::Relaxed)
             < version
         {
-            self.policy_ask.raised.notify_one();
+            self.policy_refresh.raised.notify_one();
         }
     }
 
@@ -289,7 +289,7 @@
     /// Whether new callers should come to this node.
     pub fn is_ready(&self) -> bool {
         let now = self.clock.now();
-        let serves = matches!(self.read_policy(), PolicyReading::InForce(_));
+        let serves = matches!(self.policy_status(), PolicyStatus::Current(_));
         !self.is_stopping() && serves && self.store.is_usable(now)
     }
 }
--- a/crates/hoisthitch-scheduler/src/takeover.rs
+++ b/crates/hoisthitch-scheduler/src/takeover.rs
@@ -23,8 +23,8 @@
     journal::{
         HeadRecord,
         PoolJournal,
-        decode,
-        encode, //
+        decode_head,
+        encode_record, //
     },
     keys::JobKeys,
     shared::NodeShared, //
@@ -60,8 +60,8 @@
     pool: &str,
     seen: StoreRevision,
 ) -> Result<Option<PoolTakeover<S>>, StoreError> {
-    let found = store.read(&keys.head(pool)).await?;
-    let last = found.as_ref().and_then(decode);
+    let found = store.read(&keys.journal_head(pool)).await?;
+    let last = found.as_ref().and_then(decode_head);
     let term = last.as_ref().map_or(0, |head| head.term) + 1;
     // An owner may be lost before it writes anything. Times that count from a
     // later write are only longer.
@@ -69,27 +69,27 @@
     let expected = found.map_or(StoreRevision::default(), |stored| stored.revision);
     let head = HeadRecord {
         node: identity.node.clone(),
-        life: identity.life,
+        instance: identity.instance,
         term,
         sequence: 0,
         silent: silent.clone(),
     };
     let owner = OwnerRecord {
         node: head.node.clone(),
-        life: head.life,
+        instance: head.instance,
         term: head.term,
     };
     let items = vec![
         SwapItem {
-            key: keys.head(pool),
+            key: keys.journal_head(pool),
             expected,
-            value: Some(encode(&head)),
+            value: Some(encode_record(&head)),
             lease: None,
         },
         SwapItem {
             key: keys.owner(pool),
             expected: seen,
-            value: Some(encode(&owner)),
+            value: Some(encode_record(&owner)),
             lease: None,
         },
     ];
--- a/crates/hoisthitch-scheduler/src/teams.rs
+++ b/crates/hoisthitch-scheduler/src/teams.rs
@@ -17,7 +17,7 @@
     }, //
 };
 
-use hoisthitch_jobs::TaskNeed;
+use hoisthitch_jobs::ResourceAmounts;
 use thiserror::Error;
 
 /// Length of a key's hash, in bytes.
@@ -70,7 +70,7 @@
     /// Its share where there is not enough for all.
     pub weight: f64,
     /// What it may have running on all runners; zero for no limit.
-    pub limit: TaskNeed,
+    pub limit: ResourceAmounts,
     /// Keys that stand for it.
     pub keys: usize,
 }
@@ -78,7 +78,7 @@
 impl TeamPolicy {
     /// Whether any amount of what it may have running is limited.
     pub(crate) fn has_limit(&self) -> bool {
-        self.limit != TaskNeed::default()
+        self.limit != ResourceAmounts::default()
     }
 }
 
@@ -96,16 +96,16 @@
 pub enum TeamError {
     /// A team has no name.
     #[error("team {0} of the table has no name")]
-    Unnamed(usize),
+    MissingName(usize),
     /// Two teams have one name.
     #[error("team {0} stands twice in the table")]
-    Doubled(String),
+    DuplicateName(String),
     /// A team has a key without a character.
     #[error("team {0} has an empty key")]
     EmptyKey(String),
     /// A key stands twice.
     #[error("key {place} of team {team} stands in the table before")]
-    DoubledKey {
+    DuplicateKey {
         /// The team.
         team: String,
         /// Place of the key among the team's, from 0.
@@ -143,14 +143,14 @@
         policy.keys = keys.len();
         let name = policy.name.clone();
         if name.is_empty() {
-            return Err(TeamError::Unnamed(place));
+            return Err(TeamError::MissingName(place));
         }
         if !policy.weight.is_finite() || policy.weight < 0.0 {
             return Err(TeamError::BadWeight(name.to_string()));
         }
         let team = self.teams.len();
         if self.names.insert(name.clone(), team).is_some() {
-            return Err(TeamError::Doubled(name.to_string()));
+            return Err(TeamError::DuplicateName(name.to_string()));
         }
         for (place, key) in keys.iter().enumerate() {
             if key.0.is_empty() {
@@ -158,7 +158,7 @@
             }
             if self.keys.insert(key.hash(), team).is_some() {
                 let team = name.to_string();
-                return Err(TeamError::DoubledKey { team, place });
+                return Err(TeamError::DuplicateKey { team, place });
             }
         }
         self.teams.push(policy);
--- a/crates/hoisthitch-scheduler/src/vms/ledger.rs
+++ b/crates/hoisthitch-scheduler/src/vms/ledger.rs
@@ -15,8 +15,8 @@
 
 use hoisthitch_jobs::{
     Millis,
-    PoolShare,
-    RunnerLife, //
+    RunnerInstance,
+    VmBalance, //
 };
 use hoisthitch_store::{
     BatchOutcome,
@@ -35,10 +35,10 @@
     VmWorkError, //
 };
 use crate::{
-    journal::encode,
+    journal::encode_record,
     platform::{
         Platform,
-        VmRow, //
+        VmStatus, //
     }, //
 };
 
@@ -60,7 +60,7 @@
     /// Number of the write under this owner.
     pub(super) sequence: u64,
     /// What the pool has and wants.
-    pub(super) share: PoolShare,
+    pub(super) share: VmBalance,
     /// VMs that this owner gives orders about, or lately did.
     #[serde(default)]
     pub(super) recent: Vec<String>,
@@ -116,9 +116,9 @@
 
     /// The life of a VM's runner: the platform's list names the runner, the runner's record
     /// tells the life.
-    pub(super) fn life_on(&self, row: &VmRow) -> Option<RunnerLife> {
+    pub(super) fn life_on(&self, row: &VmStatus) -> Option<RunnerInstance> {
         let name = row.runner.as_ref()?;
-        Some(self.context.fleet.borrow().life_of(name))
+        Some(self.context.fleet.borrow().instance_of(name))
     }
 
     /// Now.
@@ -194,7 +194,7 @@
     pub(super) async fn authorize<'a>(
         &self,
         vms: impl IntoIterator<Item = &'a String>,
-        share: Option<PoolShare>,
+        share: Option<VmBalance>,
     ) -> Result<u64, VmWorkError> {
         let now = self.now();
         let vms = vms.into_iter().map(|vm| (vm.clone(), now));
@@ -203,7 +203,7 @@
     }
 
     /// What to write down now.
-    fn make_record(&self, share: PoolShare, sequence: u64) -> ShareRecord {
+    fn make_record(&self, share: VmBalance, sequence: u64) -> ShareRecord {
         let now = self.now();
         let mut ordered = self.ordered.borrow_mut();
         ordered.retain(|_, at| *at + RECENT_MS > now);
@@ -218,8 +218,8 @@
 
     /// Writes the pool's share, or the same one again; answers with the write's
     /// revision.
-    pub(super) async fn publish(&self, share: Option<PoolShare>) -> Result<u64, VmWorkError> {
-        let key = self.context.keys.share(&self.context.pool);
+    pub(super) async fn publish(&self, share: Option<VmBalance>) -> Result<u64, VmWorkError> {
+        let key = self.context.keys.vm_balance(&self.context.pool);
         let mut writer = self.writer.lock().await;
         let share = share.unwrap_or_else(|| writer.record.share.clone());
         loop {
@@ -227,7 +227,7 @@
             let item = SwapItem {
                 key: key.clone(),
                 expected: writer.revision,
-                value: Some(encode(&record)),
+                value: Some(encode_record(&record)),
                 lease: None,
             };
             let written = self.context.platform.store().swap_all(vec![item]).await?;
--- a/crates/hoisthitch-scheduler/src/vms/list.rs
+++ b/crates/hoisthitch-scheduler/src/vms/list.rs
@@ -16,7 +16,7 @@
     Platform,
     VmControl,
     VmError,
-    VmRow, //
+    VmStatus, //
 };
 
 /// Age up to which the list is used, in milliseconds: half of the time that an upkeep
@@ -29,12 +29,12 @@
 pub(super) struct VmRows {
     /// When they were asked for; what was ordered later does not show.
     pub(super) asked_at: Millis,
-    rows: Vec<VmRow>,
+    rows: Vec<VmStatus>,
     places: HashMap<String, usize>,
 }
 
 impl VmRows {
-    fn new(rows: Vec<VmRow>, asked_at: Millis) -> Self {
+    fn new(rows: Vec<VmStatus>, asked_at: Millis) -> Self {
         let places = rows.iter().enumerate();
         let places = places.map(|(place, row)| (row.name.clone(), place));
         Self {
@@ -45,12 +45,12 @@
     }
 
     /// All rows.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &VmRow> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &VmStatus> {
         self.rows.iter()
     }
 
     /// A VM's row.
-    pub(super) fn find(&self, vm: &str) -> Option<&VmRow> {
+    pub(super) fn find(&self, vm: &str) -> Option<&VmStatus> {
         self.rows.get(*self.places.get(vm)?)
     }
 }
--- a/crates/hoisthitch-scheduler/src/vms/mod.rs
+++ b/crates/hoisthitch-scheduler/src/vms/mod.rs
@@ -20,9 +20,9 @@
 };
 
 use hoisthitch_jobs::{
+    EvacuationStatus,
     Millis,
-    RunnerLife,
-    UpkeepView,
+    RunnerInstance,
     WantedVms, //
 };
 use hoisthitch_store::StoreError;
@@ -86,12 +86,12 @@
         runners: Vec<String>,
         /// Whether their tasks are to go on elsewhere where they can.
         vacate: bool,
-        reply: oneshot::Sender<Vec<Option<UpkeepView>>>,
+        reply: oneshot::Sender<Vec<Option<EvacuationStatus>>>,
     },
     /// The runners go on.
     Stay { runners: Vec<String> },
     /// A VM went down with that life of its runner.
-    Down { life: RunnerLife },
+    Down { instance: RunnerInstance },
     /// The runner's VM was told to go down, and there was no answer.
     Doubt { runner: String },
     /// What does the pool need, and which runner can it spare?
@@ -106,7 +106,7 @@
     /// VMs of its runners.
     pub(crate) vms: Vec<String>,
     /// Runners and VMs that can be spared, the first in front.
-    pub(crate) spare: Vec<(RunnerLife, String)>,
+    pub(crate) spare: Vec<(RunnerInstance, String)>,
 }
 
 /// What a VM worker works with.
@@ -175,8 +175,8 @@
             ),
         }
         let took = begun.elapsed();
-        let looks = &context.shared.metrics.looks;
-        looks
+        let loop_seconds = &context.shared.metrics.loop_seconds;
+        loop_seconds
             .with_label_values(&[L::NAME])
             .observe(took.as_secs_f64());
         if took >= SLOW_LOOK {
@@ -194,8 +194,8 @@
 
 impl<P: Platform> VmLedger<P> {
     /// Asks the owner to empty runners; answers for each.
-    async fn ask_leave(&self, runners: Vec<String>, vacate: bool) -> Vec<Option<UpkeepView>> {
-        let held = vec![Some(UpkeepView::Held); runners.len()];
+    async fn ask_leave(&self, runners: Vec<String>, vacate: bool) -> Vec<Option<EvacuationStatus>> {
+        let held = vec![Some(EvacuationStatus::Held); runners.len()];
         if runners.is_empty() {
             return held;
         }
--- a/crates/hoisthitch-scheduler/src/vms/moves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/moves.rs
@@ -7,11 +7,11 @@
 
 use futures_util::future::join_all;
 use hoisthitch_jobs::{
+    DemandHistory,
+    EvacuationStatus,
     Millis,
-    PoolShare,
-    RunnerLife,
-    UpkeepView,
-    WantHistory,
+    RunnerInstance,
+    VmBalance,
     plan_moves, //
 };
 use hoisthitch_telemetry::event;
@@ -46,9 +46,9 @@
     pub(super) ledger: Rc<VmLedger<P>>,
     pub(super) list: Rc<VmList>,
     /// What was last published.
-    share: PoolShare,
+    share: VmBalance,
     /// What the pool wanted in the last second.
-    pub(super) wants: WantHistory,
+    pub(super) wants: DemandHistory,
     /// VMs sent away, where to and when.
     pub(super) sent: BTreeMap<String, (String, Millis)>,
     /// VMs without a runner, as last listed, and since when.
@@ -56,7 +56,7 @@
     /// Whether those VMs were listed before.
     pub(super) listed: bool,
     /// Runners that are being emptied to be given away, by VM.
-    giving: BTreeMap<String, RunnerLife>,
+    giving: BTreeMap<String, RunnerInstance>,
 }
 
 impl<P: Platform> VmLoop for MoveWorker<P> {
@@ -75,8 +75,8 @@
         Self {
             ledger,
             list,
-            share: PoolShare::default(),
-            wants: WantHistory::default(),
+            share: VmBalance::default(),
+            wants: DemandHistory::default(),
             sent: BTreeMap::new(),
             idle: BTreeMap::new(),
             listed: false,
@@ -125,7 +125,7 @@
     }
 
     /// Publishes the pool's share, if it changed.
-    async fn tell_share(&mut self, share: PoolShare) -> Result<(), VmWorkError> {
+    async fn tell_share(&mut self, share: VmBalance) -> Result<(), VmWorkError> {
         if share == self.share {
             return Ok(());
         }
@@ -168,7 +168,7 @@
 
     /// Has up to `count` runners emptied; answers with the VMs that are.
     async fn emptied_vms(&mut self, need: &PoolNeed, count: usize) -> Vec<String> {
-        let candidates: Vec<(RunnerLife, String)> = need
+        let candidates: Vec<(RunnerInstance, String)> = need
             .spare
             .iter()
             .filter(|(_, vm)| !self.ledger.is_claimed(vm, VmClaim::Move))
@@ -201,7 +201,7 @@
         let views = self.ledger.ask_leave(runners, true).await;
         let answered = vms.into_iter().zip(views);
         answered
-            .filter(|(_, view)| *view == Some(UpkeepView::Free))
+            .filter(|(_, view)| *view == Some(EvacuationStatus::Free))
             .map(|(vm, _)| vm)
             .collect()
     }
@@ -246,7 +246,7 @@
         let vms = context.platform.vms();
         let orders = moves
             .iter()
-            .map(|(vm, target)| vms.reassign(vm, target, &context.node, token));
+            .map(|(vm, target)| vms.move_to_pool(vm, target, &context.node, token));
         let outcomes = join_all(orders).await;
         for ((vm, target), outcome) in moves.into_iter().zip(outcomes) {
             event!(
@@ -267,8 +267,8 @@
         match outcome {
             Ok(()) => {
                 self.idle.remove(&vm);
-                if let Some(life) = self.giving.remove(&vm) {
-                    self.ledger.tell(VmRequest::Down { life }).await;
+                if let Some(instance) = self.giving.remove(&vm) {
+                    self.ledger.tell(VmRequest::Down { instance }).await;
                 }
             }
             // It may have been done; the list of runners tells.
--- a/crates/hoisthitch-scheduler/src/vms/share.rs
+++ b/crates/hoisthitch-scheduler/src/vms/share.rs
@@ -7,7 +7,7 @@
 
 use hoisthitch_jobs::{
     Millis,
-    PoolShare, //
+    VmBalance, //
 };
 use hoisthitch_store::StoreClient;
 
@@ -63,7 +63,7 @@
         vms: Vec<String>,
         spare: bool,
         now: Millis,
-    ) -> PoolShare {
+    ) -> VmBalance {
         let forecast = self.wants.forecast(need.want, now);
         let ledger = &self.ledger;
         self.sent.retain(|vm, (_, at)| {
@@ -81,7 +81,7 @@
         vms.sort();
         // A life that is over may be listed beside its successor.
         vms.dedup();
-        PoolShare {
+        VmBalance {
             want: forecast.want,
             keep: forecast.keep,
             vms,
@@ -109,9 +109,9 @@
         Ok(self.idle.keys().cloned().collect())
     }
 
-    pub(super) async fn read_shares(&self) -> Result<BTreeMap<String, PoolShare>, VmWorkError> {
+    pub(super) async fn read_shares(&self) -> Result<BTreeMap<String, VmBalance>, VmWorkError> {
         let context = &self.ledger.context;
-        let prefix = context.keys.all_shares();
+        let prefix = context.keys.vm_balances_prefix();
         let values = context.platform.store().read_prefix(&prefix).await?;
         let mut shares = BTreeMap::new();
         for value in values {
--- a/crates/hoisthitch-scheduler/src/vms/wave_state.rs
+++ b/crates/hoisthitch-scheduler/src/vms/wave_state.rs
@@ -5,7 +5,7 @@
 
 use hoisthitch_jobs::{
     Millis,
-    RunnerLife,
+    RunnerInstance,
     WaveChange,
     WaveProgress, //
 };
@@ -23,13 +23,13 @@
     ledger::VmLedger, //
 };
 use crate::{
-    journal::encode,
+    journal::encode_record,
     platform::{
         FleetCodec,
         Platform,
         VmCondition,
-        VmRow,
-        WaveOrder, //
+        VmStatus,
+        WaveRequest, //
     }, //
 };
 
@@ -80,7 +80,12 @@
     /// Whether a VM that is up again has been through its upkeep: with a new life of its
     /// runner, or, where that can't tell, some time after the order. A list that was
     /// asked for before tells nothing.
-    pub(super) fn is_back(&self, row: &VmRow, life: Option<&RunnerLife>, asked_at: Millis) -> bool {
+    pub(super) fn is_back(
+        &self,
+        row: &VmStatus,
+        instance: Option<&RunnerInstance>,
+        asked_at: Millis,
+    ) -> bool {
         if !self.progress.down.contains_key(&row.name) {
             return false;
         }
@@ -91,14 +96,14 @@
         if asked_at < ordered.or(self.known_at).unwrap_or(0) {
             return false;
         }
-        let renewed = life.is_some_and(|life| !self.was_down_with(&row.name, life));
+        let renewed = instance.is_some_and(|instance| !self.was_down_with(&row.name, instance));
         renewed || ordered.is_none_or(|at| at + BACK_MS <= asked_at)
     }
 
     /// Whether a VM was noted as down with that life of its runner, as far as births tell.
-    pub(super) fn was_down_with(&self, vm: &str, life: &RunnerLife) -> bool {
+    pub(super) fn was_down_with(&self, vm: &str, instance: &RunnerInstance) -> bool {
         let before = self.progress.down.get(vm);
-        before.is_some_and(|before| RunnerLife::parse(before).may_be(life))
+        before.is_some_and(|before| RunnerInstance::parse(before).may_be(instance))
     }
 
     /// Whether a VM has been missing from the list for long.
@@ -111,7 +116,7 @@
     pub(super) async fn read_if_old<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
-        order: &WaveOrder,
+        order: &WaveRequest,
     ) -> Result<(), VmWorkError> {
         let now = ledger.now();
         if self.known_at.is_some_and(|at| at + RECORD_AGE_MS > now) {
@@ -127,7 +132,7 @@
     pub(super) async fn write<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
-        order: &WaveOrder,
+        order: &WaveRequest,
     ) -> Result<(), VmWorkError> {
         if self.pending.is_empty() {
             return Ok(());
@@ -135,18 +140,21 @@
         let context = &ledger.context;
         loop {
             let now = ledger.now();
-            let next = self.progress.with(&self.pending, order.most_down());
+            let next = self.progress.with(&self.pending, order.max_down());
             if next == self.progress {
                 self.pending = WaveChange::default();
                 return Ok(());
             }
             let completed = next.is_completed(&order.vms);
-            let (status, told) = context.platform.codec().wave_status(order.wave, completed);
+            let (status, told) = context
+                .platform
+                .codec()
+                .encode_wave_status(order.wave, completed);
             let items = vec![
                 SwapItem {
                     key: context.keys.wave(order.wave),
                     expected: self.revision,
-                    value: Some(encode(&next)),
+                    value: Some(encode_record(&next)),
                     lease: None,
                 },
                 SwapItem {
@@ -172,7 +180,7 @@
         }
     }
 
-    fn log_written(&self, pool: &str, order: &WaveOrder, next: &WaveProgress) {
+    fn log_written(&self, pool: &str, order: &WaveRequest, next: &WaveProgress) {
         for vm in &self.pending.done {
             event!(Info, "upkeep_done", wave = order.wave, vm = vm);
         }
--- a/crates/hoisthitch-scheduler/src/vms/waves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/waves.rs
@@ -16,8 +16,8 @@
 
 use futures_util::future::join_all;
 use hoisthitch_jobs::{
-    RunnerLife,
-    UpkeepView, //
+    EvacuationStatus,
+    RunnerInstance, //
 };
 use hoisthitch_telemetry::event;
 
@@ -43,8 +43,8 @@
     VmCondition,
     VmControl,
     VmError,
-    VmRow,
-    WaveOrder, //
+    VmStatus,
+    WaveRequest, //
 };
 
 /// Part of the VMs of a pool that are emptied at once: one in this many, and one
@@ -65,7 +65,7 @@
     /// Runners that are being emptied for a wave, by VM.
     leaving: BTreeMap<String, String>,
     /// Why VMs of waves wait, as last logged.
-    waits: BTreeMap<String, UpkeepView>,
+    waits: BTreeMap<String, EvacuationStatus>,
 }
 
 impl<P: Platform> VmLoop for WaveWorker<P> {
@@ -76,7 +76,7 @@
         if !self.ledger.is_settled() {
             return Ok(());
         }
-        let orders: Vec<WaveOrder> = {
+        let orders: Vec<WaveRequest> = {
             let fleet = self.ledger.context.fleet.borrow();
             let open = fleet.waves.values();
             let open = open.filter(|order| !self.completed.contains(&order.wave));
@@ -111,7 +111,7 @@
     /// Takes a wave further.
     async fn advance(
         &mut self,
-        order: &WaveOrder,
+        order: &WaveRequest,
         state: &mut WaveState,
     ) -> Result<(), VmWorkError> {
         state.read_if_old(&self.ledger, order).await?;
@@ -128,7 +128,7 @@
         state.pending.down.clear();
         for row in &fresh {
             let before = self.ledger.life_on(row);
-            let before = before.map_or_else(String::new, |life| life.to_string());
+            let before = before.map_or_else(String::new, |instance| instance.to_string());
             state.pending.down.insert(row.name.clone(), before);
         }
         state.write(&self.ledger, order).await?;
@@ -139,7 +139,7 @@
     }
 
     /// VMs of the wave that are this pool's, or in no list.
-    fn own_vms(&self, order: &WaveOrder, rows: &VmRows) -> Vec<String> {
+    fn own_vms(&self, order: &WaveRequest, rows: &VmRows) -> Vec<String> {
         let pool = &self.ledger.context.pool;
         let own = |vm: &&String| rows.find(vm).is_none_or(|row| row.pool == *pool);
         order.vms.iter().filter(own).cloned().collect()
@@ -159,8 +159,8 @@
                 None => state.is_gone(vm, now),
                 Some(row) => {
                     state.missing.remove(vm);
-                    let life = self.ledger.life_on(row);
-                    state.is_back(row, life.as_ref(), rows.asked_at)
+                    let instance = self.ledger.life_on(row);
+                    state.is_back(row, instance.as_ref(), rows.asked_at)
                 }
             };
             if over && state.pending.done.insert(vm.clone()) {
@@ -173,7 +173,7 @@
     }
 
     /// Whether a VM is up, and no earlier owner's order about it may be under way.
-    fn may_order(&self, row: &VmRow) -> bool {
+    fn may_order(&self, row: &VmStatus) -> bool {
         row.condition == VmCondition::Up && !self.ledger.is_blocked(&row.name)
     }
 
@@ -184,7 +184,7 @@
         due: &[String],
         rows: &'a VmRows,
         state: &WaveState,
-    ) -> Vec<&'a VmRow> {
+    ) -> Vec<&'a VmStatus> {
         due.iter()
             .filter(|vm| state.progress.down.contains_key(*vm) && !state.has_begun(vm))
             .filter(|vm| {
@@ -200,12 +200,12 @@
     /// Empties the next VMs; answers with those that may go down.
     async fn empty_next<'a>(
         &mut self,
-        order: &WaveOrder,
+        order: &WaveRequest,
         due: &[String],
         rows: &'a VmRows,
         state: &WaveState,
-    ) -> Vec<&'a VmRow> {
-        let mut waiting: Vec<&VmRow> = due
+    ) -> Vec<&'a VmStatus> {
+        let mut waiting: Vec<&VmStatus> = due
             .iter()
             .filter(|vm| state.progress.is_due(vm) && !state.pending.done.contains(*vm))
             .filter_map(|vm| rows.find(vm))
@@ -217,21 +217,21 @@
         let pool = &self.ledger.context.pool;
         let own = rows.iter().filter(|row| row.pool == *pool).count();
         let down = state.progress.down.len();
-        let room = order.most_down().saturating_sub(down);
+        let room = order.max_down().saturating_sub(down);
         // One more, so that it is empty when its turn comes.
         let at_once = (own / EMPTY_PART).max(1).min(room + 1);
         let mut emptied = 0;
         let mut free = Vec::new();
         let mut waiting = waiting.into_iter();
         while emptied < at_once {
-            let next: Vec<&VmRow> = waiting.by_ref().take(at_once - emptied).collect();
+            let next: Vec<&VmStatus> = waiting.by_ref().take(at_once - emptied).collect();
             if next.is_empty() {
                 break;
             }
             let views = self.ask_rows(&next).await;
             for (row, view) in next.into_iter().zip(views) {
                 // A VM without a runner costs no room.
-                let counts = row.runner.is_some() && view != Some(UpkeepView::Held);
+                let counts = row.runner.is_some() && view != Some(EvacuationStatus::Held);
                 emptied += usize::from(counts);
                 if may_go(view) {
                     free.push(row);
@@ -244,7 +244,7 @@
 
     /// Asks the owner to empty VMs' runners; those of which it can't spare a task go
     /// on.
-    async fn ask_rows(&mut self, rows: &[&VmRow]) -> Vec<Option<UpkeepView>> {
+    async fn ask_rows(&mut self, rows: &[&VmStatus]) -> Vec<Option<EvacuationStatus>> {
         let mut runners = Vec::new();
         for row in rows {
             self.ledger.claim(&row.name, VmClaim::Upkeep);
@@ -261,7 +261,7 @@
             if row.runner.is_some() {
                 self.note_wait(row, view);
             }
-            if view == Some(UpkeepView::Held) {
+            if view == Some(EvacuationStatus::Held) {
                 held.push(row.name.clone());
             }
             views.push(view);
@@ -271,20 +271,20 @@
     }
 
     /// Logs why a VM's upkeep waits, when that changes.
-    fn note_wait(&mut self, row: &VmRow, view: Option<UpkeepView>) {
-        let Some(view) = view.filter(|view| *view != UpkeepView::Free) else {
+    fn note_wait(&mut self, row: &VmStatus, view: Option<EvacuationStatus>) {
+        let Some(view) = view.filter(|view| *view != EvacuationStatus::Free) else {
             self.waits.remove(&row.name);
             return;
         };
         let before = self.waits.insert(row.name.clone(), view);
         // How many tasks run changes with each look.
         if before.map(|before| discriminant(&before)) != Some(discriminant(&view)) {
-            let life = self.ledger.life_on(row);
+            let instance = self.ledger.life_on(row);
             event!(
                 Info,
                 "upkeep_waits",
                 vm = row.name,
-                runner = life.map_or_else(String::new, |life| life.to_string()),
+                runner = instance.map_or_else(String::new, |instance| instance.to_string()),
                 pool = self.ledger.context.pool,
                 view = format_args!("{view:?}")
             );
@@ -306,9 +306,9 @@
     /// Takes VMs down that are noted as down, those of them that may go.
     async fn take_down(
         &mut self,
-        order: &WaveOrder,
+        order: &WaveRequest,
         state: &mut WaveState,
-        ready: &[&VmRow],
+        ready: &[&VmStatus],
     ) -> Result<(), VmWorkError> {
         if ready.is_empty() {
             return Ok(());
@@ -318,23 +318,23 @@
         // The writes may have taken long; what runs there may have changed.
         let views = self.ask_rows(ready).await;
         self.ledger.check_owner()?;
-        let going: Vec<&VmRow> = ready
+        let going: Vec<&VmStatus> = ready
             .iter()
             .zip(views)
             .filter(|(_, view)| may_go(*view))
             .map(|(row, _)| *row)
             .collect();
         // A life that comes after the order is not the one that went down.
-        let lives = going.iter().map(|row| self.ledger.life_on(row));
-        let lives: Vec<Option<RunnerLife>> = lives.collect();
+        let instances = going.iter().map(|row| self.ledger.life_on(row));
+        let instances: Vec<Option<RunnerInstance>> = instances.collect();
         let context = &self.ledger.context;
         let vms = context.platform.vms();
         let wave = order.wave;
         let orders = going
             .iter()
-            .map(|row| vms.upkeep(&row.name, wave, &context.node, token));
+            .map(|row| vms.start_maintenance(&row.name, wave, &context.node, token));
         let outcomes = join_all(orders).await;
-        for ((row, life), outcome) in going.into_iter().zip(lives).zip(outcomes) {
+        for ((row, instance), outcome) in going.into_iter().zip(instances).zip(outcomes) {
             event!(
                 Info,
                 "upkeep_ordered",
@@ -343,7 +343,7 @@
                 token = token,
                 outcome = format_args!("{outcome:?}")
             );
-            self.take_outcome(state, row, life, &outcome).await;
+            self.take_outcome(state, row, instance, &outcome).await;
         }
         Ok(())
     }
@@ -352,17 +352,17 @@
     async fn take_outcome(
         &mut self,
         state: &mut WaveState,
-        row: &VmRow,
-        life: Option<RunnerLife>,
+        row: &VmStatus,
+        instance: Option<RunnerInstance>,
         outcome: &Result<(), VmError>,
     ) {
         state.ordered.insert(row.name.clone(), self.ledger.now());
-        if let Some(life) = life {
+        if let Some(instance) = instance {
             // An order that was done before leaves a later life as it is.
-            let same_life = state.was_down_with(&row.name, &life);
-            let runner = life.name.clone();
+            let same_life = state.was_down_with(&row.name, &instance);
+            let runner = instance.name.clone();
             let told = match outcome {
-                Ok(()) if same_life => Some(VmRequest::Down { life }),
+                Ok(()) if same_life => Some(VmRequest::Down { instance }),
                 Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::Doubt { runner }),
                 Err(_) => None,
             };
@@ -378,6 +378,6 @@
 }
 
 /// Whether a VM may go down now; one without a runner may.
-fn may_go(view: Option<UpkeepView>) -> bool {
-    matches!(view, Some(UpkeepView::Free) | None)
+fn may_go(view: Option<EvacuationStatus>) -> bool {
+    matches!(view, Some(EvacuationStatus::Free) | None)
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/advice.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/advice.rs
@@ -81,7 +81,7 @@
     let (world, adviser) = advised_world().await?;
     let mut spec = job("work 200", &[4, 4, 4]);
     spec.schedule = Some(hoisthitch_jobs::JobSchedule {
-        first_ms: world.fleet.today_ms() + 200,
+        first_ms: world.fleet.unix_ms() + 200,
         interval_ms: 300,
         repetitions: 3,
     });
@@ -245,7 +245,7 @@
     adviser.set_validity(Duration::from_millis(600));
     let mut spec = job("work 800", &[3]);
     spec.steps[0].gang = true;
-    spec.steps[0].spread = 1;
+    spec.steps[0].max_per_runner = 1;
     submit(&world, &spec).await?;
     finish(&world, &spec, 8_000).await
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/gang.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/gang.rs
@@ -65,7 +65,7 @@
 fn gang(payload: &str) -> JobSpec {
     let mut spec = job(payload, &[MEMBERS]);
     spec.steps[0].gang = true;
-    spec.steps[0].spread = 1;
+    spec.steps[0].max_per_runner = 1;
     spec
 }
 
@@ -102,7 +102,7 @@
     let world = TestWorld::start(3, MEMBERS as usize).await?;
     let mut spec = gang("work 900");
     spec.schedule = Some(hoisthitch_jobs::JobSchedule {
-        first_ms: world.fleet.today_ms() + 300,
+        first_ms: world.fleet.unix_ms() + 300,
         interval_ms: 400,
         repetitions: 4,
     });
--- a/crates/hoisthitch-scheduler/tests/contracts/harm.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/harm.rs
@@ -59,7 +59,7 @@
 /// A lasting job of `count` fillers.
 fn fillers(count: u32) -> JobSpec {
     let mut spec = lasting(count, 1);
-    spec.steps[0].filler = true;
+    spec.steps[0].best_effort = true;
     spec
 }
 
--- a/crates/hoisthitch-scheduler/tests/contracts/order.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/order.rs
@@ -51,7 +51,7 @@
 fn timed(world: &TestWorld, wait_ms: u64, interval_ms: u64) -> JobSpec {
     let mut spec = job("uneven 150", &[3, 2]);
     spec.schedule = Some(JobSchedule {
-        first_ms: world.fleet.today_ms() + wait_ms,
+        first_ms: world.fleet.unix_ms() + wait_ms,
         interval_ms,
         repetitions: TIMES,
     });
@@ -132,7 +132,7 @@
         let spec = timed(&world, 1_000, INTERVAL_MS);
         world.submit("j", spec.clone()).await?;
         let due = spec.schedule.unwrap_or_default().first_ms + INTERVAL_MS - 60;
-        sleep_ms(due + offset - world.fleet.today_ms()).await;
+        sleep_ms(due + offset - world.fleet.unix_ms()).await;
         world.kill_owner();
         finish(&world, &spec, 40_000).await?;
     }
@@ -220,7 +220,7 @@
         let spec = timed(&world, 500, INTERVAL_MS);
         world.submit("j", spec.clone()).await?;
         let due = spec.schedule.unwrap_or_default().first_ms + INTERVAL_MS - 80;
-        sleep_ms(due + offset - world.fleet.today_ms()).await;
+        sleep_ms(due + offset - world.fleet.unix_ms()).await;
         world.cancel("j").await?;
         world.kill_owner();
         sleep_ms(INTERVAL_MS * u64::from(TIMES)).await;
--- a/crates/hoisthitch-scheduler/tests/contracts/route.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/route.rs
@@ -54,7 +54,7 @@
 fn labelled(payload: &str, count: u32, spread: u32) -> JobSpec {
     let mut spec = job(payload, &[count]);
     spec.steps[0].label = Some("big".to_owned());
-    spec.steps[0].spread = spread;
+    spec.steps[0].max_per_runner = spread;
     spec
 }
 
@@ -91,7 +91,7 @@
 async fn spreads() -> Result<()> {
     let world = kinds().await?;
     let mut spec = job("work 500", &[10]);
-    spec.steps[0].spread = 1;
+    spec.steps[0].max_per_runner = 1;
     world.submit("j", spec.clone()).await?;
     sleep_ms(300).await;
     let running = world.fleet.running().len();
@@ -104,7 +104,7 @@
     let world = kinds().await?;
     let mut spec = labelled("work 1500", 3, 1);
     spec.schedule = Some(hoisthitch_jobs::JobSchedule {
-        first_ms: world.fleet.today_ms() + 200,
+        first_ms: world.fleet.unix_ms() + 200,
         interval_ms: 300,
         repetitions: 3,
     });
--- a/crates/hoisthitch-scheduler/tests/contracts/turns.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/turns.rs
@@ -190,9 +190,9 @@
 /// Time from the wave's order to the first order about a VM.
 async fn first_order_ms() -> Result<u64> {
     let world = waving_slowly().await?;
-    let from = world.fleet.today_ms();
+    let from = world.fleet.unix_ms();
     wait_order(&world).await?;
-    Ok(world.fleet.today_ms() - from)
+    Ok(world.fleet.unix_ms() - from)
 }
 
 /// The owner reaches the VMs' side and not the store.
--- a/crates/hoisthitch-scheduler/tests/ownership/configuration.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/configuration.rs
@@ -6,7 +6,7 @@
     Result,
     ensure, //
 };
-use hoisthitch_scheduler::PolicyReading;
+use hoisthitch_scheduler::PolicyStatus;
 use hoisthitch_tests::world::StoreFaults;
 
 use super::{
@@ -41,9 +41,9 @@
 
 /// Version by which a node answers; none where it refuses.
 fn answers_by(node: &TestNode) -> Option<u64> {
-    match node.shared.read_policy() {
-        PolicyReading::InForce(policy) => Some(policy.version),
-        PolicyReading::Missing | PolicyReading::Unconfirmed { .. } => None,
+    match node.shared.policy_status() {
+        PolicyStatus::Current(policy) => Some(policy.version),
+        PolicyStatus::Missing | PolicyStatus::Unconfirmed { .. } => None,
     }
 }
 
--- a/crates/hoisthitch-scheduler/tests/ownership/drains.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/drains.rs
@@ -53,7 +53,7 @@
     let world = TestWorld::start(2, at_first).await?;
     let mut spec = lasting(3, 1);
     for step in &mut spec.steps {
-        step.spread = 0;
+        step.max_per_runner = 0;
     }
     world.submit("long", spec.clone()).await?;
     world.submit("long2", spec).await?;
--- a/crates/hoisthitch-scheduler/tests/ownership/suspends.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/suspends.rs
@@ -13,7 +13,7 @@
     ensure, //
 };
 use hoisthitch_jobs::JobPhase;
-use hoisthitch_scheduler::PolicyReading;
+use hoisthitch_scheduler::PolicyStatus;
 use hoisthitch_tests::world::StoreFaults;
 
 use super::{
@@ -50,9 +50,9 @@
     cut_store(&world, "node-0");
     node.suspend(6_000).await;
     sleep_ms(5).await;
-    let reading = node.shared.read_policy();
+    let reading = node.shared.policy_status();
     ensure!(
-        matches!(reading, PolicyReading::Unconfirmed { .. }),
+        matches!(reading, PolicyStatus::Unconfirmed { .. }),
         "answers by {reading:?}"
     );
     ensure!(!node.shared.is_ready(), "it takes callers");
--- a/crates/hoisthitch-scheduler/tests/ownership/waves.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/waves.rs
@@ -101,7 +101,7 @@
 async fn moves_crowded() -> Result<()> {
     let world = TestWorld::start(3, 2).await?;
     let mut spec = lasting(4, 1);
-    spec.steps[0].spread = 0;
+    spec.steps[0].max_per_runner = 0;
     world.submit("long", spec).await?;
     sleep_ms(3_000).await;
     world.begin_runner("vm-2");
--- a/crates/hoisthitch-scheduler/tests/policy.rs
+++ b/crates/hoisthitch-scheduler/tests/policy.rs
@@ -36,12 +36,12 @@
         host: host.to_owned(),
         prefix,
         pool: "halls".to_owned(),
-        open: false,
+        anonymous: false,
         policy: QueuePolicy {
             priority: 0,
             max_attempts: 3,
             stretch: 1.6,
-            aim_ms: 600,
+            target_latency_ms: 600,
             advised: false,
         },
     }
--- a/crates/hoisthitch-scheduler/tests/teams.rs
+++ b/crates/hoisthitch-scheduler/tests/teams.rs
@@ -11,7 +11,7 @@
 };
 use hoisthitch_jobs::{
     QueuePolicy,
-    TaskNeed, //
+    ResourceAmounts, //
 };
 use hoisthitch_scheduler::{
     CallerError,
@@ -43,7 +43,7 @@
         policy: TeamPolicy {
             name: name.into(),
             weight: 1.0,
-            limit: TaskNeed::default(),
+            limit: ResourceAmounts::default(),
             keys: 0,
         },
         keys: keys
@@ -53,7 +53,7 @@
     }
 }
 
-fn queue(open: bool) -> QueueRoute {
+fn queue(anonymous: bool) -> QueueRoute {
     QueueRoute {
         name: "hold".to_owned(),
         host: "halls.example".to_owned(),
@@ -63,10 +63,10 @@
             priority: 0,
             max_attempts: 3,
             stretch: 1.6,
-            aim_ms: 600,
+            target_latency_ms: 600,
             advised: false,
         },
-        open,
+        anonymous,
     }
 }
 
@@ -83,48 +83,48 @@
     let policy = policy(choirs()?);
     let queue = queue(false);
     for (key, team) in [("k1", "choir"), ("k2", "choir"), ("k3", "band")] {
-        ensure!(policy.admit(&queue, Some(key)) == Ok(CallerTeam(Some(team.into()))));
+        ensure!(policy.authenticate(&queue, Some(key)) == Ok(CallerTeam(Some(team.into()))));
     }
     for key in ["", "K1", "k1 ", " k1", "k1,k2", "k", "choir"] {
         ensure!(
-            policy.admit(&queue, Some(key)) == Err(CallerError::UnknownKey),
+            policy.authenticate(&queue, Some(key)) == Err(CallerError::UnknownKey),
             "{key:?}"
         );
     }
-    ensure!(policy.admit(&queue, None) == Err(CallerError::NoKey));
+    ensure!(policy.authenticate(&queue, None) == Err(CallerError::NoKey));
     Ok(())
 }
 
 async fn opens() -> Result<()> {
     let policy = policy(choirs()?);
     let queue = queue(true);
-    ensure!(policy.admit(&queue, None) == Ok(CallerTeam(None)));
-    ensure!(policy.admit(&queue, Some("no key")) == Ok(CallerTeam(None)));
-    ensure!(policy.admit(&queue, Some("k3")) == Ok(CallerTeam(Some("band".into()))));
+    ensure!(policy.authenticate(&queue, None) == Ok(CallerTeam(None)));
+    ensure!(policy.authenticate(&queue, Some("no key")) == Ok(CallerTeam(None)));
+    ensure!(policy.authenticate(&queue, Some("k3")) == Ok(CallerTeam(Some("band".into()))));
     Ok(())
 }
 
 async fn lets_in() -> Result<()> {
     let policy = FleetPolicy::new(1, Vec::new(), Vec::new(), 1_000);
-    ensure!(policy.admit(&queue(false), None) == Ok(CallerTeam(None)));
+    ensure!(policy.authenticate(&queue(false), None) == Ok(CallerTeam(None)));
     Ok(())
 }
 
 async fn refuses() -> Result<()> {
     let twice = || vec![entry("choir", &["k1", "k1"])];
     let shared = || vec![entry("choir", &["k1"]), entry("band", &["k2", "k1"])];
-    let doubled = |team: &str, place| TeamError::DoubledKey {
+    let doubled = |team: &str, place| TeamError::DuplicateKey {
         team: team.to_owned(),
         place,
     };
     ensure!(TeamTable::new(twice()) == Err(doubled("choir", 1)));
     ensure!(TeamTable::new(shared()) == Err(doubled("band", 1)));
     let unnamed = vec![entry("choir", &[]), entry("", &["k1"])];
-    ensure!(TeamTable::new(unnamed) == Err(TeamError::Unnamed(1)));
+    ensure!(TeamTable::new(unnamed) == Err(TeamError::MissingName(1)));
     let empty = vec![entry("choir", &[""])];
     ensure!(TeamTable::new(empty) == Err(TeamError::EmptyKey("choir".to_owned())));
     let named_twice = vec![entry("choir", &[]), entry("choir", &[])];
-    ensure!(TeamTable::new(named_twice) == Err(TeamError::Doubled("choir".to_owned())));
+    ensure!(TeamTable::new(named_twice) == Err(TeamError::DuplicateName("choir".to_owned())));
     for weight in [f64::NAN, f64::INFINITY, -1.0] {
         let mut bad = entry("choir", &["k1"]);
         bad.policy.weight = weight;
@@ -142,7 +142,7 @@
     let told = format!("{policy:?}");
     ensure!(!told.contains(secret), "{told}");
     ensure!(told.contains("hidden"), "{told}");
-    let doubled = TeamError::DoubledKey {
+    let doubled = TeamError::DuplicateKey {
         team: "choir".to_owned(),
         place: 0,
     };
--- a/crates/hoisthitch-scheduler/tests/world/codec.rs
+++ b/crates/hoisthitch-scheduler/tests/world/codec.rs
@@ -2,8 +2,8 @@
 
 use hoisthitch_jobs::{
     QueuePolicy,
-    RunnerFacts,
-    TaskNeed, //
+    ResourceAmounts,
+    RunnerFacts, //
 };
 use hoisthitch_scheduler::platform::{
     FleetCodec,
@@ -15,7 +15,7 @@
     TeamKey,
     TeamPolicy,
     TeamTable,
-    WaveOrder, //
+    WaveRequest, //
 };
 use hoisthitch_tests::world::{
     POOL,
@@ -54,7 +54,7 @@
         "runner/".to_owned()
     }
 
-    fn policy(&self, key: &str, value: &[u8]) -> Option<Result<FleetPolicy, String>> {
+    fn parse_policy(&self, key: &str, value: &[u8]) -> Option<Result<FleetPolicy, String>> {
         if key != "op/policy" {
             return None;
         }
@@ -67,28 +67,28 @@
         Some(choirs(cores).map(|teams| policy.with_teams(teams)))
     }
 
-    fn wave(&self, key: &str, value: &[u8]) -> Option<Result<WaveOrder, String>> {
+    fn parse_wave(&self, key: &str, value: &[u8]) -> Option<Result<WaveRequest, String>> {
         let wave = key.strip_prefix("op/wave/")?.parse().ok()?;
         let text = String::from_utf8_lossy(value);
         // VMs, or the number that may be down at once and the VMs.
-        let (at_once, vms) = text.split_once(':').unwrap_or(("2", &text));
-        Some(Ok(WaveOrder {
+        let (max_down, vms) = text.split_once(':').unwrap_or(("2", &text));
+        Some(Ok(WaveRequest {
             wave,
             vms: vms.split(',').map(str::to_owned).collect(),
-            at_once: at_once.parse().unwrap_or(2),
+            max_down: max_down.parse().unwrap_or(2),
         }))
     }
 
-    fn runner_name<'a>(&self, key: &'a str) -> Option<&'a str> {
+    fn parse_runner_name<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix("runner/")
     }
 
-    fn runner(&self, name: &str, value: &[u8]) -> Result<RunnerRecord, String> {
+    fn parse_runner(&self, name: &str, value: &[u8]) -> Result<RunnerRecord, String> {
         let text = String::from_utf8_lossy(value);
         let draining = text.ends_with(DRAINING);
         let text = text.trim_end_matches(DRAINING);
         let (text, room) = text.split_once(ROOMY).unwrap_or((text, ""));
-        let (text, born) = text.split_once(BORN).unwrap_or((text, ""));
+        let (text, started_at) = text.split_once(BORN).unwrap_or((text, ""));
         let (vm, label) = text.split_once(LABELLED).unwrap_or((text, ""));
         let number: u16 = vm.trim_start_matches("vm-").parse().unwrap_or(0);
         Ok(RunnerRecord {
@@ -96,7 +96,7 @@
             address: ([127, 0, 0, 1], 10_000 + number).into(),
             facts: RunnerFacts {
                 name: name.to_owned(),
-                born: born.parse().ok(),
+                started_at: started_at.parse().ok(),
                 vm: vm.to_owned(),
                 capacity: read_room(room),
                 labels: vec![label.to_owned()],
@@ -106,15 +106,15 @@
         })
     }
 
-    fn wave_status(&self, wave: u64, completed: bool) -> (String, Vec<u8>) {
+    fn encode_wave_status(&self, wave: u64, completed: bool) -> (String, Vec<u8>) {
         let text = if completed { "completed" } else { "running" };
         (format!("status/wave/{wave}"), text.as_bytes().to_vec())
     }
 }
 
 /// Room as a record tells it; the usual one where it does not.
-fn read_room(text: &str) -> TaskNeed {
-    TaskNeed {
+fn read_room(text: &str) -> ResourceAmounts {
+    ResourceAmounts {
         cpu_milli: text.parse().unwrap_or(ROOM.cpu_milli),
         ..ROOM
     }
@@ -128,9 +128,9 @@
         policy: TeamPolicy {
             name: name.into(),
             weight: 1.0,
-            limit: TaskNeed {
+            limit: ResourceAmounts {
                 cpu_milli: cores * 1_000,
-                ..TaskNeed::default()
+                ..ResourceAmounts::default()
             },
             keys: 1,
         },
@@ -157,10 +157,10 @@
             priority: 0,
             max_attempts: 3,
             stretch: 2.0,
-            aim_ms: 600,
+            target_latency_ms: 600,
             advised: false,
         },
-        open: false,
+        anonymous: false,
     }
 }
 
--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -28,21 +28,21 @@
 use hoisthitch_jobs::{
     JobPhase,
     JobSpec,
-    StepSpec,
-    TaskNeed, //
+    ResourceAmounts,
+    StepSpec, //
 };
 use hoisthitch_scheduler::{
     CallScope,
     CancelAnswer,
-    JobDesk,
     JobKeys,
+    JobService,
     NodeClock,
     NodeIdentity,
     NodeMetrics,
     NodeShared,
+    StalenessLimits,
     StatusAnswer,
     SubmitAnswer,
-    ViewHolds,
     platform::{
         Platform,
         QueueRoute, //
@@ -77,7 +77,7 @@
 
 /// Times for which a node acts on a configuration and on a list of runners that are not
 /// confirmed again.
-const HOLDS: ViewHolds = ViewHolds {
+const HOLDS: StalenessLimits = StalenessLimits {
     policy: Duration::from_secs(3),
     runners: Duration::from_millis(1_600),
 };
@@ -146,7 +146,7 @@
 pub struct TestNode {
     /// What it shares.
     pub shared: Arc<NodeShared>,
-    desk: JobDesk<MemoryStore>,
+    service: JobService<MemoryStore>,
     frozen: Rc<Cell<bool>>,
     killed: Rc<Cell<bool>>,
     /// Time for which its VM was suspended, in milliseconds.
@@ -193,8 +193,8 @@
         spec: JobSpec,
         time_ms: u64,
     ) -> SubmitAnswer {
-        let give_up = self.shared.clock.now() + time_ms;
-        self.desk.submit(queue, scope, id, spec, give_up).await
+        let deadline = self.shared.clock.now() + time_ms;
+        self.service.submit(queue, scope, id, spec, deadline).await
     }
 
     /// Tells the node to hand its pools over and end.
@@ -214,7 +214,7 @@
     /// How far the time of day of a node is ahead, in milliseconds, by name;
     /// counts from the node's next start on.
     pub ahead: BTreeMap<String, i64>,
-    lives: u64,
+    instances: u64,
 }
 
 impl TestWorld {
@@ -240,7 +240,7 @@
             fleet,
             nodes: BTreeMap::new(),
             ahead: BTreeMap::new(),
-            lives: 0,
+            instances: 0,
         };
         spawn_local(run_outside());
         world.store.put("op/policy", Some(b"1"), 0);
@@ -299,7 +299,8 @@
 
     /// Changes a runner's room, in thousandths of a core, and its record.
     pub fn set_room(&self, name: &str, vm: &str, cpu_milli: u64) {
-        self.fleet.set_room(name, TaskNeed { cpu_milli, ..ROOM });
+        self.fleet
+            .set_room(name, ResourceAmounts { cpu_milli, ..ROOM });
         self.record_runner(name, vm);
     }
 
@@ -309,13 +310,13 @@
     }
 
     /// Starts a node with that power, in thousandths of a core.
-    pub fn start_node_with(&mut self, name: &str, power: u64) -> eyre::Result<()> {
-        self.lives += 1;
+    pub fn start_node_with(&mut self, name: &str, cpu_milli: u64) -> eyre::Result<()> {
+        self.instances += 1;
         let metrics = NodeMetrics::new()?;
         let ahead = self.ahead.get(name).copied().unwrap_or(0);
         let asleep = Arc::new(AtomicU64::new(0));
-        let today_ms = self.fleet.today_ms().saturating_add_signed(ahead);
-        let clock = NodeClock::start_at(today_ms, asleep.clone());
+        let unix_ms = self.fleet.unix_ms().saturating_add_signed(ahead);
+        let clock = NodeClock::start_for_test(unix_ms, asleep.clone());
         let shared = NodeShared::with_clock(metrics, HOLDS, clock);
         let platform = TestPlatform {
             store: self.store.for_node(name),
@@ -325,20 +326,20 @@
         };
         let identity = NodeIdentity {
             node: name.to_owned(),
-            life: self.lives,
+            instance: self.instances,
             hall: "augusta".to_owned(),
-            power,
+            cpu_milli,
         };
         let keys = JobKeys::new("test");
         let set = LocalSet::new();
-        let desk = {
+        let service = {
             let _guard = set.enter();
-            JobDesk::open(platform.store.clone(), shared.clone(), keys.clone())
+            JobService::open(platform.store.clone(), shared.clone(), keys.clone())
         };
         set.spawn_local(run_node(platform, shared.clone(), keys, identity));
         let node = TestNode {
             shared,
-            desk,
+            service,
             frozen: Rc::default(),
             killed: Rc::default(),
             asleep,
@@ -395,8 +396,8 @@
             if node.frozen.get() || node.killed.get() {
                 continue;
             }
-            let give_up = node.shared.clock.now() + 2_000;
-            if node.desk.cancel(CallScope::All, id, give_up).await == CancelAnswer::Accepted {
+            let deadline = node.shared.clock.now() + 2_000;
+            if node.service.cancel(CallScope::All, id, deadline).await == CancelAnswer::Accepted {
                 self.fleet.note_cancel_answer(id);
                 return Ok(());
             }
@@ -410,7 +411,7 @@
             if node.frozen.get() || node.killed.get() {
                 continue;
             }
-            if let StatusAnswer::Known(phase) = node.desk.status(CallScope::All, id).await {
+            if let StatusAnswer::Known(phase) = node.service.status(CallScope::All, id).await {
                 return Some(phase);
             }
         }
@@ -439,10 +440,11 @@
 }
 
 fn write_record(store: &MemoryStore, fleet: &MemoryFleet, name: &str, vm: &str) {
-    let born = fleet.born(name);
-    let born = born.map_or_else(String::new, |born| format!("{BORN}{born}"));
+    let started_at = fleet.started_at(name);
+    let started_at =
+        started_at.map_or_else(String::new, |started_at| format!("{BORN}{started_at}"));
     let room = fleet.room(name).cpu_milli;
-    let record = format!("{vm}{born}{ROOMY}{room}");
+    let record = format!("{vm}{started_at}{ROOMY}{room}");
     store.put(&format!("runner/{name}"), Some(record.as_bytes()), 0);
 }
 
@@ -455,7 +457,7 @@
 pub fn job(payload: &str, counts: &[u32]) -> JobSpec {
     let steps = (0..).zip(counts).map(|(number, count)| StepSpec {
         count: *count,
-        need: TaskNeed {
+        need: ResourceAmounts {
             cpu_milli: 1_000,
             memory_mb: 500,
             gpus: 0,
@@ -476,12 +478,12 @@
 }
 
 /// A job whose tasks run until it is cancelled.
-pub fn lasting(count: u32, may_miss: u32) -> JobSpec {
+pub fn lasting(count: u32, max_unavailable: u32) -> JobSpec {
     let mut spec = job("lasts", &[count]);
     for step in &mut spec.steps {
-        step.lasting = true;
-        step.spread = 1;
-        step.may_miss = may_miss;
+        step.long_running = true;
+        step.max_per_runner = 1;
+        step.max_unavailable = max_unavailable;
     }
     spec
 }
--- a/crates/hoisthitch-standin/src/platform/list.rs
+++ b/crates/hoisthitch-standin/src/platform/list.rs
@@ -18,7 +18,7 @@
 };
 use hoisthitch_store::{
     ListedVm,
-    RebootCall,
+    RebootRequest,
     VmState, //
 };
 use serde::Deserialize;
@@ -104,8 +104,8 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn reboot(state: web::Data<PlatformState>, call: web::Json<RebootCall>) -> HttpResponse {
-    let RebootCall { vm, boots } = call.into_inner();
+async fn reboot(state: web::Data<PlatformState>, call: web::Json<RebootRequest>) -> HttpResponse {
+    let RebootRequest { vm, boots } = call.into_inner();
     let Some(time) = state.list.begin_reboot(&vm, boots) else {
         return HttpResponse::Ok().finish();
     };
--- a/crates/hoisthitch-steward/src/act.rs
+++ b/crates/hoisthitch-steward/src/act.rs
@@ -34,7 +34,7 @@
 };
 use hoisthitch_store::{
     KeySpace,
-    RebootCall,
+    RebootRequest,
     RecordWriter,
     StoreClient,
     StoreError,
@@ -133,7 +133,7 @@
                 self.withdraw(view, &pool, &target).await
             }
             FleetAction::BeginLeave { pool, target, task } => {
-                self.begin_leave(view, &pool, &target, task).await
+                self.begin_drain(view, &pool, &target, task).await
             }
             FleetAction::FinishMove { pool, target, to } => {
                 self.finish_move(view, &pool, &target, &to).await
@@ -159,19 +159,19 @@
         target: &VmTarget,
     ) -> Result<(), ActionError> {
         let raised = self.change_vm(target, |assignment| {
-            assignment.void_plans(target.fence, pool)
+            assignment.invalidate_plans(target.fence, pool)
         });
         match raised.await {
             Ok(()) | Err(ActionError::Hall(HallError::Unassigned(_))) => {}
             Err(err) => return Err(err),
         }
-        self.give_back(view, pool, &target.vm).await?;
+        self.release_permit(view, pool, &target.vm).await?;
         event!(Info, "permit_withdrawn", pool = pool, vm = target.vm);
         Ok(())
     }
 
     /// Takes a permit, then has the VM's requests end.
-    async fn begin_leave(
+    async fn begin_drain(
         &self,
         view: &FleetView,
         pool: &str,
@@ -188,7 +188,7 @@
         self.take_permit(pool, target, &ask).await?;
         let kind = task_name(&task);
         let left = self.change_vm(target, |assignment| {
-            assignment.begin_leave(target.fence, pool, task.clone())
+            assignment.begin_drain(target.fence, pool, task.clone())
         });
         left.await?;
         event!(
@@ -212,7 +212,9 @@
         to: &str,
     ) -> Result<(), ActionError> {
         if view.table.pool(to).is_none() {
-            return self.end_leave(view, pool, target, "the pool is gone").await;
+            return self
+                .cancel_drain(view, pool, target, "the pool is gone")
+                .await;
         }
         self.pass_barrier(view, target).await?;
         let moved = self.change_vm(target, |assignment| {
@@ -220,7 +222,7 @@
         });
         moved.await?;
         event!(Info, "vm_moved", vm = target.vm, from = pool, to = to);
-        self.give_back(view, pool, &target.vm).await
+        self.release_permit(view, pool, &target.vm).await
     }
 
     async fn begin_reboot(
@@ -240,7 +242,7 @@
 
     async fn reboot(&self, target: &VmTarget, boots: u64) -> Result<(), ActionError> {
         let vm = target.vm.clone();
-        self.lister.reboot(&RebootCall { vm, boots }).await?;
+        self.lister.reboot(&RebootRequest { vm, boots }).await?;
         event!(Info, "reboot_asked", vm = target.vm, boots = boots);
         Ok(())
     }
@@ -271,18 +273,18 @@
         });
         returned.await?;
         event!(Info, "vm_back", vm = target.vm, pool = pool, wave = wave);
-        self.give_back(view, pool, &target.vm).await
+        self.release_permit(view, pool, &target.vm).await
     }
 
     /// Has a VM serve its pool again without having gone anywhere.
-    async fn end_leave(
+    async fn cancel_drain(
         &self,
         view: &FleetView,
         pool: &str,
         target: &VmTarget,
         reason: &str,
     ) -> Result<(), ActionError> {
-        let returned = self.change_vm(target, |assignment| assignment.end_leave(target.fence));
+        let returned = self.change_vm(target, |assignment| assignment.cancel_drain(target.fence));
         returned.await?;
         event!(
             Info,
@@ -291,7 +293,7 @@
             pool = pool,
             reason = reason
         );
-        self.give_back(view, pool, &target.vm).await
+        self.release_permit(view, pool, &target.vm).await
     }
 
     /// Passes when no entry has requests at the VM or will send any.
@@ -375,14 +377,19 @@
     }
 
     /// Returns the permit that the plan was based on, and no later one.
-    async fn give_back(&self, view: &FleetView, pool: &str, vm: &str) -> Result<(), ActionError> {
+    async fn release_permit(
+        &self,
+        view: &FleetView,
+        pool: &str,
+        vm: &str,
+    ) -> Result<(), ActionError> {
         let ledger = view.ledgers.get(pool);
         let Some(permit) = ledger.and_then(|ledger| ledger.find(vm)) else {
             return Ok(());
         };
         let change = |stored: Option<PermitLedger>, stamp| {
             let mut ledger = stored.unwrap_or_else(|| PermitLedger::new(pool));
-            if !ledger.give_back(permit.operation) {
+            if !ledger.release(permit.operation) {
                 return Err(ActionError::Void("the permit is gone"));
             }
             ledger.sign(stamp);
--- a/crates/hoisthitch-steward/src/view.rs
+++ b/crates/hoisthitch-steward/src/view.rs
@@ -5,11 +5,11 @@
 use hoisthitch_core::{
     FleetSnapshot,
     HallRecord,
+    ObservedVm,
     PermitLedger,
     PolicyTable,
     RosterEntry,
     RosterRecord,
-    VmSighting,
     WaveRecord, //
 };
 use hoisthitch_store::{
@@ -50,7 +50,7 @@
     /// Names of the stewards that are alive.
     pub stewards: Vec<String>,
     /// VMs that the platform lists.
-    pub listed: BTreeMap<String, VmSighting>,
+    pub listed: BTreeMap<String, ObservedVm>,
 }
 
 /// An entry and the roster that it is on.
@@ -183,8 +183,8 @@
     }
 }
 
-fn sighting(listed: &ListedVm) -> (String, VmSighting) {
-    let sighting = VmSighting {
+fn sighting(listed: &ListedVm) -> (String, ObservedVm) {
+    let sighting = ObservedVm {
         live: listed.state == VmState::Live,
         boots: listed.boots,
     };
--- a/crates/hoisthitch-store/src/claim.rs
+++ b/crates/hoisthitch-store/src/claim.rs
@@ -91,7 +91,7 @@
 
 /// What a request is told that asked for a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ClaimVerdict {
+pub enum ClaimOutcome {
     /// The request may be sent.
     Granted(ClaimTicket),
     /// Another try holds the key, or held it and was lost.
@@ -114,7 +114,7 @@
 
 /// How a granted claim ended.
 #[derive(Clone, Debug)]
-pub enum ClaimEnd {
+pub enum ClaimResolution {
     /// The request ran.
     Ran(ClaimAnswer),
     /// The request did not run; the key is free again.
@@ -137,33 +137,33 @@
 struct CreateJob {
     key: String,
     record: ClaimRecord,
-    give_up: Instant,
-    reply: oneshot::Sender<ClaimVerdict>,
+    deadline: Instant,
+    reply: oneshot::Sender<ClaimOutcome>,
 }
 
 #[derive(Debug)]
 struct EndJob {
     ticket: ClaimTicket,
-    end: ClaimEnd,
-    give_up: Instant,
+    end: ClaimResolution,
+    deadline: Instant,
 }
 
 impl ClaimClient {
-    /// Claims a key for a request; the answer comes by `give_up`.
-    pub async fn claim(&self, key: String, record: ClaimRecord, give_up: Instant) -> ClaimVerdict {
-        let (reply, verdict) = oneshot::channel();
+    /// Claims a key for a request; the answer comes by `deadline`.
+    pub async fn claim(&self, key: String, record: ClaimRecord, deadline: Instant) -> ClaimOutcome {
+        let (reply, outcome) = oneshot::channel();
         let job = ClaimJob::Create(CreateJob {
             key,
             record,
-            give_up,
+            deadline,
             reply,
         });
         if self.jobs.try_send(job).is_err() {
-            return ClaimVerdict::Unavailable;
+            return ClaimOutcome::Unavailable;
         }
-        match tokio::time::timeout_at(give_up, verdict).await {
-            Ok(Ok(verdict)) => verdict,
-            Ok(Err(_)) | Err(_) => ClaimVerdict::Unavailable,
+        match tokio::time::timeout_at(deadline, outcome).await {
+            Ok(Ok(outcome)) => outcome,
+            Ok(Err(_)) | Err(_) => ClaimOutcome::Unavailable,
         }
     }
 
@@ -171,11 +171,11 @@
     ///
     /// When the note can't be taken, the key stays claimed until its lease
     /// lapses, which is safe.
-    pub fn end(&self, ticket: ClaimTicket, end: ClaimEnd) {
+    pub fn end(&self, ticket: ClaimTicket, end: ClaimResolution) {
         let job = ClaimJob::End(EndJob {
             ticket,
             end,
-            give_up: Instant::now() + SETTLE_PATIENCE,
+            deadline: Instant::now() + SETTLE_PATIENCE,
         });
         let _ = self.jobs.try_send(job);
     }
@@ -257,7 +257,7 @@
             .failed
             .is_some_and(|failed| failed.elapsed() < BREAK_TIME);
         match job {
-            ClaimJob::Create(create) if broken => reply(create, ClaimVerdict::Unavailable),
+            ClaimJob::Create(create) if broken => reply(create, ClaimOutcome::Unavailable),
             job => self.pending.push(job),
         }
     }
@@ -321,7 +321,7 @@
     /// Gives up on jobs whose time is over.
     fn drop_late(&mut self) {
         let now = Instant::now();
-        let late = |job: &ClaimJob| job.give_up() <= now;
+        let late = |job: &ClaimJob| job.deadline() <= now;
         let (late, rest) = std::mem::take(&mut self.pending)
             .into_iter()
             .partition::<Vec<_>, _>(late);
@@ -345,10 +345,10 @@
 }
 
 impl ClaimJob {
-    fn give_up(&self) -> Instant {
+    fn deadline(&self) -> Instant {
         match self {
-            Self::Create(create) => create.give_up,
-            Self::End(end) => end.give_up,
+            Self::Create(create) => create.deadline,
+            Self::End(end) => end.deadline,
         }
     }
 
@@ -378,7 +378,7 @@
     }
 }
 
-impl ClaimEnd {
+impl ClaimResolution {
     /// Record that the claim ends with; none where the key is freed.
     fn record(&self, claimed: &ClaimRecord) -> Option<ClaimRecord> {
         match self {
@@ -406,7 +406,7 @@
         revision,
         record: create.record,
     };
-    let granted = ClaimVerdict::Granted(ticket.clone());
+    let granted = ClaimOutcome::Granted(ticket.clone());
     create.reply.send(granted).err()?;
     Some(free(ticket))
 }
@@ -415,14 +415,14 @@
 fn free(ticket: ClaimTicket) -> ClaimJob {
     ClaimJob::End(EndJob {
         ticket,
-        end: ClaimEnd::NotRun,
-        give_up: Instant::now() + SETTLE_PATIENCE,
+        end: ClaimResolution::NotRun,
+        deadline: Instant::now() + SETTLE_PATIENCE,
     })
 }
 
-fn reply(create: CreateJob, verdict: ClaimVerdict) {
+fn reply(create: CreateJob, outcome: ClaimOutcome) {
     // A request whose caller is gone needs no verdict.
-    let _ = create.reply.send(verdict);
+    let _ = create.reply.send(outcome);
 }
 
 /// Judges one job of a batch that met a conflict; a job to go on with is
@@ -439,20 +439,20 @@
         return Some(ClaimJob::Create(create));
     };
     let Ok(record) = serde_json::from_slice::<ClaimRecord>(&stored.value) else {
-        reply(create, ClaimVerdict::InProgress);
+        reply(create, ClaimOutcome::InProgress);
         return None;
     };
     if record.operation == create.record.operation && record.entry == create.record.entry {
         return grant(create, stored.revision);
     }
-    let verdict = if record.fingerprint != create.record.fingerprint {
-        ClaimVerdict::Mismatch
+    let outcome = if record.fingerprint != create.record.fingerprint {
+        ClaimOutcome::Mismatch
     } else if let Some(answer) = record.answer {
-        ClaimVerdict::Answered(answer)
+        ClaimOutcome::Answered(answer)
     } else {
-        ClaimVerdict::InProgress
+        ClaimOutcome::InProgress
     };
-    reply(create, verdict);
+    reply(create, outcome);
     None
 }
 
@@ -478,7 +478,7 @@
         revision: StoreRevision::UNKNOWN,
         record: create.record.clone(),
     };
-    reply(create, ClaimVerdict::Unavailable);
+    reply(create, ClaimOutcome::Unavailable);
     Some(free(ticket))
 }
 
--- a/crates/hoisthitch-store/src/client.rs
+++ b/crates/hoisthitch-store/src/client.rs
@@ -79,11 +79,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WatchEvent {
     /// The watch is in place; what there is has to be read.
-    Opened,
+    Created,
     /// The watch is in place, and this is all there is.
-    All(Vec<StoredValue>),
+    Snapshot(Vec<StoredValue>),
     /// Nothing changed for a while; the watch is alive.
-    Quiet,
+    Unchanged,
     /// A value was written.
     Put(StoredValue),
     /// A value was removed.
@@ -101,24 +101,24 @@
     fn next(&mut self) -> impl Future<Output = Option<Result<WatchEvent, StoreError>>>;
 
     /// Whether every change that has come in was given out.
-    fn is_drained(&self) -> bool;
+    fn is_buffer_empty(&self) -> bool;
 
     /// A time before which nothing was written that this watch has not told of, or
     /// holds ready; none where that can't be known.
-    fn complete_at(&self) -> Option<Instant> {
+    fn complete_as_of(&self) -> Option<Instant> {
         None
     }
 
     /// Has the next look wait only shortly, to learn soon whether there is more.
-    fn hurry(&mut self) {}
+    fn shorten_next_wait(&mut self) {}
 
     /// Whether more may be ready than the last look was answered with.
-    fn may_lag(&self) -> bool {
+    fn may_have_more(&self) -> bool {
         false
     }
 
     /// Whether the watch goes on where it was after such an error, and misses nothing.
-    fn goes_on_after(&self, _err: &StoreError) -> bool {
+    fn can_resume_after(&self, _err: &StoreError) -> bool {
         false
     }
 }
--- a/crates/hoisthitch-store/src/error.rs
+++ b/crates/hoisthitch-store/src/error.rs
@@ -74,7 +74,7 @@
 
 impl StoreError {
     /// Whether the call was turned away, and nothing was done, for there were too many.
-    pub fn is_over_limit(&self) -> bool {
+    pub fn is_rate_limited(&self) -> bool {
         matches!(self, Self::Status { status, .. } if *status == TOO_MANY)
     }
 }
--- a/crates/hoisthitch-store/src/etcd.rs
+++ b/crates/hoisthitch-store/src/etcd.rs
@@ -311,7 +311,7 @@
         }
     }
 
-    fn is_drained(&self) -> bool {
+    fn is_buffer_empty(&self) -> bool {
         self.ready.is_empty() && self.buffer.is_empty()
     }
 }
@@ -329,7 +329,7 @@
         let line = self.buffer.split_to(end + 1);
         let line: message::WatchLine = decode(CALL, &line)?;
         if line.result.created {
-            self.ready.push(WatchEvent::Opened);
+            self.ready.push(WatchEvent::Created);
         }
         for event in line.result.events.into_iter().rev() {
             self.ready.push(to_event(CALL, event)?);
--- a/crates/hoisthitch-store/src/lib.rs
+++ b/crates/hoisthitch-store/src/lib.rs
@@ -22,10 +22,10 @@
     ClaimAnswer,
     ClaimBody,
     ClaimClient,
-    ClaimEnd,
+    ClaimOutcome,
     ClaimRecord,
+    ClaimResolution,
     ClaimTicket,
-    ClaimVerdict,
     ClaimWriter, //
 };
 pub use client::{
@@ -50,7 +50,7 @@
 };
 pub use vms::{
     ListedVm,
-    RebootCall,
+    RebootRequest,
     VmLister,
     VmListing,
     VmState, //
--- a/crates/hoisthitch-store/src/recognise.rs
+++ b/crates/hoisthitch-store/src/recognise.rs
@@ -43,14 +43,14 @@
 /// A record that tells who wrote it.
 pub trait StampedRecord: Serialize + DeserializeOwned {
     /// Whether the operation's write went into this record or one before it.
-    fn carries(&self, stamp: &WriterStamp) -> bool;
+    fn was_written_by(&self, stamp: &WriterStamp) -> bool;
 }
 
 /// Records that carry their writer's stamp and those of the writers before.
 macro_rules! stamped_records {
     ($($record:ident),+ $(,)?) => {
         $(impl StampedRecord for $record {
-            fn carries(&self, stamp: &WriterStamp) -> bool {
+            fn was_written_by(&self, stamp: &WriterStamp) -> bool {
                 self.stamp == *stamp || self.recent.contains(stamp)
             }
         })+
@@ -80,7 +80,7 @@
     #[error(
         "whether {key} was written is not known: {source}; read it again before you repeat the change"
     )]
-    Unclear {
+    OutcomeUnknown {
         /// Key of the record.
         key: String,
         /// Last error of the store.
@@ -177,7 +177,7 @@
     /// # Errors
     ///
     /// [`WriteError::Conflict`] says that the write has not taken effect and
-    /// won't; [`WriteError::Unclear`] that this is not known.
+    /// won't; [`WriteError::OutcomeUnknown`] that this is not known.
     pub async fn write<R: StampedRecord>(
         &self,
         key: &str,
@@ -189,7 +189,7 @@
             key: key.to_owned(),
             fault: err.to_string(),
         })?;
-        let give_up = Instant::now() + self.patience;
+        let deadline = Instant::now() + self.patience;
         let mut unclear = false;
         loop {
             let err = match self.store.swap(key, expected, &value, None).await {
@@ -200,9 +200,9 @@
                 Err(err) => err,
             };
             unclear = true;
-            if Instant::now() >= give_up {
+            if Instant::now() >= deadline {
                 let key = key.to_owned();
-                return Err(WriteError::Unclear { key, source: err });
+                return Err(WriteError::OutcomeUnknown { key, source: err });
             }
             tokio::time::sleep(SETTLE_WAIT).await;
         }
@@ -228,7 +228,7 @@
 ) -> Result<StoreRevision, WriteError> {
     if unclear && let Some(stored) = &found {
         let record: Option<R> = serde_json::from_slice(&stored.value).ok();
-        if record.is_some_and(|record| record.carries(stamp)) {
+        if record.is_some_and(|record| record.was_written_by(stamp)) {
             return Ok(stored.revision);
         }
     }
--- a/crates/hoisthitch-store/src/vms.rs
+++ b/crates/hoisthitch-store/src/vms.rs
@@ -71,7 +71,7 @@
 
 /// Asks for a VM to be started again.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct RebootCall {
+pub struct RebootRequest {
     /// Name of the VM.
     pub vm: String,
     /// Boots that the caller knows of; a VM that was started since is left alone,
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// Fails when the platform can't be reached or refuses.
-    pub async fn reboot(&self, call: &RebootCall) -> Result<(), StoreError> {
+    pub async fn reboot(&self, call: &RebootRequest) -> Result<(), StoreError> {
         const CALL: &str = "/vms/reboot";
         let request = self.http.post(format!("{}{CALL}", self.endpoint));
         self.exchange(CALL, request.send_json(call)).await?;
--- a/crates/hoisthitch-tests/src/fleet.rs
+++ b/crates/hoisthitch-tests/src/fleet.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::{
-    http::HttpAsk,
+    http::TestRequest,
     plan::FleetPlan,
     process::ChildProcess,
     wait::wait_until, //
@@ -118,7 +118,7 @@
         };
         wait_until("the platform", || async {
             let url = fleet.platform_url("/vms");
-            HttpAsk::get(&url).send().await.ok()
+            TestRequest::get(&url).send().await.ok()
         })
         .await?;
         fleet.start_runners()?;
--- a/crates/hoisthitch-tests/src/http.rs
+++ b/crates/hoisthitch-tests/src/http.rs
@@ -23,7 +23,7 @@
 
 /// A request of a test.
 #[derive(Clone, Debug)]
-pub struct HttpAsk {
+pub struct TestRequest {
     method: Method,
     url: String,
     headers: Vec<(String, String)>,
@@ -32,7 +32,7 @@
 
 /// The answer to a request of a test.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
+pub struct TestResponse {
     /// Status.
     pub status: u16,
     /// Headers, with names in lower case.
@@ -41,7 +41,7 @@
     pub body: Vec<u8>,
 }
 
-impl HttpAsk {
+impl TestRequest {
     /// A GET.
     pub fn get(url: &str) -> Self {
         Self::new(Method::GET, url)
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Fails when no whole answer comes.
-    pub async fn send(self) -> Result<HttpAnswer> {
+    pub async fn send(self) -> Result<TestResponse> {
         let client = Client::builder().timeout(LIMIT).finish();
         let mut request = client.request(self.method, self.url).force_close();
         for (name, value) in &self.headers {
@@ -122,7 +122,7 @@
         let headers = headers.collect();
         let status = response.status().as_u16();
         let body = response.body().limit(ANSWER_LIMIT).await?;
-        Ok(HttpAnswer {
+        Ok(TestResponse {
             status,
             headers,
             body: body.to_vec(),
@@ -130,7 +130,7 @@
     }
 }
 
-impl HttpAnswer {
+impl TestResponse {
     /// Value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
--- a/crates/hoisthitch-tests/src/lib.rs
+++ b/crates/hoisthitch-tests/src/lib.rs
@@ -25,8 +25,8 @@
 };
 pub use fleet::Fleet;
 pub use http::{
-    HttpAnswer,
-    HttpAsk, //
+    TestRequest,
+    TestResponse, //
 };
 pub use load::SteadyLoad;
 pub use plan::{
--- a/crates/hoisthitch-tests/src/load.rs
+++ b/crates/hoisthitch-tests/src/load.rs
@@ -12,7 +12,7 @@
 };
 use tokio::task::JoinHandle;
 
-use crate::http::HttpAsk;
+use crate::http::TestRequest;
 
 /// Callers that send requests one after the other until they are stopped.
 pub struct SteadyLoad {
@@ -55,7 +55,7 @@
     while !end.get() {
         number += 1;
         let body = format!("body-{caller}-{number}");
-        let ask = HttpAsk::post(&url, body.as_bytes())
+        let ask = TestRequest::post(&url, body.as_bytes())
             .header("x-request-name", &format!("l-{caller}-{number}"))
             .header("x-work-us", &work_us.to_string());
         let Ok(answer) = ask.send().await else {
--- a/crates/hoisthitch-tests/src/operate.rs
+++ b/crates/hoisthitch-tests/src/operate.rs
@@ -32,8 +32,8 @@
         TOKEN, //
     },
     http::{
-        HttpAnswer,
-        HttpAsk, //
+        TestRequest,
+        TestResponse, //
     },
     wait::wait_until, //
 };
@@ -49,8 +49,8 @@
         entry: usize,
         path: &str,
         call: &Q,
-    ) -> Result<HttpAnswer> {
-        HttpAsk::post_json(&self.operator_url(entry, path), call)?
+    ) -> Result<TestResponse> {
+        TestRequest::post_json(&self.operator_url(entry, path), call)?
             .header("authorization", &format!("Bearer {TOKEN}"))
             .send()
             .await
@@ -120,9 +120,10 @@
     /// # Errors
     ///
     /// Fails when the entry does not answer.
-    pub async fn operator_get(&self, index: usize, path: &str) -> Result<HttpAnswer> {
-        let ask = HttpAsk::get(&self.operator_url(index, path));
-        ask.header("authorization", &format!("Bearer {TOKEN}"))
+    pub async fn operator_get(&self, index: usize, path: &str) -> Result<TestResponse> {
+        let request = TestRequest::get(&self.operator_url(index, path));
+        request
+            .header("authorization", &format!("Bearer {TOKEN}"))
             .send()
             .await
     }
@@ -138,7 +139,7 @@
         pool: &str,
         column: &str,
         value: &str,
-    ) -> Result<HttpAnswer> {
+    ) -> Result<TestResponse> {
         let table = self.table(entry).await?;
         let row = table.pool(pool).ok_or_eyre("no such pool")?;
         let row = row.with_cell(column, value)?;
@@ -165,7 +166,7 @@
     /// Fails when the entry is not ready.
     pub async fn ready_revision(&self, entry: usize) -> Result<u64> {
         let url = self.operator_url(entry, "/ready");
-        let answer = HttpAsk::get(&url).send().await?;
+        let answer = TestRequest::get(&url).send().await?;
         let revision = answer
             .header("hoisthitch-revision")
             .ok_or_eyre("no revision")?;
@@ -202,7 +203,7 @@
     /// # Errors
     ///
     /// Fails when the entry does not answer.
-    pub async fn edit(&self, entry: usize, edits: Vec<RowEdit>) -> Result<HttpAnswer> {
+    pub async fn edit(&self, entry: usize, edits: Vec<RowEdit>) -> Result<TestResponse> {
         self.edit_call(entry, edits).await
     }
 
@@ -211,14 +212,14 @@
         &self,
         entry: usize,
         edits: Vec<RowEdit>,
-    ) -> impl Future<Output = Result<HttpAnswer>> + use<> {
+    ) -> impl Future<Output = Result<TestResponse>> + use<> {
         let url = self.operator_url(entry, "/table/edits");
         async move {
             let call = EditCall {
                 edits,
                 dry_run: false,
             };
-            HttpAsk::post_json(&url, &call)?
+            TestRequest::post_json(&url, &call)?
                 .header("authorization", &format!("Bearer {TOKEN}"))
                 .send()
                 .await
@@ -267,9 +268,9 @@
         };
         let url = self.operator_url(0, "/vms/assign");
         wait_until("an assignment", || async {
-            let ask = HttpAsk::post_json(&url, &call).ok()?;
-            let ask = ask.header("authorization", &format!("Bearer {TOKEN}"));
-            let answer = ask.send().await.ok()?;
+            let request = TestRequest::post_json(&url, &call).ok()?;
+            let request = request.header("authorization", &format!("Bearer {TOKEN}"));
+            let answer = request.send().await.ok()?;
             (answer.status == 200).then_some(())
         })
         .await
--- a/crates/hoisthitch-tests/src/plan.rs
+++ b/crates/hoisthitch-tests/src/plan.rs
@@ -2,7 +2,7 @@
 
 use hoisthitch_core::{
     PoolRow,
-    RepeatRule,
+    RetryRule,
     TeamRow, //
 };
 
@@ -59,7 +59,7 @@
                 background_deadline_ms: 30_000,
                 background_percent: 100,
                 retry_percent: 20,
-                repeat: RepeatRule::Method,
+                repeat: RetryRule::Method,
                 min_vms: 1,
                 max_absent: 1,
             },
--- a/crates/hoisthitch-tests/src/platform.rs
+++ b/crates/hoisthitch-tests/src/platform.rs
@@ -15,7 +15,7 @@
         Fleet,
         entry_name, //
     },
-    http::HttpAsk, //
+    http::TestRequest, //
 };
 
 /// A run in a runner's journal.
@@ -72,7 +72,7 @@
     ///
     /// Fails when the platform does not answer.
     pub async fn listed(&self) -> Result<Vec<ListedVm>> {
-        HttpAsk::get(&self.platform_url("/vms"))
+        TestRequest::get(&self.platform_url("/vms"))
             .send()
             .await?
             .json()
@@ -82,7 +82,7 @@
         let mut listed = self.listed().await?;
         edit(&mut listed);
         let url = self.platform_url("/standin/vms");
-        let answer = HttpAsk::put_json(&url, &listed)?.send().await?;
+        let answer = TestRequest::put_json(&url, &listed)?.send().await?;
         ensure!(answer.status == 204, "list: {}", answer.text());
         Ok(())
     }
@@ -94,7 +94,7 @@
     /// Fails when the runner does not answer.
     pub async fn journal(&self, runner: usize) -> Result<Vec<RunRecord>> {
         let url = format!("http://{}/standin/journal", self.runner_address(runner));
-        HttpAsk::get(&url).send().await?.json()
+        TestRequest::get(&url).send().await?.json()
     }
 
     /// Runs in all journals.
@@ -117,7 +117,7 @@
     /// Fails when the runner does not answer.
     pub async fn set_runner_mode(&self, runner: usize, mode: &str) -> Result<()> {
         let url = format!("http://{}/standin/mode", self.runner_address(runner));
-        let answer = HttpAsk::put_json(&url, &mode)?.send().await?;
+        let answer = TestRequest::put_json(&url, &mode)?.send().await?;
         ensure!(answer.status == 204, "mode: {}", answer.text());
         Ok(())
     }
@@ -153,14 +153,14 @@
     pub(crate) async fn put_vms(&self) -> Result<()> {
         let url = self.platform_url("/standin/vms");
         let listed: Vec<&ListedVm> = self.vms.iter().chain(&self.own_vms).collect();
-        let answer = HttpAsk::put_json(&url, &listed)?.send().await?;
+        let answer = TestRequest::put_json(&url, &listed)?.send().await?;
         ensure!(answer.status == 204, "list: {}", answer.text());
         Ok(())
     }
 
     pub(crate) async fn put_platform(&self, path: &str, plan: serde_json::Value) -> Result<()> {
         let url = self.platform_url(path);
-        let answer = HttpAsk::put_json(&url, &plan)?.send().await?;
+        let answer = TestRequest::put_json(&url, &plan)?.send().await?;
         ensure!(answer.status == 204, "{path}: {}", answer.text());
         Ok(())
     }
--- a/crates/hoisthitch-tests/src/proxies.rs
+++ b/crates/hoisthitch-tests/src/proxies.rs
@@ -13,7 +13,7 @@
         Fleet,
         strings, //
     },
-    http::HttpAsk,
+    http::TestRequest,
     process::ChildProcess,
     wait::wait_until, //
 };
@@ -73,7 +73,7 @@
     /// Fails when the proxy does not answer.
     pub async fn set_proxy(&self, port: u16, plan: serde_json::Value) -> Result<()> {
         let url = format!("http://{}/standin/plan", self.own_address(port + 1));
-        let answer = HttpAsk::put_json(&url, &plan)?.send().await?;
+        let answer = TestRequest::put_json(&url, &plan)?.send().await?;
         ensure!(answer.status == 204, "proxy: {}", answer.text());
         Ok(())
     }
--- a/crates/hoisthitch-tests/src/world/adviser.rs
+++ b/crates/hoisthitch-tests/src/world/adviser.rs
@@ -10,12 +10,12 @@
 };
 
 use hoisthitch_jobs::{
-    AdviceAsk,
+    AdviceRequest,
     AdviceTicket,
     StartOrder, //
 };
 use hoisthitch_scheduler::platform::{
-    AdviceAnswer,
+    AdviceResponse,
     AdviceSource, //
 };
 use tokio::time::Instant;
@@ -170,37 +170,37 @@
         Ok(adviser.mood)
     }
 
-    fn answer(&self, ask: &AdviceAsk) -> AdviceAnswer {
+    fn answer(&self, request: &AdviceRequest) -> AdviceResponse {
         let now = Instant::now();
         let mut guard = self.fleet.state.borrow_mut();
         let state = &mut *guard;
         let adviser = &mut state.rules.adviser;
         let runners = &state.runners;
-        let good = ask.runners.iter().filter(|name| {
-            let life = runners.get(*name).filter(|life| life.alive);
-            life.is_some_and(|life| adviser.good.contains(&life.vm))
+        let good = request.runners.iter().filter(|name| {
+            let instance = runners.get(*name).filter(|instance| instance.alive);
+            instance.is_some_and(|instance| adviser.good.contains(&instance.vm))
         });
         let good: Vec<&String> = good.collect();
         let tickets = good
             .into_iter()
-            .map(|name| adviser.give(&ask.step, name, now));
-        AdviceAnswer {
+            .map(|name| adviser.give(&request.step, name, now));
+        AdviceResponse {
             tickets: tickets.collect(),
-            valid: adviser.valid,
+            valid_for: adviser.valid,
         }
     }
 }
 
 impl AdviceSource for MemoryAdviser {
-    async fn advise(&self, ask: &AdviceAsk) -> Result<AdviceAnswer, String> {
+    async fn advise(&self, request: &AdviceRequest) -> Result<AdviceResponse, String> {
         let mood = self.enter()?;
         let answer = match mood {
             AdviserMood::Answers { call, each } => {
-                let count = u32::try_from(ask.runners.len()).unwrap_or(u32::MAX);
+                let count = u32::try_from(request.runners.len()).unwrap_or(u32::MAX);
                 let time = call + each * count;
                 tokio::time::sleep(time.min(GIVE_UP)).await;
                 if time < GIVE_UP {
-                    Ok(self.answer(ask))
+                    Ok(self.answer(request))
                 } else {
                     Err("no answer".to_owned())
                 }
--- a/crates/hoisthitch-tests/src/world/gangs.rs
+++ b/crates/hoisthitch-tests/src/world/gangs.rs
@@ -69,10 +69,10 @@
     /// Whether a gang at work lost a member before its work was done.
     fn is_broken(&self, members: &[MemberPlace], now: Instant) -> bool {
         members.iter().any(|(runner, task)| {
-            let Some(life) = self.runners.get(runner) else {
+            let Some(instance) = self.runners.get(runner) else {
                 return false;
             };
-            let Some(run) = life.running.get(task) else {
+            let Some(run) = instance.running.get(task) else {
                 return false;
             };
             let Some(part) = &run.gang else {
@@ -81,26 +81,26 @@
             let Some(since) = part.whole_since else {
                 return false;
             };
-            let lapsed = life.lease <= now && life.lease < since + run.work;
+            let lapsed = instance.lease <= now && instance.lease < since + run.work;
             members.len() < part.size || lapsed
         })
     }
 
     fn settle_member(&mut self, runner: &str, task: &str, broken: bool, now: Instant) {
-        let Some(life) = self.runners.get_mut(runner) else {
+        let Some(instance) = self.runners.get_mut(runner) else {
             return;
         };
-        let Some(run) = life.running.get(task).cloned() else {
+        let Some(run) = instance.running.get(task).cloned() else {
             return;
         };
-        let until = now.min(life.lease);
+        let until = now.min(instance.lease);
         let whole = run.work_since().is_some();
-        if whole && broken && life.lease > now {
-            life.end(task, EndKind::Broken);
+        if whole && broken && instance.lease > now {
+            instance.end(task, EndKind::GangBroken);
             self.rules.broken_runs.push((task.to_owned(), run.run));
         }
         if !whole && run.began + GANG_WAIT <= until {
-            life.end(task, EndKind::Alone);
+            instance.end(task, EndKind::GangIncomplete);
             self.rules.alone.push((task.to_owned(), run.run));
             let job = task.split('.').next().unwrap_or_default();
             if self.rules.is_calm(run.began) && !self.cancelled.contains(job) {
--- a/crates/hoisthitch-tests/src/world/killers.rs
+++ b/crates/hoisthitch-tests/src/world/killers.rs
@@ -99,13 +99,13 @@
     pub(super) fn begin_kill(&self, name: &str, order: &StartOrder) {
         let task = order.name.to_string();
         let delay = self.state.borrow().killers.delays.get(&task).copied();
-        let (Some(delay), Some(life)) = (delay, self.life_at(name)) else {
+        let (Some(delay), Some(instance)) = (delay, self.life_at(name)) else {
             return;
         };
         let (fleet, name, run) = (self.clone(), name.to_owned(), order.run);
         spawn_outside(async move {
             tokio::time::sleep(delay).await;
-            if fleet.life_at(&name) == Some(life) && fleet.runs(&name, &task, run) {
+            if fleet.life_at(&name) == Some(instance) && fleet.runs(&name, &task, run) {
                 fleet.kill_under(&name);
             }
         });
--- a/crates/hoisthitch-tests/src/world/life.rs
+++ b/crates/hoisthitch-tests/src/world/life.rs
@@ -12,7 +12,7 @@
 use hoisthitch_jobs::{
     EndKind,
     EndedTask,
-    HoldReport,
+    HeartbeatReport,
     RunningTask,
     StartOrder, //
 };
@@ -67,7 +67,7 @@
 pub(super) struct Runner {
     pub(super) vm: String,
     /// When the life began, in milliseconds since 1970; none where runners don't tell.
-    pub(super) born: Option<u64>,
+    pub(super) started_at: Option<u64>,
     pub(super) alive: bool,
     pub(super) began: Instant,
     pub(super) fence: u64,
@@ -144,10 +144,10 @@
 
 impl Runner {
     /// A life that begins now.
-    pub(super) fn begin(vm: &str, born: Option<u64>) -> Self {
+    pub(super) fn begin(vm: &str, started_at: Option<u64>) -> Self {
         Self {
             vm: vm.to_owned(),
-            born,
+            started_at,
             alive: true,
             began: Instant::now(),
             fence: 0,
@@ -176,8 +176,8 @@
         self.began + Duration::from_millis(since)
     }
 
-    pub(super) fn extend(&mut self, lease_ms: u64, now: Instant) {
-        let until = self.at(lease_ms).min(now + LEASE_LIMIT);
+    pub(super) fn extend(&mut self, lease_end_ms: u64, now: Instant) {
+        let until = self.at(lease_end_ms).min(now + LEASE_LIMIT);
         self.lease = self.lease.max(until);
     }
 
@@ -228,13 +228,13 @@
             self.void = self.last_end;
             let lapsed: Vec<String> = self.running.keys().cloned().collect();
             for task in lapsed {
-                self.end(&task, EndKind::Lapsed);
+                self.end(&task, EndKind::LeaseExpired);
             }
         }
         done
     }
 
-    pub(super) fn report(&self, now: Instant) -> HoldReport {
+    pub(super) fn report(&self, now: Instant) -> HeartbeatReport {
         let running = self.running.iter().map(|(task, run)| RunningTask {
             name: task.clone(),
             run: run.run,
@@ -246,9 +246,9 @@
                 0
             },
         });
-        HoldReport {
+        HeartbeatReport {
             clock_ms: CLOCK_START + now.duration_since(self.began).as_millis() as u64,
-            born: self.born,
+            started_at: self.started_at,
             running: running.collect(),
             ended: self.ended.clone(),
         }
--- a/crates/hoisthitch-tests/src/world/rooms.rs
+++ b/crates/hoisthitch-tests/src/world/rooms.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use hoisthitch_jobs::{
+    ResourceAmounts,
     StepSpec,
-    TaskName,
-    TaskNeed, //
+    TaskName, //
 };
 use tokio::time::Instant;
 
@@ -17,7 +17,7 @@
 };
 
 /// Room of a runner that was told of no other.
-pub const ROOM: TaskNeed = TaskNeed {
+pub const ROOM: ResourceAmounts = ResourceAmounts {
     cpu_milli: 8_000,
     memory_mb: 32_000,
     gpus: 0,
@@ -29,7 +29,7 @@
 /// A room, and since when a runner says it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimedRoom {
-    room: TaskNeed,
+    room: ResourceAmounts,
     since: Instant,
 }
 
@@ -44,7 +44,7 @@
 
 impl MemoryFleet {
     /// Changes a runner's room; its record is to be written then.
-    pub fn set_room(&self, name: &str, room: TaskNeed) {
+    pub fn set_room(&self, name: &str, room: ResourceAmounts) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.rooms.push(TimedRoom {
                 room,
@@ -54,7 +54,7 @@
     }
 
     /// Room of a runner, as it says.
-    pub fn room(&self, name: &str) -> TaskNeed {
+    pub fn room(&self, name: &str) -> ResourceAmounts {
         let state = self.state.borrow();
         let rooms = state.runners.get(name).map(|runner| &runner.rooms);
         rooms
@@ -71,7 +71,7 @@
         };
         let steps = runner.running.keys();
         let steps = steps.filter_map(|task| self.rules.step_named(&TaskName::parse(task)?));
-        let used = steps.fold(TaskNeed::default(), add);
+        let used = steps.fold(ResourceAmounts::default(), add);
         let room = counted_room(runner, now);
         if used.cpu_milli > room.cpu_milli || used.memory_mb > room.memory_mb {
             let (used, room) = (used.cpu_milli, room.cpu_milli);
@@ -82,8 +82,8 @@
 }
 
 /// Room that counts: the largest of those that were in force of late.
-fn counted_room(runner: &Runner, now: Instant) -> TaskNeed {
-    let mut counted = TaskNeed::default();
+fn counted_room(runner: &Runner, now: Instant) -> ResourceAmounts {
+    let mut counted = ResourceAmounts::default();
     for (place, row) in runner.rooms.iter().enumerate() {
         let next = runner.rooms.get(place + 1);
         if next.is_none_or(|next| next.since + SHRUNK > now) {
@@ -94,8 +94,8 @@
     counted
 }
 
-fn add(mut used: TaskNeed, step: &StepSpec) -> TaskNeed {
-    if !step.filler {
+fn add(mut used: ResourceAmounts, step: &StepSpec) -> ResourceAmounts {
+    if !step.best_effort {
         used.cpu_milli += step.need.cpu_milli;
     }
     used.memory_mb += step.need.memory_mb;
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -96,7 +96,7 @@
 }
 
 impl RuleBook {
-    pub(super) fn today_ms(&self) -> u64 {
+    pub(super) fn unix_ms(&self) -> u64 {
         FIRST_DAY_MS + self.first.elapsed().as_millis() as u64
     }
 
@@ -151,7 +151,7 @@
             return run;
         };
         run.target_ms = step.target_ms;
-        run.fills = step.filler;
+        run.fills = step.best_effort;
         run.gang = step.gang.then(|| GangPart {
             step: step_name(order),
             size: step.count as usize,
@@ -171,7 +171,7 @@
         }
         let times = self.jobs.get(&name.job)?.schedule?;
         let due = times.first_ms + u64::from(name.round) * times.interval_ms;
-        let today = self.today_ms();
+        let today = self.unix_ms();
         (today + EARLY_MS < due).then(|| format!("{name} began {} ms before its time", due - today))
     }
 }
@@ -183,7 +183,7 @@
             task: order.name.to_string(),
             run: order.run,
             runner: runner.to_owned(),
-            at_ms: self.rules.today_ms(),
+            at_ms: self.rules.unix_ms(),
         };
         self.rules.starts.push(note);
         let found = [
@@ -212,14 +212,21 @@
     fn judge_place(&self, runner: &str, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         let step = self.rules.step(order)?;
-        let life = self.runners.get(runner)?;
-        if let Some(label) = step.label.as_ref().filter(|label| **label != life.label) {
+        let instance = self.runners.get(runner)?;
+        if let Some(label) = step
+            .label
+            .as_ref()
+            .filter(|label| **label != instance.label)
+        {
             return Some(format!("{name} began on a runner that is not {label}"));
         }
         let alike = format!("{}.", step_name(order));
-        let alike = life.running.keys().filter(|task| task.starts_with(&alike));
+        let alike = instance
+            .running
+            .keys()
+            .filter(|task| task.starts_with(&alike));
         let count = alike.count();
-        (step.spread > 0 && count > step.spread as usize)
+        (step.max_per_runner > 0 && count > step.max_per_runner as usize)
             .then(|| format!("{name} began as number {count} of its step on {runner}"))
     }
 
@@ -244,8 +251,8 @@
 
 impl MemoryFleet {
     /// The time of day, in milliseconds since 1970.
-    pub fn today_ms(&self) -> u64 {
-        self.state.borrow().rules.today_ms()
+    pub fn unix_ms(&self) -> u64 {
+        self.state.borrow().rules.unix_ms()
     }
 
     /// Notes what a job asks for.
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -17,14 +17,14 @@
 
 use hoisthitch_jobs::{
     EndKind,
-    HoldReport,
+    HeartbeatReport,
     StartOrder,
     StartOutcome,
     StopOrder, //
 };
 use hoisthitch_scheduler::platform::{
-    HoldAsk,
-    OrderTerms,
+    HeartbeatRequest,
+    OrderLease,
     RunnerError, //
 };
 use tokio::time::Instant;
@@ -56,7 +56,7 @@
     pub(super) runners: BTreeMap<String, Runner>,
     /// Down for upkeep: VM, until when.
     upkeep: HashMap<String, Instant>,
-    lives: u64,
+    instances: u64,
     /// Whether runners don't tell when they began.
     births_hidden: bool,
     /// How far the time of day is behind by which they tell, in milliseconds.
@@ -145,10 +145,12 @@
     /// Begins a life of a VM's runner; answers with its name.
     pub fn begin(&self, vm: &str) -> String {
         let mut state = self.state.borrow_mut();
-        state.lives += 1;
-        let name = format!("i-{}", state.lives);
-        let born = state.next_birth();
-        state.runners.insert(name.clone(), Runner::begin(vm, born));
+        state.instances += 1;
+        let name = format!("i-{}", state.instances);
+        let started_at = state.next_birth();
+        state
+            .runners
+            .insert(name.clone(), Runner::begin(vm, started_at));
         name
     }
 
@@ -303,7 +305,7 @@
         state.done.extend(done);
     }
 
-    fn start(&self, name: &str, order: &StartOrder, terms: OrderTerms) -> StartOutcome {
+    fn start(&self, name: &str, order: &StartOrder, lease: OrderLease) -> StartOutcome {
         self.settle();
         let now = Instant::now();
         let task = order.name.to_string();
@@ -312,17 +314,17 @@
         let Some(runner) = state.runners.get_mut(name).filter(|runner| runner.alive) else {
             return StartOutcome::WrongLife;
         };
-        if terms.epoch < runner.fence {
+        if lease.epoch < runner.fence {
             return StartOutcome::Fenced;
         }
-        runner.fence = terms.epoch;
+        runner.fence = lease.epoch;
         if runner.sick {
             return StartOutcome::Refused;
         }
-        if runner.at(terms.lease_ms) <= now {
+        if runner.at(lease.lease_end_ms) <= now {
             return StartOutcome::Late;
         }
-        runner.extend(terms.lease_ms, now);
+        runner.extend(lease.lease_end_ms, now);
         if runner
             .over
             .get(&task)
@@ -412,7 +414,11 @@
         Ok(())
     }
 
-    fn hold(&self, name: &str, ask: HoldAsk) -> Result<HoldReport, RunnerError> {
+    fn heartbeat(
+        &self,
+        name: &str,
+        request: HeartbeatRequest,
+    ) -> Result<HeartbeatReport, RunnerError> {
         self.settle();
         let now = Instant::now();
         let mut guard = self.state.borrow_mut();
@@ -420,18 +426,18 @@
         let Some(runner) = state.runners.get_mut(name).filter(|runner| runner.alive) else {
             return Err(RunnerError::WrongLife);
         };
-        if ask.epoch < runner.fence {
+        if request.epoch < runner.fence {
             return Err(RunnerError::Fenced);
         }
-        runner.fence = ask.epoch;
-        if let Some(lease) = ask.lease_ms {
+        runner.fence = request.epoch;
+        if let Some(lease) = request.lease_end_ms {
             runner.extend(lease, now);
         }
-        runner.seen = runner.seen.max(ask.recorded);
+        runner.seen = runner.seen.max(request.acked_end);
         let seen = if state.forgets_ahead {
             runner.seen
         } else {
-            ask.recorded
+            request.acked_end
         };
         let (noted, left): (Vec<_>, Vec<_>) =
             runner.ended.drain(..).partition(|end| end.number <= seen);
