--- a/crates/hoisthitch-tests/src/world/runners/control.rs
+++ b/crates/hoisthitch-tests/src/world/runners/control.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use hoisthitch_jobs::{
-    HoldReport,
+    HeartbeatReport,
     PaceOrder,
     StartOrder,
     StartOutcome,
     StopOrder, //
 };
 use hoisthitch_scheduler::platform::{
-    HoldAsk,
-    OrderTerms,
+    HeartbeatRequest,
+    OrderLease,
     RunnerAddress,
     RunnerControl,
     RunnerError, //
@@ -33,15 +33,15 @@
         &self,
         runner: &RunnerAddress,
         order: &StartOrder,
-        terms: OrderTerms,
+        lease: OrderLease,
     ) -> StartOutcome {
         tokio::time::sleep(WAY).await;
-        if self.refuses(&runner.life.name) {
+        if self.refuses(&runner.instance.name) {
             return StartOutcome::NotSent;
         }
-        let cut = !self.reaches(&runner.life.name);
+        let cut = !self.reaches(&runner.instance.name);
         if cut || self.is_late() {
-            let (fleet, name, order) = (self.clone(), runner.life.name.clone(), order.clone());
+            let (fleet, name, order) = (self.clone(), runner.instance.name.clone(), order.clone());
             let late_by = self.state.borrow().late_by;
             let late = late_by + Duration::from_millis(u64::from(order.run) * 700);
             let sent = Instant::now();
@@ -51,7 +51,7 @@
                 fleet.state.borrow_mut().rules.set_late(true);
                 fleet.state.borrow_mut().unguarded = unguarded;
                 fleet.state.borrow_mut().sent = Some(sent);
-                fleet.start(&name, &order, terms);
+                fleet.start(&name, &order, lease);
                 fleet.state.borrow_mut().unguarded = false;
                 fleet.state.borrow_mut().sent = None;
                 fleet.state.borrow_mut().rules.set_late(false);
@@ -65,12 +65,12 @@
         }
         let task = order.name.to_string();
         let before = self.starts(&task);
-        let outcome = MemoryFleet::start(self, &runner.life.name, order, terms);
+        let outcome = MemoryFleet::start(self, &runner.instance.name, order, lease);
         if self.starts(&task) > before {
             self.judge_cancel(order);
         }
         tokio::time::sleep(WAY).await;
-        if !self.answers(&runner.life.name) {
+        if !self.answers(&runner.instance.name) {
             tokio::time::sleep(GIVE_UP).await;
             return StartOutcome::Unclear;
         }
@@ -84,54 +84,60 @@
         epoch: u64,
     ) -> Result<(), RunnerError> {
         tokio::time::sleep(WAY).await;
-        if self.refuses(&runner.life.name) {
+        if self.refuses(&runner.instance.name) {
             return Err(RunnerError::NotListening);
         }
-        if !self.reaches(&runner.life.name) || self.is_late() {
+        if !self.reaches(&runner.instance.name) || self.is_late() {
             tokio::time::sleep(GIVE_UP).await;
             return Err(RunnerError::NoAnswer("lost".to_owned()));
         }
-        let stopped = MemoryFleet::stop(self, &runner.life.name, order, epoch);
+        let stopped = MemoryFleet::stop(self, &runner.instance.name, order, epoch);
         tokio::time::sleep(WAY).await;
-        if !self.answers(&runner.life.name) {
+        if !self.answers(&runner.instance.name) {
             tokio::time::sleep(GIVE_UP).await;
             return Err(RunnerError::NoAnswer("unheard".to_owned()));
         }
         stopped
     }
 
-    async fn hold(&self, runner: &RunnerAddress, ask: HoldAsk) -> Result<HoldReport, RunnerError> {
+    async fn heartbeat(
+        &self,
+        runner: &RunnerAddress,
+        request: HeartbeatRequest,
+    ) -> Result<HeartbeatReport, RunnerError> {
         tokio::time::sleep(WAY).await;
-        if self.refuses(&runner.life.name) {
+        if self.refuses(&runner.instance.name) {
             return Err(RunnerError::NotListening);
         }
-        if !self.reaches(&runner.life.name) {
-            tokio::time::sleep(ask.wait + GIVE_UP).await;
+        if !self.reaches(&runner.instance.name) {
+            tokio::time::sleep(request.wait + GIVE_UP).await;
             return Err(RunnerError::NoAnswer("cut".to_owned()));
         }
         // The fence and the lease count from the arrival.
-        let life = self.life_at(&runner.life.name);
-        MemoryFleet::hold(self, &runner.life.name, ask)?;
-        let until = Instant::now() + ask.wait;
-        while Instant::now() < until && !self.has_end(&runner.life.name, ask.recorded) {
+        let instance = self.life_at(&runner.instance.name);
+        MemoryFleet::heartbeat(self, &runner.instance.name, request)?;
+        let until = Instant::now() + request.wait;
+        while Instant::now() < until && !self.has_end(&runner.instance.name, request.acked_end) {
             tokio::time::sleep(Duration::from_millis(5)).await;
             // The connection was with the process that is gone.
-            if self.life_at(&runner.life.name) != life || self.refuses(&runner.life.name) {
+            if self.life_at(&runner.instance.name) != instance
+                || self.refuses(&runner.instance.name)
+            {
                 return Err(RunnerError::NoAnswer("reset".to_owned()));
             }
         }
         let ahead = self.state.borrow().forgets_ahead;
-        let report = MemoryFleet::hold(
+        let report = MemoryFleet::heartbeat(
             self,
-            &runner.life.name,
-            HoldAsk {
-                lease_ms: None,
-                recorded: if ahead { ask.recorded } else { 0 },
-                ..ask
+            &runner.instance.name,
+            HeartbeatRequest {
+                lease_end_ms: None,
+                acked_end: if ahead { request.acked_end } else { 0 },
+                ..request
             },
         );
         tokio::time::sleep(WAY).await;
-        if !self.answers(&runner.life.name) {
+        if !self.answers(&runner.instance.name) {
             tokio::time::sleep(GIVE_UP).await;
             return Err(RunnerError::NoAnswer("cut".to_owned()));
         }
@@ -146,12 +152,12 @@
     ) -> Result<(), RunnerError> {
         tokio::time::sleep(WAY).await;
         let fate = self.next_pace_fate();
-        if !self.reaches(&runner.life.name) || fate == PaceFate::Lost {
+        if !self.reaches(&runner.instance.name) || fate == PaceFate::Lost {
             tokio::time::sleep(GIVE_UP).await;
             return Err(RunnerError::NoAnswer("lost".to_owned()));
         }
         if let PaceFate::Late(late) = fate {
-            let (fleet, name, order) = (self.clone(), runner.life.name.clone(), order.clone());
+            let (fleet, name, order) = (self.clone(), runner.instance.name.clone(), order.clone());
             spawn_outside(async move {
                 tokio::time::sleep(late).await;
                 // Nobody waits for the answer any more.
@@ -160,9 +166,9 @@
             tokio::time::sleep(GIVE_UP).await;
             return Err(RunnerError::NoAnswer("late".to_owned()));
         }
-        let paced = self.set_pace(&runner.life.name, order, epoch);
+        let paced = self.set_pace(&runner.instance.name, order, epoch);
         tokio::time::sleep(WAY).await;
-        if !self.answers(&runner.life.name) {
+        if !self.answers(&runner.instance.name) {
             tokio::time::sleep(GIVE_UP).await;
             return Err(RunnerError::NoAnswer("unheard".to_owned()));
         }
--- a/crates/hoisthitch-tests/src/world/runners/lives.rs
+++ b/crates/hoisthitch-tests/src/world/runners/lives.rs
@@ -21,21 +21,21 @@
     pub fn restart(&self, name: &str) {
         self.crash(name);
         let mut state = self.state.borrow_mut();
-        let born = state.next_birth();
+        let started_at = state.next_birth();
         if let Some(runner) = state.runners.get_mut(name) {
             *runner = Runner {
                 cut: std::mem::take(&mut runner.cut),
                 unheard: std::mem::take(&mut runner.unheard),
                 label: std::mem::take(&mut runner.label),
                 stop_time: runner.stop_time,
-                ..Runner::begin(&runner.vm, born)
+                ..Runner::begin(&runner.vm, started_at)
             };
         }
     }
 
     /// When a runner's life began, if it tells.
-    pub fn born(&self, name: &str) -> Option<u64> {
-        self.state.borrow().runners.get(name)?.born
+    pub fn started_at(&self, name: &str) -> Option<u64> {
+        self.state.borrow().runners.get(name)?.started_at
     }
 
     /// Has runners that begin from now on tell when they did, or not.
@@ -78,7 +78,7 @@
     /// When a life that begins now says that it began; no two say the same.
     pub(super) fn next_birth(&mut self) -> Option<u64> {
         self.births += 1;
-        let today = self.rules.today_ms() - self.births_behind;
+        let today = self.rules.unix_ms() - self.births_behind;
         (!self.births_hidden).then_some(today + self.births)
     }
 }
--- a/crates/hoisthitch-tests/src/world/runners/vms.rs
+++ b/crates/hoisthitch-tests/src/world/runners/vms.rs
@@ -6,7 +6,7 @@
     VmCondition,
     VmControl,
     VmError,
-    VmRow, //
+    VmStatus, //
 };
 use tokio::{
     sync::oneshot,
@@ -66,34 +66,40 @@
 }
 
 impl VmControl for MemoryFleet {
-    async fn list(&self) -> Result<Vec<VmRow>, VmError> {
+    async fn list(&self) -> Result<Vec<VmStatus>, VmError> {
         tokio::time::sleep(WAY * 2).await;
         if self.state.borrow().rules.is_unheard(&self.node) {
             tokio::time::sleep(GIVE_UP).await;
             return Err(VmError::NoAnswer("unheard".to_owned()));
         }
         let state = self.state.borrow();
-        let mut rows: Vec<VmRow> = state
+        let mut rows: Vec<VmStatus> = state
             .runners
             .iter()
             .filter(|(_, runner)| runner.alive)
-            .map(|(name, runner)| VmRow {
+            .map(|(name, runner)| VmStatus {
                 name: runner.vm.clone(),
                 pool: POOL.to_owned(),
                 condition: VmCondition::Up,
                 runner: Some(name.clone()),
             })
             .collect();
-        rows.extend(state.upkeep.keys().map(|vm| VmRow {
+        rows.extend(state.upkeep.keys().map(|vm| VmStatus {
             name: vm.clone(),
             pool: POOL.to_owned(),
-            condition: VmCondition::Upkeep,
+            condition: VmCondition::Maintenance,
             runner: None,
         }));
         Ok(rows)
     }
 
-    async fn upkeep(&self, vm: &str, _wave: u64, holder: &str, epoch: u64) -> Result<(), VmError> {
+    async fn start_maintenance(
+        &self,
+        vm: &str,
+        _wave: u64,
+        holder: &str,
+        epoch: u64,
+    ) -> Result<(), VmError> {
         let (done, answer) = oneshot::channel();
         let (fleet, vm, holder) = (self.clone(), vm.to_owned(), holder.to_owned());
         // Not a task of the node: the order is under way whatever becomes of it.
@@ -122,7 +128,7 @@
         outcome
     }
 
-    async fn reassign(
+    async fn move_to_pool(
         &self,
         _vm: &str,
         _pool: &str,
--- a/crates/hoisthitch-tests/src/world/store.rs
+++ b/crates/hoisthitch-tests/src/world/store.rs
@@ -198,7 +198,7 @@
             prefix: prefix.to_owned(),
             after,
             ready: VecDeque::new(),
-            complete_at: Instant::now(),
+            complete_as_of: Instant::now(),
             hurries: false,
         };
         let mut changed = self.changed.subscribe();
@@ -477,8 +477,8 @@
             store: self.clone(),
             prefix: prefix.to_owned(),
             after: self.state.borrow().revision,
-            ready: VecDeque::from([WatchEvent::Opened]),
-            complete_at: Instant::now(),
+            ready: VecDeque::from([WatchEvent::Created]),
+            complete_as_of: Instant::now(),
             hurries: false,
         };
         if watch.is_silent() {
@@ -495,7 +495,7 @@
     prefix: String,
     after: i64,
     ready: VecDeque<WatchEvent>,
-    complete_at: Instant,
+    complete_as_of: Instant,
     /// Whether the next look is to wait only shortly.
     hurries: bool,
 }
@@ -515,14 +515,14 @@
             .filter(|(_, event)| match event {
                 WatchEvent::Put(value) => value.key.starts_with(&self.prefix),
                 WatchEvent::Delete { key, .. } => key.starts_with(&self.prefix),
-                WatchEvent::Opened | WatchEvent::All(_) | WatchEvent::Quiet => false,
+                WatchEvent::Created | WatchEvent::Snapshot(_) | WatchEvent::Unchanged => false,
             })
             .map(|(_, event)| event.clone())
             .collect();
         news.reverse();
         self.ready.extend(news);
         self.after = state.revision;
-        self.complete_at = Instant::now();
+        self.complete_as_of = Instant::now();
     }
 }
 
@@ -558,24 +558,24 @@
                 }
                 self.store.expire();
                 self.gather();
-                return Some(Ok(self.ready.pop_front().unwrap_or(WatchEvent::Quiet)));
+                return Some(Ok(self.ready.pop_front().unwrap_or(WatchEvent::Unchanged)));
             }
         }
     }
 
-    fn is_drained(&self) -> bool {
+    fn is_buffer_empty(&self) -> bool {
         self.ready.is_empty()
     }
 
-    fn complete_at(&self) -> Option<Instant> {
-        Some(self.complete_at)
+    fn complete_as_of(&self) -> Option<Instant> {
+        Some(self.complete_as_of)
     }
 
-    fn hurry(&mut self) {
+    fn shorten_next_wait(&mut self) {
         self.hurries = true;
     }
 
-    fn goes_on_after(&self, err: &StoreError) -> bool {
-        err.is_over_limit()
+    fn can_resume_after(&self, err: &StoreError) -> bool {
+        err.is_rate_limited()
     }
 }
--- a/crates/hoisthitch-tests/tests/at_most_once.rs
+++ b/crates/hoisthitch-tests/tests/at_most_once.rs
@@ -10,9 +10,9 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAnswer,
-    HttpAsk,
     PoolPlan,
+    TestRequest,
+    TestResponse,
     cases,
     raw_exchange,
     wait_until, //
@@ -50,8 +50,8 @@
     Fleet::start(FleetPlan::default()).await
 }
 
-fn booking(fleet: &Fleet, entry: usize, key: &str) -> HttpAsk {
-    HttpAsk::post(&fleet.caller_url(entry, "/quotes/book"), b"hall 3")
+fn booking(fleet: &Fleet, entry: usize, key: &str) -> TestRequest {
+    TestRequest::post(&fleet.caller_url(entry, "/quotes/book"), b"hall 3")
         .header("idempotency-key", key)
         .header("x-request-name", key)
 }
@@ -62,7 +62,7 @@
 }
 
 /// Waits until the claim holds the answer.
-async fn replayed(fleet: &Fleet, entry: usize, key: &str) -> Result<HttpAnswer> {
+async fn replayed(fleet: &Fleet, entry: usize, key: &str) -> Result<TestResponse> {
     wait_until("the kept answer", || async {
         let answer = booking(fleet, entry, key).send().await.ok()?;
         (answer.status == 200).then_some(answer)
@@ -180,7 +180,7 @@
 async fn key_reused() -> Result<()> {
     let fleet = fleet_of_two().await?;
     ensure!(booking(&fleet, 0, "b-7").send().await?.status == 200);
-    let other = HttpAsk::post(&fleet.caller_url(1, "/quotes/book"), b"hall 4");
+    let other = TestRequest::post(&fleet.caller_url(1, "/quotes/book"), b"hall 4");
     let answer = other.header("idempotency-key", "b-7").send().await?;
     ensure!(answer.status == 422 && answer.outcome() == "not-run");
     Ok(())
@@ -189,7 +189,7 @@
 async fn bad_key() -> Result<()> {
     let fleet = fleet_of_two().await?;
     for key in ["a/b", "a b", ""] {
-        let ask = HttpAsk::post(&fleet.caller_url(0, "/quotes/book"), b"hall 3");
+        let ask = TestRequest::post(&fleet.caller_url(0, "/quotes/book"), b"hall 3");
         let answer = ask.header("idempotency-key", key).send().await?;
         ensure!(answer.status == 400, "key '{key}': {}", answer.status);
         ensure!(answer.outcome() == "not-run");
@@ -218,7 +218,7 @@
 
 async fn store_writes(fleet: &Fleet) -> Result<u64> {
     let url = fleet.platform_url("/standin/calls");
-    let calls: serde_json::Value = HttpAsk::get(&url).send().await?.json()?;
+    let calls: serde_json::Value = TestRequest::get(&url).send().await?.json()?;
     Ok(calls["writes"].as_u64().unwrap_or(0))
 }
 
@@ -248,7 +248,7 @@
         ..FleetPlan::default()
     })
     .await?;
-    let slow = |_| HttpAsk::get(&fleet.caller_url(0, "/quotes/1")).header("x-work-us", SLOW_US);
+    let slow = |_| TestRequest::get(&fleet.caller_url(0, "/quotes/1")).header("x-work-us", SLOW_US);
     let slow: Vec<_> = (0..8)
         .map(slow)
         .map(|ask| actix_rt::spawn(ask.send()))
--- a/crates/hoisthitch-tests/tests/command_line.rs
+++ b/crates/hoisthitch-tests/tests/command_line.rs
@@ -17,7 +17,7 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk,
+    TestRequest,
     cases,
     run_command, //
 };
@@ -195,7 +195,7 @@
     ensure!(imported.code == Some(0), "{}", imported.text);
     let table = fleet.table(0).await?;
     ensure!(table.pool("quotes").ok_or_eyre("row")?.slots_per_runner == 6);
-    let ready = HttpAsk::get(&fleet.operator_url(0, "/ready"))
+    let ready = TestRequest::get(&fleet.operator_url(0, "/ready"))
         .send()
         .await?;
     ensure!(ready.status == 200);
--- a/crates/hoisthitch-tests/tests/leaving.rs
+++ b/crates/hoisthitch-tests/tests/leaving.rs
@@ -15,8 +15,8 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk,
     PoolPlan,
+    TestRequest,
     cases,
     wait_until, //
 };
@@ -42,7 +42,7 @@
     let mut ran = 0;
     for number in 0..count {
         let url = fleet.caller_url(entry, "/quotes/1");
-        let ask = HttpAsk::get(&url).header("x-request-name", &format!("r-{entry}-{number}"));
+        let ask = TestRequest::get(&url).header("x-request-name", &format!("r-{entry}-{number}"));
         ran += usize::from(ask.send().await?.outcome() == "ran");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -103,7 +103,7 @@
     let mut waiting = Vec::new();
     for number in 0..20 {
         let url = fleet.caller_url(1, "/quotes/1");
-        let ask = HttpAsk::get(&url).header("x-request-name", &format!("f-{number}"));
+        let ask = TestRequest::get(&url).header("x-request-name", &format!("f-{number}"));
         waiting.push(actix_rt::spawn(ask.send()));
     }
     fleet.list_runner(0, VmState::Leaving).await?;
@@ -120,7 +120,9 @@
     }
     ensure_none_after(&fleet, 0, left).await?;
     wait_until("the entry to serve again", || async {
-        let answer = HttpAsk::get(&fleet.caller_url(1, "/quotes/1")).send().await;
+        let answer = TestRequest::get(&fleet.caller_url(1, "/quotes/1"))
+            .send()
+            .await;
         (answer.ok()?.status == 200).then_some(())
     })
     .await?;
@@ -141,11 +143,11 @@
     fleet.set_proxy(PROXY_PORT, json!({"cut": true})).await?;
     let url = fleet.caller_url(0, "/quotes/1");
     wait_until("the entry to refuse work", || async {
-        let answer = HttpAsk::get(&url).send().await.ok()?;
+        let answer = TestRequest::get(&url).send().await.ok()?;
         (answer.status == 503 && answer.outcome() == "not-run").then_some(())
     })
     .await?;
-    let ready = HttpAsk::get(&fleet.operator_url(0, "/ready"))
+    let ready = TestRequest::get(&fleet.operator_url(0, "/ready"))
         .send()
         .await?;
     ensure!(
@@ -154,7 +156,7 @@
     );
     fleet.set_proxy(PROXY_PORT, json!({})).await?;
     wait_until("the entry to serve again", || async {
-        let answer = HttpAsk::get(&url).send().await.ok()?;
+        let answer = TestRequest::get(&url).send().await.ok()?;
         (answer.status == 200).then_some(())
     })
     .await
@@ -167,7 +169,7 @@
         ..FleetPlan::default()
     })
     .await?;
-    let slow = HttpAsk::post(&fleet.caller_url(0, "/quotes/1"), b"order")
+    let slow = TestRequest::post(&fleet.caller_url(0, "/quotes/1"), b"order")
         .header("x-request-name", "slow")
         .header("x-work-us", "1500000");
     let slow = actix_rt::spawn(slow.send());
--- a/crates/hoisthitch-tests/tests/mesh.rs
+++ b/crates/hoisthitch-tests/tests/mesh.rs
@@ -16,7 +16,7 @@
     ChildProcess,
     Fleet,
     FleetPlan,
-    HttpAsk,
+    TestRequest,
     cases,
     wait_until, //
 };
@@ -96,7 +96,7 @@
 async fn serves(fleet: &Fleet) -> Result<()> {
     for entry in 0..2 {
         let url = fleet.caller_url(entry, "/quotes/1");
-        ensure!(HttpAsk::get(&url).send().await?.status == 200);
+        ensure!(TestRequest::get(&url).send().await?.status == 200);
     }
     let answer = fleet.set_cell(0, "quotes", "queue_limit", "77").await?;
     ensure!(answer.status == 200);
@@ -133,7 +133,7 @@
         tokio::time::sleep(Duration::from_millis(400)).await;
         for entry in 0..2 {
             let url = fleet.caller_url(entry, "/quotes/1");
-            let answer = HttpAsk::get(&url).send().await?;
+            let answer = TestRequest::get(&url).send().await?;
             ensure!(answer.status == 200, "{}", answer.text());
         }
     }
@@ -161,7 +161,7 @@
 async fn wait_for_links(fleet: &Fleet, wanted: impl Fn(u64) -> bool) -> Result<()> {
     for entry in 0..2 {
         wait_until("the mesh connections", || async {
-            let metrics = HttpAsk::get(&fleet.operator_url(entry, "/metrics"))
+            let metrics = TestRequest::get(&fleet.operator_url(entry, "/metrics"))
                 .send()
                 .await;
             let metrics = metrics.ok()?.text();
--- a/crates/hoisthitch-tests/tests/planned_stop.rs
+++ b/crates/hoisthitch-tests/tests/planned_stop.rs
@@ -12,9 +12,9 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAnswer,
-    HttpAsk,
     PoolPlan,
+    TestRequest,
+    TestResponse,
     cases,
     wait_until, //
 };
@@ -38,13 +38,13 @@
     .await
 }
 
-type Answers = Vec<tokio::task::JoinHandle<Result<HttpAnswer>>>;
+type Answers = Vec<tokio::task::JoinHandle<Result<TestResponse>>>;
 
 /// Sends 16 requests of 500 ms and waits until 8 run and 8 wait.
 async fn send_two_rounds(fleet: &Fleet) -> Result<Answers> {
     let answers = (0..16)
         .map(|number| {
-            HttpAsk::post(&fleet.caller_url(0, "/quotes/1"), b"order")
+            TestRequest::post(&fleet.caller_url(0, "/quotes/1"), b"order")
                 .header("x-request-name", &format!("s-{number}"))
                 .header("x-work-us", "500000")
         })
@@ -100,12 +100,12 @@
     fleet.entries[0].signal("TERM")?;
     wait_until("the entry to be no longer ready", || async {
         let url = fleet.operator_url(0, "/ready");
-        let answer = HttpAsk::get(&url).send().await.ok()?;
+        let answer = TestRequest::get(&url).send().await.ok()?;
         (answer.status == 503).then_some(())
     })
     .await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = HttpAsk::post(&url, b"order").send().await?;
+    let answer = TestRequest::post(&url, b"order").send().await?;
     ensure!(answer.status == 200, "status {}", answer.status);
     ensure!(answer.header("connection") == Some("close"));
     let status = fleet.entries[0].ended().await?;
@@ -176,7 +176,7 @@
         }
         ensure!(!ready.is_empty(), "no entry is ready");
         let url = &ready[sent % ready.len()];
-        let ask = HttpAsk::post(url, b"order")
+        let ask = TestRequest::post(url, b"order")
             .header("x-request-name", &format!("c-{caller}-{sent}"))
             .header("x-work-us", "5000");
         let answer = ask.send().await?;
@@ -195,7 +195,7 @@
 async fn ready_urls(urls: &[(String, String)]) -> Vec<String> {
     let mut ready = Vec::new();
     for (probe, url) in urls {
-        let answer = HttpAsk::get(probe).send().await;
+        let answer = TestRequest::get(probe).send().await;
         if answer.is_ok_and(|answer| answer.status == 200) {
             ready.push(url.clone());
         }
--- a/crates/hoisthitch-tests/tests/soak.rs
+++ b/crates/hoisthitch-tests/tests/soak.rs
@@ -28,8 +28,8 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk,
     PoolPlan,
+    TestRequest,
     cases,
     wait_until, //
 };
@@ -167,19 +167,19 @@
 
     async fn repeatable(&self, name: &str, sent: usize) {
         let url = &self.urls[sent % ENTRIES];
-        let ask = HttpAsk::get(url).header("x-request-name", name);
+        let ask = TestRequest::get(url).header("x-request-name", name);
         self.send(ask.header("hoisthitch-deadline-ms", "2000"), name)
             .await;
     }
 
-    fn post(&self, name: &str, turn: usize) -> HttpAsk {
-        HttpAsk::post(&self.urls[turn % ENTRIES], name.as_bytes())
+    fn post(&self, name: &str, turn: usize) -> TestRequest {
+        TestRequest::post(&self.urls[turn % ENTRIES], name.as_bytes())
             .header("x-request-name", name)
             .header("x-work-us", "20000")
             .header("hoisthitch-deadline-ms", "2000")
     }
 
-    async fn send(&self, ask: HttpAsk, name: &str) -> String {
+    async fn send(&self, ask: TestRequest, name: &str) -> String {
         let sent = tokio::time::timeout(Duration::from_secs(10), ask.send()).await;
         let (outcome, body) = match sent {
             Ok(Ok(answer)) => {
@@ -280,7 +280,7 @@
     for entry in 0..ENTRIES {
         wait_until("an entry to be ready", || async {
             let url = fleet.operator_url(entry, "/ready");
-            let answer = HttpAsk::get(&url).send().await.ok()?;
+            let answer = TestRequest::get(&url).send().await.ok()?;
             (answer.status == 200).then_some(())
         })
         .await?;
--- a/crates/hoisthitch-tests/tests/table_changes.rs
+++ b/crates/hoisthitch-tests/tests/table_changes.rs
@@ -12,8 +12,8 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk,
     PoolPlan,
+    TestRequest,
     cases,
     wait_until, //
 };
@@ -76,7 +76,7 @@
     fleet: &Fleet,
     entry: usize,
     edit: RowEdit,
-) -> impl Future<Output = Result<hoisthitch_tests::HttpAnswer>> + use<> {
+) -> impl Future<Output = Result<hoisthitch_tests::TestResponse>> + use<> {
     fleet.edit_call(entry, vec![edit])
 }
 
@@ -124,7 +124,7 @@
     for entry in 0..2 {
         ensure!(fleet.table(entry).await? == before);
         let url = fleet.caller_url(entry, "/quotes/1");
-        ensure!(HttpAsk::get(&url).send().await?.status == 200);
+        ensure!(TestRequest::get(&url).send().await?.status == 200);
     }
     fleet.set_faults(json!({})).await?;
     ensure!(fleet.stored_table().await? == before);
@@ -177,12 +177,12 @@
     })
     .await?;
     let url = fleet.caller_url(1, "/quotes/1");
-    let answer = HttpAsk::get(&url).send().await?;
+    let answer = TestRequest::get(&url).send().await?;
     ensure!(answer.status == 503 && answer.outcome() == "not-run");
     ensure!(answer.header("retry-after").is_some());
     fleet.set_faults(json!({})).await?;
     fleet.wait_for_routes().await?;
-    ensure!(HttpAsk::get(&url).send().await?.status == 200);
+    ensure!(TestRequest::get(&url).send().await?.status == 200);
     Ok(())
 }
 
@@ -227,7 +227,9 @@
 }
 
 async fn post_platform(fleet: &Fleet, path: &str) -> Result<()> {
-    let answer = HttpAsk::post(&fleet.platform_url(path), b"").send().await?;
+    let answer = TestRequest::post(&fleet.platform_url(path), b"")
+        .send()
+        .await?;
     ensure!(answer.status == 204, "{path}: {}", answer.status);
     Ok(())
 }
@@ -289,7 +291,7 @@
     for entry in 0..2 {
         ensure!(fleet.table(entry).await? == before);
         let url = fleet.caller_url(entry, "/quotes/1");
-        ensure!(HttpAsk::get(&url).send().await?.status == 200);
+        ensure!(TestRequest::get(&url).send().await?.status == 200);
     }
     Ok(())
 }
--- a/crates/hoisthitch-tests/tests/whole_answers.rs
+++ b/crates/hoisthitch-tests/tests/whole_answers.rs
@@ -10,7 +10,6 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk,
     PoolPlan,
     ScriptStep::{
         self,
@@ -20,6 +19,7 @@
         Wait, //
     },
     ScriptedRunner,
+    TestRequest,
     cases,
     raw_exchange,
     wait_until, //
@@ -74,7 +74,7 @@
 async fn cut_small(answer: &[u8]) -> Result<()> {
     let (fleet, runner) = scripted(vec![Read, Send(answer.to_vec())]).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = HttpAsk::post(&url, b"order").send().await?;
+    let answer = TestRequest::post(&url, b"order").send().await?;
     ensure!(answer.status == 502, "status {}", answer.status);
     ensure!(answer.outcome() == "ran", "outcome {}", answer.outcome());
     ensure!(runner.requests().len() == 1);
@@ -96,7 +96,7 @@
 async fn close_delimited() -> Result<()> {
     let answer = b"HTTP/1.1 200 OK\r\n\r\nall of it".to_vec();
     let (fleet, _runner) = scripted(vec![Read, Send(answer)]).await?;
-    let answer = HttpAsk::get(&fleet.caller_url(0, "/quotes/1"))
+    let answer = TestRequest::get(&fleet.caller_url(0, "/quotes/1"))
         .send()
         .await?;
     ensure!(answer.status == 200 && answer.text() == "all of it");
@@ -106,7 +106,7 @@
 async fn unanswered(script: Vec<ScriptStep>) -> Result<()> {
     let (fleet, runner) = scripted(script).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = HttpAsk::post(&url, b"order").send().await?;
+    let answer = TestRequest::post(&url, b"order").send().await?;
     ensure!(answer.status == 504, "status {}", answer.status);
     ensure!(
         answer.outcome() == "unknown",
@@ -135,7 +135,7 @@
     let (fleet, _runner) = scripted(script).await?;
     for _ in 0..5 {
         let url = fleet.caller_url(0, "/quotes/1");
-        let answer = HttpAsk::get(&url).send().await?;
+        let answer = TestRequest::get(&url).send().await?;
         ensure!(answer.text() == "first", "got {}", answer.text());
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
@@ -147,10 +147,10 @@
     let (fleet, runner) =
         scripted(vec![Read, Wait(Duration::from_millis(700)), Send(late)]).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let hurried = HttpAsk::post(&url, b"order").header("hoisthitch-deadline-ms", "200");
+    let hurried = TestRequest::post(&url, b"order").header("hoisthitch-deadline-ms", "200");
     let answer = hurried.send().await?;
     ensure!(answer.status == 504 && answer.outcome() == "unknown");
-    let answer = HttpAsk::post(&url, b"another").send().await?;
+    let answer = TestRequest::post(&url, b"another").send().await?;
     ensure!(answer.status == 200 && answer.text() == "late");
     let requests = runner.requests();
     ensure!(requests.len() == 2 && requests[1].ends_with("another"));
@@ -167,7 +167,7 @@
     let nobody = fleet.own_address(OWN_PORT);
     fleet.add_runner("quotes", nobody).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = HttpAsk::post(&url, b"order").send().await?;
+    let answer = TestRequest::post(&url, b"order").send().await?;
     ensure!(answer.status == 503 && answer.outcome() == "not-run");
     ensure!(answer.header("retry-after").is_some());
     Ok(())
@@ -184,7 +184,7 @@
     fleet.add_runner("quotes", nobody).await?;
     let url = fleet.caller_url(0, "/quotes/1");
     for _ in 0..20 {
-        let answer = HttpAsk::post(&url, b"order").send().await?;
+        let answer = TestRequest::post(&url, b"order").send().await?;
         ensure!(answer.status == 200, "status {}", answer.status);
     }
     Ok(())
@@ -202,7 +202,7 @@
     fleet.add_runner("quotes", address).await?;
     let url = fleet.caller_url(0, "/quotes/1");
     for _ in 0..5 {
-        let answer = HttpAsk::get(&url).send().await?;
+        let answer = TestRequest::get(&url).send().await?;
         ensure!(answer.status == 200, "status {}", answer.status);
     }
     Ok(())
@@ -265,7 +265,7 @@
     })
     .await?;
     let body: Vec<u8> = (0..5_000_000_u32).map(|n| (n % 251) as u8).collect();
-    let answer = HttpAsk::post(&fleet.caller_url(0, "/quotes/1"), &body)
+    let answer = TestRequest::post(&fleet.caller_url(0, "/quotes/1"), &body)
         .send()
         .await?;
     ensure!(answer.status == 200, "status {}", answer.status);
@@ -287,7 +287,7 @@
 async fn problem_details() -> Result<()> {
     let (fleet, _runner) = scripted(vec![Read]).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = HttpAsk::post(&url, b"order").send().await?;
+    let answer = TestRequest::post(&url, b"order").send().await?;
     ensure!(answer.header("content-type") == Some("application/problem+json"));
     let problem: serde_json::Value = answer.json()?;
     ensure!(problem["outcome"] == "unknown");
--- a/crates/hoisthitch-tests/tests/whole_path.rs
+++ b/crates/hoisthitch-tests/tests/whole_path.rs
@@ -10,7 +10,7 @@
 use hoisthitch_tests::{
     Fleet,
     FleetPlan,
-    HttpAsk,
+    TestRequest,
     cases,
     wait_until, //
 };
@@ -26,11 +26,11 @@
     let fleet = Fleet::start(FleetPlan::default()).await?;
     for entry in 0..2 {
         let url = fleet.caller_url(entry, "/quotes/basket?week=3");
-        let answer = HttpAsk::post(&url, b"milk").send().await?;
+        let answer = TestRequest::post(&url, b"milk").send().await?;
         ensure!(answer.status == 200, "status {}", answer.status);
         ensure!(answer.body == b"milk");
         ensure!(answer.outcome() == "ran");
-        let answer = HttpAsk::get(&url).send().await?;
+        let answer = TestRequest::get(&url).send().await?;
         ensure!(answer.status == 200);
         ensure!(answer.outcome() == "ran");
     }
@@ -56,23 +56,25 @@
 
 async fn token_needed() -> Result<()> {
     let fleet = Fleet::start(FleetPlan::default()).await?;
-    let answer = HttpAsk::get(&fleet.operator_url(0, "/table"))
+    let answer = TestRequest::get(&fleet.operator_url(0, "/table"))
         .send()
         .await?;
     ensure!(answer.status == 401);
-    let answer = HttpAsk::get(&fleet.caller_url(0, "/table")).send().await?;
+    let answer = TestRequest::get(&fleet.caller_url(0, "/table"))
+        .send()
+        .await?;
     ensure!(answer.status == 404);
     Ok(())
 }
 
 async fn unknown_names() -> Result<()> {
     let fleet = Fleet::start(FleetPlan::default()).await?;
-    let answer = HttpAsk::get(&fleet.caller_url(0, "/nothing"))
+    let answer = TestRequest::get(&fleet.caller_url(0, "/nothing"))
         .send()
         .await?;
     ensure!(answer.status == 404 && answer.outcome() == "not-run");
-    let ask = HttpAsk::get(&fleet.caller_url(0, "/quotes/1"));
-    let answer = ask.header("hoisthitch-team", "nobody").send().await?;
+    let request = TestRequest::get(&fleet.caller_url(0, "/quotes/1"));
+    let answer = request.header("hoisthitch-team", "nobody").send().await?;
     ensure!(answer.status == 403 && answer.outcome() == "not-run");
     Ok(())
 }
