--- a/crates/hoisthitch-core/src/fleet.rs
+++ b/crates/hoisthitch-core/src/fleet.rs
@@ -1,8 +1,11 @@
-//! What a steward does next for a pool, from a snapshot of the fleet.
+//! Plans a steward's next actions for one pool.
 //!
-//! The plan only reads. Each action is carried out by compare-and-swap that
-//! checks again what the plan was based on, so that two stewards with the same
-//! plan, or one that was frozen since, do no harm.
+//! [`plan_pool`] is given a snapshot of the fleet and returns a list of
+//! [`FleetAction`]s. It has no side effects. Each action is carried out by
+//! compare-and-swap, which checks again the state that the action was planned
+//! on. Two stewards with the same plan, or a steward that was frozen after
+//! planning, therefore do no harm. Actions that are planned together must not
+//! invalidate each other.
 
 use std::collections::{
     BTreeMap,
@@ -29,88 +32,91 @@
     }, //
 };
 
-/// Lost VMs of one rack at which a wave is paused.
-const LOST_RACK: usize = 2;
+/// Number of lost VMs of a pool in one rack at which its waves are paused.
+const RACK_LOSS_PAUSE_VMS: usize = 2;
 
-/// A VM as the platform lists it.
+/// State of a VM as the platform lists it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ObservedVm {
-    /// Whether the VM runs and does not leave.
+    /// Whether the VM runs and is not about to be removed.
     pub live: bool,
-    /// Times that the VM was started.
+    /// Number of times that the VM was started.
     pub boots: u64,
 }
 
-/// The fleet at one moment.
+/// State of the fleet that a plan is based on.
 pub struct FleetSnapshot<'a> {
     /// The operators' table.
     pub table: &'a PolicyTable,
-    /// Hall records by data hall.
+    /// Hall records by name of the data hall.
     pub halls: &'a BTreeMap<String, HallRecord>,
-    /// Permit ledgers by pool.
+    /// Permit ledgers by name of the pool.
     pub ledgers: &'a BTreeMap<String, PermitLedger>,
-    /// Waves.
+    /// Records of all waves.
     pub waves: &'a [WaveRecord],
-    /// VMs that the platform lists.
+    /// VMs that the platform lists, by name.
     pub listed: &'a BTreeMap<String, ObservedVm>,
 }
 
-/// A VM, and the state that an action was planned on.
+/// A VM together with the state that an action was planned on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmTarget {
     /// Data hall of the VM.
     pub hall: String,
     /// Name of the VM.
     pub vm: String,
-    /// Fence of the VM's assignment; an action on another one is dropped.
+    /// Fencing token of the VM's assignment; the action fails if it has changed.
     pub fence: u64,
 }
 
-/// What a steward does next.
+/// One action of a steward.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FleetAction {
-    /// Returns a permit whose VM is not absent under it.
+    /// Releases an unused permit: its VM is not [`AssignmentState::Leaving`] in
+    /// the pool.
     WithdrawPermit {
         /// Pool of the permit.
         pool: String,
         /// VM of the permit.
         target: VmTarget,
     },
-    /// Takes a permit and has a VM's requests end, for a task.
+    /// Takes a permit and starts to drain a VM.
     BeginLeave {
         /// Pool that holds the VM.
         pool: String,
         /// The VM.
         target: VmTarget,
-        /// What the VM leaves for.
+        /// Why the VM is drained.
         task: VmTask,
     },
-    /// Gives a VM that is empty everywhere to another pool.
+    /// Assigns a drained VM to another pool. No entry has requests at the VM any
+    /// more when the action is carried out.
     FinishMove {
         /// Pool that held the VM.
         pool: String,
         /// The VM.
         target: VmTarget,
-        /// Pool that gets it.
+        /// Pool that the VM is assigned to.
         to: String,
     },
-    /// Reboots a VM that is empty everywhere.
+    /// Reboots a drained VM. No entry has requests at the VM any more when the
+    /// action is carried out.
     BeginReboot {
         /// The VM.
         target: VmTarget,
         /// Name of the wave.
         wave: String,
-        /// Boots before the reboot.
+        /// Boot count before the reboot.
         boots: u64,
     },
-    /// Asks for a reboot again, since the platform has not begun it.
+    /// Requests a reboot again, since the platform has not started it.
     RepeatReboot {
         /// The VM.
         target: VmTarget,
-        /// Boots before the reboot.
+        /// Boot count before the reboot.
         boots: u64,
     },
-    /// Returns a VM that was rebooted to its pool.
+    /// Returns a rebooted VM to its pool.
     EndMaintenance {
         /// Pool that holds the VM.
         pool: String,
@@ -123,26 +129,27 @@
     PauseWave {
         /// Name of the wave.
         wave: String,
-        /// Why.
+        /// Reason, for operators.
         reason: String,
     },
 }
 
-/// Plans what a steward does next for a pool.
+/// Plans a steward's next actions for a pool.
 pub fn plan_pool(snapshot: &FleetSnapshot<'_>, row: &PoolRow) -> Vec<FleetAction> {
     let planner = PoolPlanner {
         snapshot,
         row,
         lost: lost_vms(snapshot, &row.name),
     };
-    let mut actions = planner.withdrawals();
-    actions.extend(planner.continuations());
+    let mut actions = planner.permit_withdrawals();
+    actions.extend(planner.drain_continuations());
     actions.extend(planner.moves());
-    actions.extend(planner.drains());
+    actions.extend(planner.wave_drains());
     actions
 }
 
-/// VMs of a pool that are absent without being planned.
+/// VMs of a pool that are absent without a plan: their assignment says that they
+/// serve, but the platform does not list them as live.
 pub fn lost_vms(snapshot: &FleetSnapshot<'_>, pool: &str) -> BTreeSet<String> {
     assignments(snapshot, pool)
         .filter(|(_, assignment)| assignment.state == AssignmentState::Serving)
@@ -151,6 +158,7 @@
         .collect()
 }
 
+/// Plans the actions of one pool.
 struct PoolPlanner<'a> {
     snapshot: &'a FleetSnapshot<'a>,
     row: &'a PoolRow,
@@ -158,7 +166,7 @@
 }
 
 impl PoolPlanner<'_> {
-    fn withdrawals(&self) -> Vec<FleetAction> {
+    fn permit_withdrawals(&self) -> Vec<FleetAction> {
         let permits = self.ledger().into_iter().flat_map(|ledger| &ledger.permits);
         permits
             .filter_map(|permit| {
@@ -179,14 +187,15 @@
             .collect()
     }
 
-    fn continuations(&self) -> Vec<FleetAction> {
+    /// Next actions for the VMs that are draining or drained.
+    fn drain_continuations(&self) -> Vec<FleetAction> {
         assignments(self.snapshot, &self.row.name)
             .filter(|(_, assignment)| assignment.state == AssignmentState::Leaving)
-            .filter_map(|(hall, assignment)| self.continuation(hall, assignment))
+            .filter_map(|(hall, assignment)| self.continue_drain(hall, assignment))
             .collect()
     }
 
-    fn continuation(&self, hall: &str, assignment: &VmAssignment) -> Option<FleetAction> {
+    fn continue_drain(&self, hall: &str, assignment: &VmAssignment) -> Option<FleetAction> {
         let target = target(hall, assignment);
         let pool = self.row.name.clone();
         match assignment.task.as_ref()? {
@@ -196,54 +205,59 @@
             }
             VmTask::Maintain { wave, step } => {
                 let wave = wave.clone();
-                let seen = self.snapshot.listed.get(&assignment.vm).copied();
-                match (*step, seen) {
-                    (MaintainStep::Drain, Some(seen)) => Some(FleetAction::BeginReboot {
+                let observed = self.snapshot.listed.get(&assignment.vm).copied();
+                match (*step, observed) {
+                    (MaintainStep::Drain, Some(observed)) => Some(FleetAction::BeginReboot {
                         target,
                         wave,
-                        boots: seen.boots,
+                        boots: observed.boots,
                     }),
-                    (MaintainStep::Reboot { .. }, Some(seen)) if !seen.live => None,
-                    (MaintainStep::Reboot { boots }, Some(seen)) if seen.boots > boots => {
+                    (MaintainStep::Reboot { .. }, Some(observed)) if !observed.live => None,
+                    (MaintainStep::Reboot { boots }, Some(observed)) if observed.boots > boots => {
                         Some(FleetAction::EndMaintenance { pool, target, wave })
                     }
                     (MaintainStep::Reboot { boots }, Some(_)) => {
                         Some(FleetAction::RepeatReboot { target, boots })
                     }
-                    // A VM that is not listed is waited for, under its permit.
+                    // The VM is not listed. It keeps its permit until it is.
                     (_, None) => None,
                 }
             }
         }
     }
 
+    /// Drains for moves to other pools, as far as the pool keeps its least number
+    /// of VMs and the availability budget allows them.
     fn moves(&self) -> Vec<FleetAction> {
         let held = assignments(self.snapshot, &self.row.name).count();
         let spare = held.saturating_sub(self.row.min_vms as usize);
-        let mut room = spare.min(self.room());
+        let mut headroom = spare.min(self.absence_headroom());
         let mut actions = Vec::new();
         for (hall, assignment) in assignments(self.snapshot, &self.row.name) {
-            let wanted = assignment.state == AssignmentState::Serving && self.may_begin(assignment);
+            let may_move =
+                assignment.state == AssignmentState::Serving && self.may_drain(assignment);
             if let Some(task @ VmTask::Move { .. }) = &assignment.task
-                && wanted
-                && room > 0
+                && may_move
+                && headroom > 0
             {
-                room -= 1;
-                actions.push(self.begin(hall, assignment, task.clone()));
+                headroom -= 1;
+                actions.push(self.begin_drain(hall, assignment, task.clone()));
             }
         }
         actions
     }
 
-    fn drains(&self) -> Vec<FleetAction> {
-        let mut room = self.room();
+    /// Drains for maintenance waves, as far as the availability budget allows
+    /// them; waves are paused instead after losses in one rack.
+    fn wave_drains(&self) -> Vec<FleetAction> {
+        let mut headroom = self.absence_headroom();
         let mut actions = Vec::new();
         let running = self.snapshot.waves.iter();
         for wave in running.filter(|wave| wave.state == WaveState::Running) {
             if !wave.covers(&self.row.name) {
                 continue;
             }
-            if let Some(rack) = self.lost_rack() {
+            if let Some(rack) = self.rack_with_losses() {
                 actions.push(FleetAction::PauseWave {
                     wave: wave.name.clone(),
                     reason: format!("rack {rack} lost several VMs of pool {}", self.row.name),
@@ -252,24 +266,24 @@
             }
             let halls = self.snapshot.halls.values();
             for candidate in wave_candidates(wave, &self.row.name, halls) {
-                if room == 0 {
+                if headroom == 0 {
                     break;
                 }
-                if !self.may_begin(candidate.assignment) {
+                if !self.may_drain(candidate.assignment) {
                     continue;
                 }
-                room -= 1;
+                headroom -= 1;
                 let task = VmTask::Maintain {
                     wave: wave.name.clone(),
                     step: MaintainStep::Drain,
                 };
-                actions.push(self.begin(candidate.hall, candidate.assignment, task));
+                actions.push(self.begin_drain(candidate.hall, candidate.assignment, task));
             }
         }
         actions
     }
 
-    fn begin(&self, hall: &str, assignment: &VmAssignment, task: VmTask) -> FleetAction {
+    fn begin_drain(&self, hall: &str, assignment: &VmAssignment, task: VmTask) -> FleetAction {
         FleetAction::BeginLeave {
             pool: self.row.name.clone(),
             target: target(hall, assignment),
@@ -277,17 +291,19 @@
         }
     }
 
-    /// Whether a VM may begin to leave. One with a permit is left out: its permit
-    /// is withdrawn first, which raises the fence, so that what is planned on the
-    /// fence before would take a permit again and fail.
-    fn may_begin(&self, assignment: &VmAssignment) -> bool {
+    /// Whether a drain of the VM may be planned.
+    ///
+    /// Not while the VM has a permit. That permit is withdrawn first, which raises
+    /// the fence; a drain planned on the fence before would take a permit again
+    /// and then fail.
+    fn may_drain(&self, assignment: &VmAssignment) -> bool {
         !self
             .ledger()
             .is_some_and(|ledger| ledger.holds(&assignment.vm))
     }
 
-    /// VMs that the budget still lets be absent.
-    fn room(&self) -> usize {
+    /// Number of further VMs that the availability budget allows to be absent.
+    fn absence_headroom(&self) -> usize {
         let none = PermitLedger::default();
         let absent = self.ledger().unwrap_or(&none).absent(&self.lost);
         (self.row.max_absent as usize).saturating_sub(absent)
@@ -297,15 +313,17 @@
         self.snapshot.ledgers.get(&self.row.name)
     }
 
-    /// A rack that lost several VMs of the pool.
-    fn lost_rack(&self) -> Option<String> {
+    /// A rack with [`RACK_LOSS_PAUSE_VMS`] or more lost VMs of the pool.
+    fn rack_with_losses(&self) -> Option<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for (_, assignment) in assignments(self.snapshot, &self.row.name) {
             if self.lost.contains(&assignment.vm) {
                 *counts.entry(&assignment.rack).or_default() += 1;
             }
         }
-        let found = counts.into_iter().find(|(_, count)| *count >= LOST_RACK);
+        let found = counts
+            .into_iter()
+            .find(|(_, count)| *count >= RACK_LOSS_PAUSE_VMS);
         found.map(|(rack, _)| rack.to_owned())
     }
 }
@@ -322,7 +340,10 @@
 }
 
 fn is_live(snapshot: &FleetSnapshot<'_>, vm: &str) -> bool {
-    snapshot.listed.get(vm).is_some_and(|seen| seen.live)
+    snapshot
+        .listed
+        .get(vm)
+        .is_some_and(|observed| observed.live)
 }
 
 fn target(hall: &str, assignment: &VmAssignment) -> VmTarget {
