--- a/crates/hoisthitch-core/src/ledger.rs
+++ b/crates/hoisthitch-core/src/ledger.rs
@@ -1,9 +1,11 @@
-//! Slots of a pool's runners, as one entry sees them.
+//! Slots of a pool's runners in one entry, with outlier ejection.
 //!
-//! A runner's `limit` is what this entry may use of the runner's slots; how the
-//! entries share the slots is decided outside. Runners that fail are ejected,
-//! but never more of them than the pool's availability budget allows, and an
-//! ejected runner is probed with one request at a time before it returns.
+//! [`SlotLedger`] is given the runners, the number of slots that this entry may
+//! use of each (`limit`; the caller decides how entries share slots) and the
+//! results of requests. It selects the runner for the next request. Runners that
+//! fail repeatedly are ejected, but never more of them than the pool's
+//! availability budget allows. An ejected runner is probed with one request at a
+//! time before it returns to service.
 
 use std::{
     cmp::Reverse,
@@ -19,36 +21,36 @@
 
 use crate::keys::RunnerKey;
 
-/// Failures in a row after which a runner is ejected.
-const EJECT_AFTER: u32 = 3;
+/// Consecutive failures after which a runner is ejected.
+const EJECT_AFTER_FAILURES: u32 = 3;
 
-/// First time of ejection; doubles with each probe that fails.
-const EJECT_BASE: Duration = Duration::from_millis(500);
+/// First ejection period; it doubles with each failed probe.
+const EJECT_PERIOD_MIN: Duration = Duration::from_millis(500);
 
-/// Longest time of ejection.
-const EJECT_MAX: Duration = Duration::from_secs(30);
+/// Longest ejection period.
+const EJECT_PERIOD_MAX: Duration = Duration::from_secs(30);
 
-/// Whether a runner takes work.
+/// Health of a runner, judged by the results of requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunnerHealth {
-    /// Takes work.
+    /// The runner gets requests.
     Healthy,
-    /// Takes none until the instant, then one probe.
+    /// The runner gets no requests until `until`, then one as a probe.
     Ejected {
-        /// When a probe may be sent.
+        /// Time from which on a probe may be sent.
         until: Instant,
-        /// How long this ejection was set to last.
+        /// Length of the ejection period.
         period: Duration,
     },
-    /// One probe is under way.
+    /// One probe is in flight.
     Probing {
-        /// How long the ejection before the probe lasted.
+        /// Length of the ejection period before the probe.
         period: Duration,
     },
 }
 
 impl RunnerHealth {
-    /// Name in answers and logs.
+    /// Name in API responses and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Healthy => "healthy",
@@ -58,25 +60,27 @@
     }
 }
 
-/// One runner's slots.
+/// Slots of one runner.
 #[derive(Clone, Debug)]
 pub struct RunnerSlots {
-    /// Name of the VM that the runner is on.
+    /// Name of the VM on which the runner runs.
     pub vm: Arc<str>,
     /// Address of the runner.
     pub address: SocketAddr,
     /// Slots that this entry may use.
     pub limit: u32,
-    /// Requests of this entry that the runner holds.
+    /// Requests of this entry that are at the runner.
     pub in_flight: u32,
-    /// Whether the runner takes no new work because it leaves.
+    /// Whether the runner is draining and gets no new requests.
     pub leaving: bool,
-    /// Whether the runner takes work as far as its answers tell.
+    /// Health of the runner, judged by the results of requests.
     pub health: RunnerHealth,
+    /// Consecutive failures.
     failures: u32,
-    /// Whether the pool no longer holds the runner; it goes once it is empty.
+    /// Whether the runner was removed from the pool. It is deleted once it has no
+    /// request in flight.
     removed: bool,
-    /// Turn at which a slot was last taken.
+    /// Value of `SlotLedger::turn` when a slot was last taken.
     last_turn: u64,
 }
 
@@ -86,16 +90,17 @@
     runners: SlotMap<RunnerKey, RunnerSlots>,
     in_flight: u32,
     eject_cap: usize,
+    /// Number of slots taken so far.
     turn: u64,
 }
 
 impl SlotLedger {
-    /// Sets how many runners may be ejected at once.
+    /// Sets the largest number of runners that may be ejected at a time.
     pub fn set_eject_cap(&mut self, cap: usize) {
         self.eject_cap = cap;
     }
 
-    /// Adds a runner or changes it; requests under way stay counted.
+    /// Adds or updates a runner. Its requests in flight stay counted.
     pub fn put(&mut self, vm: &str, address: SocketAddr, limit: u32, leaving: bool) {
         let found = self
             .runners
@@ -120,8 +125,8 @@
         });
     }
 
-    /// Keeps the runners that `kept` names; the others take no new work and go
-    /// once they hold no request.
+    /// Removes the runners for which `kept` is false. They get no new requests and
+    /// are deleted once they have none in flight.
     pub fn retain(&mut self, kept: impl Fn(&RunnerSlots) -> bool) {
         for runner in self.runners.values_mut() {
             if !kept(runner) {
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Marks a VM's runner as leaving or back.
+    /// Sets whether a VM's runner is draining.
     pub fn set_leaving(&mut self, vm: &str, leaving: bool) {
         for runner in self.runners.values_mut() {
             if *runner.vm == *vm {
@@ -148,15 +153,15 @@
         }
     }
 
-    /// Takes a slot on the runner with the largest free share; among equals, on
-    /// the one whose last turn is the longest ago, so that a runner that fails
-    /// fast attracts no more than its share.
+    /// Takes a slot of the runner with the largest free share of its slots; among
+    /// equals, of the least recently used one, so that a runner that fails fast
+    /// attracts no more than its share of requests.
     ///
-    /// A runner in `avoid` is taken only when no other has a free slot.
+    /// The runner `avoid` is taken only if no other one has a free slot.
     pub fn take(&mut self, now: Instant, avoid: Option<RunnerKey>) -> Option<RunnerKey> {
         let key = self
-            .choose(now, avoid)
-            .or_else(|| avoid.and_then(|_| self.choose(now, None)))?;
+            .select_runner(now, avoid)
+            .or_else(|| avoid.and_then(|_| self.select_runner(now, None)))?;
         let runner = self.runners.get_mut(key)?;
         if let RunnerHealth::Ejected { period, .. } = runner.health {
             runner.health = RunnerHealth::Probing { period };
@@ -168,12 +173,12 @@
         Some(key)
     }
 
-    /// Gives a slot back and notes how the request went.
+    /// Releases a slot and records the result of its request.
     ///
-    /// `healthy` is `None` when the request says nothing about the runner.
+    /// `healthy` is `None` when the result says nothing about the runner.
     pub fn release(&mut self, key: RunnerKey, healthy: Option<bool>, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        let ejected = self.ejected();
+        let ejected = self.ejected_count();
         let cap = self.eject_cap;
         let Some(runner) = self.runners.get_mut(key) else {
             return;
@@ -182,19 +187,19 @@
         match healthy {
             Some(true) => runner.record_success(),
             Some(false) => runner.record_failure(ejected < cap, now),
-            None => runner.note_nothing(now),
+            None => runner.record_no_result(now),
         }
         if runner.in_flight == 0 && runner.removed {
             self.runners.remove(key);
         }
     }
 
-    /// Requests that this entry has at runners.
+    /// Requests of this entry that are at runners.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Slots that this entry may use on runners that take work.
+    /// Slots that this entry may use of healthy runners that get new requests.
     pub fn usable(&self) -> u32 {
         self.runners
             .values()
@@ -205,14 +210,15 @@
             .sum()
     }
 
-    /// Whether any runner may take work, now or when a slot comes free.
+    /// Whether any runner may get a request now or later: whether one is neither
+    /// draining nor removed.
     pub fn has_runner(&self) -> bool {
         self.runners
             .values()
             .any(|runner| !runner.leaving && !runner.removed)
     }
 
-    /// Looks a runner up.
+    /// Returns a runner's slots.
     pub fn get(&self, key: RunnerKey) -> Option<&RunnerSlots> {
         self.runners.get(key)
     }
@@ -227,7 +233,7 @@
         self.runners.values()
     }
 
-    fn choose(&self, now: Instant, avoid: Option<RunnerKey>) -> Option<RunnerKey> {
+    fn select_runner(&self, now: Instant, avoid: Option<RunnerKey>) -> Option<RunnerKey> {
         self.runners
             .iter()
             .filter(|(key, runner)| Some(*key) != avoid && runner.has_free_slot(now))
@@ -235,7 +241,7 @@
             .map(|(key, _)| key)
     }
 
-    fn ejected(&self) -> usize {
+    fn ejected_count(&self) -> usize {
         self.runners
             .values()
             .filter(|runner| runner.health != RunnerHealth::Healthy)
@@ -243,7 +249,7 @@
     }
 }
 
-/// Scale of a free share, so that shares compare as whole numbers.
+/// Scale of a free share, so that shares are compared as integers.
 const SHARE_SCALE: u64 = 1_000_000;
 
 impl RunnerSlots {
@@ -271,8 +277,10 @@
     fn record_failure(&mut self, may_eject: bool, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         let period = match self.health {
-            RunnerHealth::Probing { period } => (period * 2).min(EJECT_MAX),
-            RunnerHealth::Healthy if self.failures >= EJECT_AFTER && may_eject => EJECT_BASE,
+            RunnerHealth::Probing { period } => (period * 2).min(EJECT_PERIOD_MAX),
+            RunnerHealth::Healthy if self.failures >= EJECT_AFTER_FAILURES && may_eject => {
+                EJECT_PERIOD_MIN
+            }
             _ => return,
         };
         self.health = RunnerHealth::Ejected {
@@ -281,7 +289,8 @@
         };
     }
 
-    fn note_nothing(&mut self, now: Instant) {
+    /// After a probe without a result, lets the next probe be sent at once.
+    fn record_no_result(&mut self, now: Instant) {
         if let RunnerHealth::Probing { period } = self.health {
             self.health = RunnerHealth::Ejected { until: now, period };
         }
--- a/crates/hoisthitch-core/src/scheduler.rs
+++ b/crates/hoisthitch-core/src/scheduler.rs
@@ -1,4 +1,10 @@
-//! The scheduler of one pool in one entry: limits, queue and slots together.
+//! Request scheduler of one pool in one entry: admission limits, queue and runner
+//! slots.
+//!
+//! [`PoolScheduler`] is given requests, runners, the pool's row of the operators'
+//! table and the current time. For each request it decides whether the request
+//! gets a runner slot, waits in the queue or is refused. A refused request holds
+//! no quota, queue place or slot.
 
 use std::time::{
     Duration,
@@ -29,54 +35,57 @@
     }, //
 };
 
-/// Weight of the newest sample in the mean service time.
-const SERVICE_GAIN: f64 = 0.05;
+/// Weight of the newest sample in the exponential moving averages of the service
+/// time and of the interval between background grants.
+const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Service time that a new pool is assumed to have, in seconds.
-const SERVICE_GUESS: f64 = 0.02;
+/// Mean service time that is assumed for a new pool, in seconds.
+const INITIAL_SERVICE_SECONDS: f64 = 0.02;
 
-/// Shortest time that a refused caller is told to wait.
+/// Shortest retry delay given to a refused caller.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 
-/// Longest time that a refused caller is told to wait.
+/// Longest retry delay given to a refused caller.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
-/// Mean service times that must be left before a request's deadline for it to be
-/// sent.
-const LEAST_SERVICES: f64 = 1.1;
+/// A request is sent only if at least this many mean service times are left until
+/// its deadline.
+const MIN_SERVICE_TIMES_LEFT: f64 = 1.1;
 
-/// Background work is promoted this many service times before its deadline.
-const PROMOTE_SERVICES: f64 = 4.0;
+/// Background requests are promoted this many mean service times before their
+/// deadline.
+const PROMOTE_SERVICE_TIMES: f64 = 4.0;
 
-/// What became of a request at the scheduler.
+/// Result of admitting a request.
 #[derive(Debug)]
 pub enum WorkAdmission<T> {
-    /// The request has a slot.
+    /// The request holds a slot of the runner.
     Granted(RunnerKey),
-    /// The request waits; another request may have had to give way to it.
+    /// The request waits in the queue.
     Queued {
-        /// Names the request in the queue.
+        /// Identifies the request in the queue.
         ticket: WorkTicket,
-        /// What gave way and must be refused.
+        /// Background request that was evicted from the full queue; the caller of
+        /// [`PoolScheduler::admit`] must refuse it.
         evicted: Option<T>,
     },
 }
 
-/// What became of the unit that goes next.
+/// Result of taking the next request from the queue.
 #[derive(Debug)]
 pub enum WorkGrant<T> {
-    /// It has a slot.
+    /// The request holds a slot of the runner.
     Granted(WorkUnit<T>, RunnerKey),
-    /// It is refused.
+    /// The request is refused, since it can't end by its deadline.
     Refused(WorkUnit<T>, WorkRefusal),
 }
 
-/// Why a request was refused at once.
+/// Why a request was refused, and when to retry it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WorkRefusal {
-    /// Which rule refused it.
+    /// Rule that refused the request.
     pub reason: RefusalReason,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
@@ -89,7 +98,7 @@
     /// The team's rate limit.
     #[error("team-rate")]
     TeamRate,
-    /// The team's limit of requests held.
+    /// The team's limit of requests that one entry holds at a time.
     #[error("team-in-flight")]
     TeamInFlight,
     /// The queue is full.
@@ -98,7 +107,7 @@
     /// The deadline can't be met.
     #[error("deadline")]
     Deadline,
-    /// No runner of the pool takes work.
+    /// No runner of the pool accepts requests.
     #[error("no-runner")]
     NoRunner,
     /// The entry is stopping.
@@ -109,13 +118,14 @@
 /// How a request at a runner ended.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkResult {
-    /// Runner that held the request.
+    /// Runner that the request was sent to.
     pub runner: RunnerKey,
-    /// Priority that the request was served at.
+    /// Priority at which the request was served.
     pub priority: PaidPriority,
-    /// Whether the runner did well; `None` when the request doesn't tell.
+    /// Whether the result shows a healthy runner; `None` when it says nothing
+    /// about the runner.
     pub healthy: Option<bool>,
-    /// How long the runner held it.
+    /// How long the request was at the runner.
     pub service: Duration,
 }
 
@@ -129,57 +139,59 @@
     retries: RetryBudget,
     quotas: SecondaryMap<TeamKey, TeamQuota>,
     service_seconds: f64,
-    pace: BackgroundPace,
+    background_rate: BackgroundRate,
 }
 
-/// How fast queued background work has been granted lately.
+/// Recent rate at which queued background requests were granted slots.
 ///
-/// Its share of the slots depends on the urgent work beside it, so the pace is
-/// measured, not worked out.
+/// The share of slots that background requests get depends on the concurrent
+/// urgent requests, so the rate is measured and not computed.
 #[derive(Debug, Default)]
-struct BackgroundPace {
-    /// Last grant; none where the queue was empty since.
-    last: Option<Instant>,
+struct BackgroundRate {
+    /// Time of the last grant; `None` if no background request was left waiting.
+    last_grant: Option<Instant>,
     /// Mean time between two grants, in seconds.
-    interval: f64,
+    interval_seconds: f64,
 }
 
-impl BackgroundPace {
-    fn note_grant(&mut self, now: Instant, more_waits: bool) {
-        if let Some(last) = self.last {
-            let sample = now.saturating_duration_since(last).as_secs_f64();
-            self.interval += SERVICE_GAIN * (sample - self.interval);
+impl BackgroundRate {
+    fn record_grant(&mut self, now: Instant, more_queued: bool) {
+        if let Some(last_grant) = self.last_grant {
+            let sample = now.saturating_duration_since(last_grant).as_secs_f64();
+            self.interval_seconds += SAMPLE_WEIGHT * (sample - self.interval_seconds);
         }
-        self.last = more_waits.then_some(now);
+        self.last_grant = more_queued.then_some(now);
     }
 }
 
+/// Quota of one team in the pool.
 #[derive(Debug)]
 struct TeamQuota {
     limiter: RateLimiter,
-    held: u32,
-    limit: u32,
+    /// Requests of the team that were admitted and have no answer yet.
+    in_flight: u32,
+    in_flight_limit: u32,
 }
 
 impl<T> PoolScheduler<T> {
-    /// Starts without runners.
+    /// Creates a scheduler without runners.
     pub fn new(row: PoolRow, now: Instant) -> Self {
         Self {
             queue: WorkQueue::new(QueueLimits {
                 capacity: row.queue_limit as usize,
-                promote_within: promote_within(SERVICE_GUESS),
+                promote_within: promote_within(INITIAL_SERVICE_SECONDS),
             }),
             ledger: SlotLedger::default(),
             limiter: RateLimiter::new(row.rate_limit, now),
             retries: RetryBudget::new(row.retry_percent),
             quotas: SecondaryMap::new(),
-            service_seconds: SERVICE_GUESS,
-            pace: BackgroundPace::default(),
+            service_seconds: INITIAL_SERVICE_SECONDS,
+            background_rate: BackgroundRate::default(),
             row,
         }
     }
 
-    /// Puts a changed row in force.
+    /// Applies a changed row.
     pub fn set_row(&mut self, row: PoolRow, now: Instant) {
         self.limiter.set_rate(row.rate_limit, now);
         self.retries.set_percent(row.retry_percent);
@@ -188,22 +200,22 @@
         self.refresh_limits();
     }
 
-    /// Puts a team's quota in force for this pool.
+    /// Applies a team's quota to this pool.
     pub fn set_team(&mut self, key: TeamKey, row: &TeamRow, now: Instant) {
         if let Some(quota) = self.quotas.get_mut(key) {
             quota.limiter.set_rate(row.rate_limit, now);
-            quota.limit = row.in_flight_limit;
+            quota.in_flight_limit = row.in_flight_limit;
             return;
         }
         let quota = TeamQuota {
             limiter: RateLimiter::new(row.rate_limit, now),
-            held: 0,
-            limit: row.in_flight_limit,
+            in_flight: 0,
+            in_flight_limit: row.in_flight_limit,
         };
         self.quotas.insert(key, quota);
     }
 
-    /// The row in force.
+    /// The current row.
     pub fn row(&self) -> &PoolRow {
         &self.row
     }
@@ -213,7 +225,7 @@
         &self.ledger
     }
 
-    /// The pool's slots, to change runners.
+    /// The pool's slots, to update runners.
     pub fn ledger_mut(&mut self) -> &mut SlotLedger {
         &mut self.ledger
     }
@@ -223,11 +235,12 @@
         &self.queue
     }
 
-    /// Admits a request: grants a slot, queues it, or refuses it at once.
+    /// Admits a request: grants a slot, queues it, or refuses it.
     ///
     /// # Errors
     ///
-    /// A refused request held nothing and can be answered at once.
+    /// A refused request holds no quota, queue place or slot, so it can be answered
+    /// at once.
     pub fn admit(
         &mut self,
         unit: WorkUnit<T>,
@@ -239,15 +252,15 @@
         let admission = self.grant_or_queue(unit, now);
         match admission {
             Ok(_) => self.retries.deposit(),
-            Err(_) => self.put_back_quota(team),
+            Err(_) => self.refund_quota(team),
         }
         admission
     }
 
-    /// Forgets a request that was admitted, once it has its answer.
+    /// Releases the in-flight quota of an admitted request that was answered.
     pub fn finish_admitted(&mut self, team: TeamKey) {
         if let Some(quota) = self.quotas.get_mut(team) {
-            quota.held = quota.held.saturating_sub(1);
+            quota.in_flight = quota.in_flight.saturating_sub(1);
         }
     }
 
@@ -265,8 +278,8 @@
         Some(runner)
     }
 
-    /// Takes another slot for a request that never left this process; it costs
-    /// no retry budget.
+    /// Takes another slot for a request that never left this process. This does
+    /// not use the retry budget.
     pub fn reassign(
         &mut self,
         priority: PaidPriority,
@@ -280,18 +293,18 @@
         Some(runner)
     }
 
-    /// Gives a slot back.
+    /// Releases the slot of a finished request.
     pub fn finish(&mut self, result: WorkResult, now: Instant) {
         self.ledger.release(result.runner, result.healthy, now);
         if result.healthy == Some(true) {
             let sample = result.service.as_secs_f64();
-            self.service_seconds += SERVICE_GAIN * (sample - self.service_seconds);
+            self.service_seconds += SAMPLE_WEIGHT * (sample - self.service_seconds);
             self.refresh_limits();
         }
     }
 
-    /// Grants a free slot to the unit that goes next, or refuses that unit since
-    /// it could not be done by its deadline any more.
+    /// Takes the next request from the queue and grants it a free slot, or refuses
+    /// it if it can no longer end by its deadline.
     pub fn grant_next(&mut self, now: Instant) -> Option<WorkGrant<T>> {
         if !self.has_room(PaidPriority::Urgent) {
             return None;
@@ -305,19 +318,19 @@
             self.ledger.release(runner, None, now);
             return None;
         };
-        if unit.deadline < now + self.least_service() {
+        if unit.deadline < now + self.min_time_left() {
             self.ledger.release(runner, None, now);
             let refusal = self.refusal(RefusalReason::Deadline, unit.priority);
             return Some(WorkGrant::Refused(unit, refusal));
         }
         if unit.priority == PaidPriority::Background {
-            let more_waits = self.queue.len_of(PaidPriority::Background) > 0;
-            self.pace.note_grant(now, more_waits);
+            let more_queued = self.queue.len_of(PaidPriority::Background) > 0;
+            self.background_rate.record_grant(now, more_queued);
         }
         Some(WorkGrant::Granted(unit, runner))
     }
 
-    /// Removes a unit that gave up waiting.
+    /// Removes a request that stopped waiting from the queue.
     pub fn cancel(
         &mut self,
         ticket: WorkTicket,
@@ -330,31 +343,31 @@
             .is_some()
     }
 
-    /// Empties the queue, for a stop.
+    /// Removes and returns all queued requests, when the entry stops.
     pub fn drain_queue(&mut self) -> Vec<WorkUnit<T>> {
         self.queue.take_all()
     }
 
-    /// Time that a new request of the priority would wait for a slot.
+    /// Expected wait of a new request of the priority for a slot.
     pub fn expected_wait(&self, priority: PaidPriority) -> Duration {
         let urgent = self.queue.len_of(PaidPriority::Urgent);
         let background = self.queue.len_of(PaidPriority::Background);
         let slots = f64::from(self.slots().max(1));
-        let by_slots = |ahead: usize| ahead as f64 * self.service_seconds / slots;
+        let wait_by_slots = |ahead: usize| ahead as f64 * self.service_seconds / slots;
         let seconds = match priority {
-            PaidPriority::Urgent => by_slots(urgent),
+            PaidPriority::Urgent => wait_by_slots(urgent),
             PaidPriority::Background => {
-                let by_pace = background as f64 * self.pace.interval;
-                by_slots(urgent + background).max(by_pace)
+                let wait_by_rate = background as f64 * self.background_rate.interval_seconds;
+                wait_by_slots(urgent + background).max(wait_by_rate)
             }
         };
         Duration::from_secs_f64(seconds)
     }
 
-    /// Time that must be left for a request to be sent: one that is sent later
-    /// would most likely end as unknown.
-    fn least_service(&self) -> Duration {
-        Duration::from_secs_f64(self.service_seconds * LEAST_SERVICES)
+    /// Time until the deadline that a request needs to be sent. The outcome of a
+    /// request that is sent later would most likely be unknown.
+    fn min_time_left(&self) -> Duration {
+        Duration::from_secs_f64(self.service_seconds * MIN_SERVICE_TIMES_LEFT)
     }
 
     fn grant_or_queue(
@@ -381,7 +394,7 @@
     fn check_deadline(&self, unit: &WorkUnit<T>, now: Instant) -> Result<(), WorkRefusal> {
         let left = unit.deadline.saturating_duration_since(now);
         let wait = self.expected_wait(unit.priority);
-        if left > wait + self.least_service() {
+        if left > wait + self.min_time_left() {
             return Ok(());
         }
         Err(self.refusal(RefusalReason::Deadline, unit.priority))
@@ -394,7 +407,7 @@
         let Some(quota) = self.quotas.get_mut(team) else {
             return Ok(());
         };
-        if quota.held >= quota.limit {
+        if quota.in_flight >= quota.in_flight_limit {
             self.limiter.refund();
             return Err(refusal(RefusalReason::TeamInFlight, RETRY_AFTER_MIN));
         }
@@ -402,24 +415,25 @@
             self.limiter.refund();
             return Err(refusal(RefusalReason::TeamRate, wait));
         }
-        quota.held += 1;
+        quota.in_flight += 1;
         Ok(())
     }
 
-    fn put_back_quota(&mut self, team: TeamKey) {
+    fn refund_quota(&mut self, team: TeamKey) {
         self.limiter.refund();
         if let Some(quota) = self.quotas.get_mut(team) {
             quota.limiter.refund();
-            quota.held = quota.held.saturating_sub(1);
+            quota.in_flight = quota.in_flight.saturating_sub(1);
         }
     }
 
-    /// Whether another request of the priority may go to a runner.
+    /// Whether the in-flight limits allow another request of the priority to go to
+    /// a runner.
     ///
-    /// Background work pauses while its share of the slots is in use by anyone,
-    /// so that urgent requests find the rest free. (An upper limit on
-    /// utilisation, from "Approaches for maximizing PTU utilization"; see
-    /// `docs/design/queue.md`.)
+    /// No background request is sent while the background share of the slots is in
+    /// use, by requests of any priority. The other slots stay free for urgent
+    /// requests. (An upper limit on utilisation, from "Approaches for maximizing
+    /// PTU utilization"; see `docs/design/queue.md`.)
     fn has_room(&self, priority: PaidPriority) -> bool {
         let limit = match priority {
             PaidPriority::Urgent => self.row.in_flight_limit,
@@ -428,11 +442,12 @@
         self.ledger.in_flight() < limit.max(1)
     }
 
-    /// Slots that the pool's requests may fill.
+    /// Slots that the pool's requests may use.
     fn slots(&self) -> u32 {
         self.ledger.usable().min(self.row.in_flight_limit)
     }
 
+    /// Updates the bounds of the queue from the row and the mean service time.
     fn refresh_limits(&mut self) {
         self.queue.set_limits(QueueLimits {
             capacity: self.row.queue_limit as usize,
@@ -453,5 +468,5 @@
 }
 
 fn promote_within(service_seconds: f64) -> Duration {
-    Duration::from_secs_f64(service_seconds * PROMOTE_SERVICES)
+    Duration::from_secs_f64(service_seconds * PROMOTE_SERVICE_TIMES)
 }
