--- a/crates/hoisthitch-core/src/queue.rs
+++ b/crates/hoisthitch-core/src/queue.rs
@@ -1,9 +1,15 @@
-//! The queue of one pool in one entry.
+//! Request queue of one pool in one entry.
 //!
-//! Urgent work goes first, shared among teams by weight (stride scheduling).
-//! Background work goes by earliest deadline. Background work whose deadline is
-//! near is promoted: it may take a bounded share of the grants ahead of urgent
-//! work, so that nothing starves and urgent work is delayed by that share only.
+//! [`WorkQueue`] is given requests with a priority, team and deadline and returns
+//! them in scheduling order:
+//!
+//! - Urgent requests go first. Teams share the grants by weight (stride
+//!   scheduling).
+//! - Background requests follow, earliest deadline first.
+//! - A background request whose deadline is near is promoted: it may be taken
+//!   before urgent requests, one for each [`GRANTS_PER_PROMOTED`] urgent grants,
+//!   so that background work does not starve and urgent work is delayed by that
+//!   share only.
 
 use std::{
     collections::BTreeMap,
@@ -20,44 +26,45 @@
     table::PaidPriority, //
 };
 
-/// Of this many grants, one may go to promoted background work.
-const PROMOTED_TURN: u32 = 8;
+/// Number of urgent grants that must pass before another promoted background
+/// request may be taken ahead of urgent ones.
+const GRANTS_PER_PROMOTED: u32 = 8;
 
-/// Stride of a team with weight one.
+/// Stride of a team with weight one (stride scheduling).
 const STRIDE: u64 = 1 << 20;
 
-/// Names a unit of work in one queue.
+/// Identifies a unit of work in one queue.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WorkTicket(u64);
 
-/// One request that waits.
+/// One queued request.
 #[derive(Clone, Debug)]
 pub struct WorkUnit<T> {
-    /// What the queue's owner waits with.
+    /// Value of the caller that stands for the request.
     pub item: T,
-    /// Priority that the request is served at.
+    /// Priority at which the request is served.
     pub priority: PaidPriority,
-    /// Team that pays for it.
+    /// Team that sent the request.
     pub team: TeamKey,
     /// Weight of the team.
     pub weight: u32,
-    /// When the request is of no more use.
+    /// Time after which the response is of no use to the caller.
     pub deadline: Instant,
 }
 
-/// Bounds of a queue.
+/// Limits of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLimits {
-    /// Most units that wait.
+    /// Largest number of queued units.
     pub capacity: usize,
-    /// Background work this near to its deadline is promoted.
+    /// A background unit is promoted if its deadline is at most this far away.
     pub promote_within: Duration,
 }
 
 /// Why a unit was not queued.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum QueueRefusal {
-    /// The queue holds as much as it may.
+    /// The queue has reached its capacity.
     #[error("the queue is full")]
     Full,
 }
@@ -70,20 +77,23 @@
     urgent: BTreeMap<TeamKey, TeamBacklog<T>>,
     urgent_len: usize,
     background: BTreeMap<(Instant, WorkTicket), WorkUnit<T>>,
-    /// Pass of the team that was served last.
-    clock: u64,
-    /// Grants since promoted work last took a turn.
-    since_promoted: u32,
+    /// Virtual time of the stride scheduler: the pass of the team that was served
+    /// last.
+    virtual_time: u64,
+    /// Urgent grants since a promoted unit was last taken.
+    grants_since_promoted: u32,
 }
 
+/// Queued urgent units of one team.
 #[derive(Debug)]
 struct TeamBacklog<T> {
+    /// Virtual time of the team's next grant.
     pass: u64,
     units: BTreeMap<WorkTicket, WorkUnit<T>>,
 }
 
 impl<T> WorkQueue<T> {
-    /// Starts empty.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         Self {
             limits,
@@ -91,27 +101,27 @@
             urgent: BTreeMap::new(),
             urgent_len: 0,
             background: BTreeMap::new(),
-            clock: 0,
-            since_promoted: PROMOTED_TURN,
+            virtual_time: 0,
+            grants_since_promoted: GRANTS_PER_PROMOTED,
         }
     }
 
-    /// Changes the bounds; what waits already stays.
+    /// Changes the limits. Units that are already queued stay.
     pub fn set_limits(&mut self, limits: QueueLimits) {
         self.limits = limits;
     }
 
-    /// Units that wait.
+    /// Number of queued units.
     pub fn len(&self) -> usize {
         self.urgent_len + self.background.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Units that wait at a priority.
+    /// Number of queued units of a priority.
     pub fn len_of(&self, priority: PaidPriority) -> usize {
         match priority {
             PaidPriority::Urgent => self.urgent_len,
@@ -121,12 +131,14 @@
 
     /// Adds a unit.
     ///
-    /// In a full queue, an urgent unit takes the place of the background unit
-    /// with the latest deadline, which is handed back to be refused.
+    /// If the queue is full, an urgent unit evicts the background unit with the
+    /// latest deadline. The evicted item is returned, so that the caller can
+    /// refuse it.
     ///
     /// # Errors
     ///
-    /// The unit itself is refused when nothing can give way to it.
+    /// Fails when the queue is full and there is no background unit to evict, or
+    /// the new unit is a background unit itself.
     pub fn push(&mut self, unit: WorkUnit<T>) -> Result<(WorkTicket, Option<T>), QueueRefusal> {
         let evicted = if self.len() < self.limits.capacity {
             None
@@ -142,19 +154,19 @@
         Ok((ticket, evicted))
     }
 
-    /// Takes the unit that goes next.
+    /// Removes and returns the next unit in scheduling order.
     ///
-    /// Where `background_allowed` is false, background work is passed over, but
-    /// for promoted work that competes with waiting urgent work: then the slots
-    /// that are kept free for urgent work are taken in any case.
+    /// If `background_allowed` is false, background units are skipped, except for
+    /// a promoted unit while urgent units are queued: in that case the slots that
+    /// are reserved for urgent work are used up anyway.
     pub fn pop(&mut self, now: Instant, background_allowed: bool) -> Option<WorkUnit<T>> {
-        let waits_for_urgent = self.urgent_len > 0;
-        if (background_allowed || waits_for_urgent) && self.promoted_turn(now) {
-            self.since_promoted = 0;
+        let has_urgent = self.urgent_len > 0;
+        if (background_allowed || has_urgent) && self.may_take_promoted(now) {
+            self.grants_since_promoted = 0;
             return self.pop_background();
         }
         if self.urgent_len > 0 {
-            self.since_promoted = self.since_promoted.saturating_add(1);
+            self.grants_since_promoted = self.grants_since_promoted.saturating_add(1);
             return self.pop_urgent();
         }
         if background_allowed {
@@ -163,12 +175,12 @@
         None
     }
 
-    /// Whether [`WorkQueue::pop`] would find a unit.
+    /// Whether [`WorkQueue::pop`] would return a unit.
     pub fn has_next(&self, background_allowed: bool) -> bool {
         self.urgent_len > 0 || (background_allowed && !self.background.is_empty())
     }
 
-    /// Removes a unit that no longer waits.
+    /// Removes a unit that is no longer to be served.
     pub fn remove(
         &mut self,
         ticket: WorkTicket,
@@ -186,7 +198,7 @@
         }
     }
 
-    /// Empties the queue.
+    /// Removes and returns all units.
     pub fn take_all(&mut self) -> Vec<WorkUnit<T>> {
         let mut units = Vec::with_capacity(self.len());
         for backlog in self.urgent.values_mut() {
@@ -202,21 +214,23 @@
             self.background.insert((unit.deadline, ticket), unit);
             return;
         }
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let backlog = self.urgent.entry(unit.team).or_insert(TeamBacklog {
-            pass: clock,
+            pass: virtual_time,
             units: BTreeMap::new(),
         });
         if backlog.units.is_empty() {
-            // A team that was idle does not save up turns.
-            backlog.pass = backlog.pass.max(clock);
+            // An idle team must not accumulate credit for later grants.
+            backlog.pass = backlog.pass.max(virtual_time);
         }
         backlog.units.insert(ticket, unit);
         self.urgent_len += 1;
     }
 
-    fn promoted_turn(&self, now: Instant) -> bool {
-        if self.since_promoted < PROMOTED_TURN {
+    /// Whether the first background unit is promoted and enough urgent units were
+    /// granted since the last promoted one.
+    fn may_take_promoted(&self, now: Instant) -> bool {
+        if self.grants_since_promoted < GRANTS_PER_PROMOTED {
             return false;
         }
         let Some(((deadline, _), _)) = self.background.first_key_value() else {
@@ -232,7 +246,7 @@
             .filter(|backlog| !backlog.units.is_empty())
             .min_by_key(|backlog| backlog.pass)?;
         let (_, unit) = backlog.units.pop_first()?;
-        self.clock = backlog.pass;
+        self.virtual_time = backlog.pass;
         backlog.pass += STRIDE / u64::from(unit.weight.max(1));
         self.urgent_len -= 1;
         Some(unit)
