--- a/crates/hoisthitch-core/src/permit.rs
+++ b/crates/hoisthitch-core/src/permit.rs
@@ -1,8 +1,10 @@
-//! The availability budget of a pool: permits for planned absence.
+//! Availability budget of a pool: permits for planned absences of VMs.
 //!
-//! A VM is only drained under a permit, which is written to the store before the
-//! VM's state is. A crash between the two leaves a permit too many, never one
-//! too few. Unplanned losses count against the same budget.
+//! The permits of a pool are one record in the store, [`PermitLedger`]. A permit
+//! is granted if the VMs with permits and the lost VMs (absent without a plan)
+//! stay within the budget. A VM may only be drained under a permit. The permit is
+//! written to the store before the VM's new state, so that a crash between the
+//! two writes leaves one permit too many, never one too few.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +24,7 @@
 pub struct PermitLedger {
     /// Pool that the permits are for.
     pub pool: String,
-    /// Counts the record's changes; never falls.
+    /// Number of changes of the record; never decreases.
     pub version: u64,
     /// Who wrote this version.
     #[serde(default)]
@@ -30,26 +32,26 @@
     /// Writers of the versions before this one, latest first.
     #[serde(default)]
     pub recent: Vec<WriterStamp>,
-    /// Permits that are taken.
+    /// Permits that are held.
     pub permits: Vec<AbsencePermit>,
 }
 
 /// A permit for one VM to be absent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AbsencePermit {
-    /// VM that may be absent.
+    /// Name of the VM.
     pub vm: String,
     /// Data hall of the VM.
     pub hall: String,
-    /// Random number of the taking; tells this permit from a later one for the
-    /// same VM.
+    /// Random identifier of the operation that took the permit; distinguishes the
+    /// permit from a later one for the same VM.
     pub operation: u64,
-    /// When the permit was taken, in milliseconds of the wall clock; told to
-    /// operators, decided by nobody.
+    /// Wall clock time at which the permit was taken, in milliseconds. It is shown
+    /// to operators; no decision depends on it.
     pub since_ms: u64,
 }
 
-/// Why a permit was not given.
+/// Why a permit was not granted.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum PermitError {
     /// The budget is used up.
@@ -57,18 +59,18 @@
     Exhausted {
         /// The pool.
         pool: String,
-        /// VMs that are absent, planned or not.
+        /// Number of VMs that are absent or have a permit.
         absent: usize,
-        /// Most that may be.
+        /// Largest number of VMs that may be absent.
         budget: usize,
     },
-    /// The VM has a permit.
+    /// The VM already has a permit.
     #[error("VM {0} has a permit")]
     Taken(String),
 }
 
 impl PermitLedger {
-    /// Starts without permits.
+    /// Creates a ledger without permits.
     pub fn new(pool: &str) -> Self {
         Self {
             pool: pool.to_owned(),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Signs the next version.
+    /// Increments the version and stamps it with its writer.
     pub fn sign(&mut self, stamp: WriterStamp) {
         self.version += 1;
         sign(&mut self.stamp, &mut self.recent, stamp);
@@ -89,11 +91,11 @@
 
     /// Takes a permit, if the budget allows one more absent VM.
     ///
-    /// `lost` names the pool's VMs that are absent without being planned.
+    /// `lost` holds the names of the pool's VMs that are absent without a plan.
     ///
     /// # Errors
     ///
-    /// Fails when the VM has a permit, or the budget is used up.
+    /// Fails when the VM already has a permit, or the budget is used up.
     pub fn take(
         &mut self,
         permit: AbsencePermit,
@@ -104,7 +106,7 @@
             return Err(PermitError::Taken(permit.vm));
         }
         let absent = self.absent(lost);
-        // A VM that is lost already costs nothing more.
+        // A lost VM is already counted in `absent`.
         let added = usize::from(!lost.contains(&permit.vm));
         if absent + added > budget {
             return Err(PermitError::Exhausted {
@@ -117,7 +119,7 @@
         Ok(())
     }
 
-    /// Returns a permit; answers whether it was there.
+    /// Releases a permit; returns whether it was held.
     pub fn release(&mut self, operation: u64) -> bool {
         let before = self.permits.len();
         self.permits.retain(|permit| permit.operation != operation);
@@ -129,7 +131,7 @@
         self.permits.iter().find(|permit| permit.vm == vm)
     }
 
-    /// VMs that are absent or may be, planned or not, each counted once.
+    /// Number of VMs that have a permit or are lost, each counted once.
     pub fn absent(&self, lost: &BTreeSet<String>) -> usize {
         let unplanned = lost.iter().filter(|vm| !self.holds(vm)).count();
         self.permits.len() + unplanned
--- a/crates/hoisthitch-core/src/transition.rs
+++ b/crates/hoisthitch-core/src/transition.rs
@@ -1,8 +1,12 @@
-//! Transitions of a VM's assignment: each checks that the assignment is still
-//! as it was planned on, and changes it.
+//! State transitions of a VM's assignment.
 //!
-//! The fence is what voids a plan that others overtook. It is raised when a VM
-//! begins to leave, when it changes pools, and when a permit for it is withdrawn.
+//! Each transition is given the fence (fencing token) that its plan was based on.
+//! It checks that the assignment is still in the planned state, then changes it;
+//! otherwise it changes nothing.
+//!
+//! The fence invalidates outdated plans. It is raised when a drain of the VM
+//! begins, when the VM moves to another pool, and when a permit for it is
+//! withdrawn.
 
 use thiserror::Error;
 
@@ -13,29 +17,29 @@
     VmTask, //
 };
 
-/// Why a transition does not apply any more.
+/// Why a transition no longer applies.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum TransitionError {
-    /// Someone else acted on the VM since.
+    /// The VM's assignment was changed after the transition was planned.
     #[error("the VM's fence was raised")]
     Fenced,
     /// The VM does not serve the pool.
     #[error("the VM does not serve the pool")]
     NotServing,
-    /// The VM does not leave, or leaves for something else.
+    /// The VM is not draining, or it drains for another task.
     #[error("the VM does not leave for this")]
     NotLeaving,
-    /// The VM leaves under the permit.
+    /// The VM is draining under the permit.
     #[error("the VM leaves under its permit")]
     Leaving,
 }
 
 impl VmAssignment {
-    /// Has the VM's requests end, for a task. A permit must have been taken.
+    /// Starts to drain the VM for a task. The caller must have taken a permit.
     ///
     /// # Errors
     ///
-    /// Fails when the VM is not as planned.
+    /// Fails when the VM is not in the planned state.
     pub fn begin_drain(
         &mut self,
         fence: u64,
@@ -52,26 +56,30 @@
         Ok(())
     }
 
-    /// Gives the VM, which is empty everywhere, to the pool it moves to.
+    /// Assigns the VM to the pool that it moves to.
+    ///
+    /// The caller must have checked that no entry has requests at the VM.
     ///
     /// # Errors
     ///
-    /// Fails when the VM is not as planned.
+    /// Fails when the VM is not in the planned state.
     pub fn finish_move(&mut self, fence: u64, to: &str) -> Result<(), TransitionError> {
         self.check_fence(fence)?;
-        let fits = matches!(&self.task, Some(VmTask::Move { to: other }) if other == to);
-        self.check_leaving(fits)?;
+        let is_this_move = matches!(&self.task, Some(VmTask::Move { to: other }) if other == to);
+        self.check_leaving(is_this_move)?;
         to.clone_into(&mut self.pool);
         self.return_to_service();
         self.fence += 1;
         Ok(())
     }
 
-    /// Notes the intent to reboot the VM, which is empty everywhere.
+    /// Records the intent to reboot the VM.
+    ///
+    /// The caller must have checked that no entry has requests at the VM.
     ///
     /// # Errors
     ///
-    /// Fails when the VM is not as planned.
+    /// Fails when the VM is not in the planned state.
     pub fn begin_reboot(
         &mut self,
         fence: u64,
@@ -95,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the VM is not as planned.
+    /// Fails when the VM is not in the planned state.
     pub fn end_maintenance(&mut self, fence: u64, wave: &str) -> Result<(), TransitionError> {
         self.check_fence(fence)?;
         self.check_leaving(self.is_in_wave(wave))?;
@@ -104,11 +112,11 @@
         Ok(())
     }
 
-    /// Has the VM serve its pool again without having gone anywhere.
+    /// Cancels a drain: the VM serves its pool again.
     ///
     /// # Errors
     ///
-    /// Fails when the VM is not as planned.
+    /// Fails when the VM is not in the planned state.
     pub fn cancel_drain(&mut self, fence: u64) -> Result<(), TransitionError> {
         self.check_fence(fence)?;
         self.check_leaving(true)?;
@@ -116,12 +124,12 @@
         Ok(())
     }
 
-    /// Voids the plans of whoever took a permit for the VM and has not used it,
-    /// so that the permit can be returned.
+    /// Raises the fence without any other change, so that plans under an unused
+    /// permit fail and the permit can be released.
     ///
     /// # Errors
     ///
-    /// Fails when the VM leaves under the permit.
+    /// Fails when the VM is draining under the permit.
     pub fn invalidate_plans(&mut self, fence: u64, pool: &str) -> Result<(), TransitionError> {
         self.check_fence(fence)?;
         if self.pool == pool && self.state == AssignmentState::Leaving {
@@ -143,8 +151,8 @@
         Err(TransitionError::Fenced)
     }
 
-    fn check_leaving(&self, fits: bool) -> Result<(), TransitionError> {
-        if fits && self.state == AssignmentState::Leaving {
+    fn check_leaving(&self, is_for_task: bool) -> Result<(), TransitionError> {
+        if is_for_task && self.state == AssignmentState::Leaving {
             return Ok(());
         }
         Err(TransitionError::NotLeaving)
