--- a/crates/hoisthitch-core/src/hall.rs
+++ b/crates/hoisthitch-core/src/hall.rs
@@ -1,4 +1,7 @@
-//! The record of a data hall: the one home of each VM's assignment.
+//! Record of a data hall: the assignment of each of its VMs to a pool.
+//!
+//! The hall record is the only place that holds the assignments. A VM has at most
+//! one assignment, so two pools can't both hold it.
 
 use std::net::SocketAddr;
 
@@ -15,13 +18,13 @@
 
 /// Assignments of the VMs of one data hall.
 ///
-/// A VM appears in one hall record at most once, so two pools can't both hold
-/// it. The record is written only by compare-and-swap on what was read.
+/// A VM appears in a hall record at most once. The record is written only by
+/// compare-and-swap on the revision that was read.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HallRecord {
-    /// Data hall that the record is for.
+    /// Name of the data hall.
     pub hall: String,
-    /// Counts the record's changes; never falls.
+    /// Number of changes of the record; never decreases.
     pub version: u64,
     /// Who wrote this version.
     #[serde(default)]
@@ -29,7 +32,7 @@
     /// Writers of the versions before this one, latest first.
     #[serde(default)]
     pub recent: Vec<WriterStamp>,
-    /// Assignments, ordered by VM.
+    /// Assignments, ordered by name of the VM.
     pub vms: Vec<VmAssignment>,
 }
 
@@ -40,81 +43,82 @@
     pub vm: String,
     /// Address of the VM's runner.
     pub address: SocketAddr,
-    /// Rack that the VM sits in.
+    /// Rack of the VM.
     pub rack: String,
     /// Pool that holds the VM.
     pub pool: String,
-    /// Whether the VM takes new work.
+    /// Whether the VM takes new requests.
     pub state: AssignmentState,
-    /// What the VM leaves for; none while it serves.
+    /// Why the VM is drained or, for a requested move, is to be drained.
     #[serde(default)]
     pub task: Option<VmTask>,
-    /// Counts the times that the VM began to leave or was kept from it; an
-    /// action that was planned before is dropped.
+    /// Fencing token: raised by each drain, move and withdrawn permit, so that
+    /// actions that were planned before fail.
     #[serde(default)]
     pub fence: u64,
-    /// Last wave that the VM went through; empty for none.
+    /// Last wave that the VM completed; empty for none.
     #[serde(default)]
     pub last_wave: String,
 }
 
-/// What a VM leaves for.
+/// Why a VM is drained.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmTask {
-    /// It goes to another pool.
+    /// The VM moves to another pool.
     Move {
-        /// Pool that it goes to.
+        /// Pool that the VM moves to.
         to: String,
     },
-    /// It is rebooted.
+    /// The VM is rebooted.
     Maintain {
         /// Name of the wave.
         wave: String,
-        /// How far it is.
+        /// Current step of the maintenance.
         step: MaintainStep,
     },
 }
 
-/// How far the maintenance of a VM is.
+/// Step of the maintenance of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MaintainStep {
-    /// Its requests end.
+    /// The VM takes no new requests while the running ones finish.
     Drain,
-    /// It is told to reboot, and was started so often before.
+    /// A reboot was requested. It is complete once the platform reports a higher
+    /// boot count.
     Reboot {
-        /// Boots before the reboot, as the platform counts them.
+        /// Boot count of the platform before the reboot.
         boots: u64,
     },
 }
 
 impl VmAssignment {
-    /// Whether the VM went through a wave.
+    /// Whether the VM completed a wave.
     pub fn completed_wave(&self, wave: &str) -> bool {
         self.last_wave == wave
     }
 
-    /// Whether the VM is absent for a wave.
+    /// Whether the VM is drained or rebooted for a wave.
     pub fn is_in_wave(&self, name: &str) -> bool {
         matches!(&self.task, Some(VmTask::Maintain { wave, .. }) if wave == name)
     }
 }
 
-/// Whether a VM takes new work.
+/// Whether a VM takes new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AssignmentState {
-    /// The VM takes its pool's work.
+    /// The VM takes requests of its pool.
     Serving,
-    /// The VM takes no new work.
+    /// The VM takes no new requests: it drains, or is rebooted.
     Leaving,
 }
 
-/// Why a hall record does not take an assignment.
+/// Why an assignment could not be added or found.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum HallError {
-    /// The VM belongs to a pool.
+    /// The VM already belongs to a pool.
     #[error("VM {vm} belongs to pool {pool}; move it with 'hoisthitch vms move'")]
     Assigned {
         /// Name of the VM.
@@ -128,7 +132,7 @@
 }
 
 impl HallRecord {
-    /// Starts the record of a data hall.
+    /// Creates the record of a data hall without VMs.
     pub fn new(hall: &str) -> Self {
         Self {
             hall: hall.to_owned(),
@@ -136,12 +140,12 @@
         }
     }
 
-    /// Signs the next version.
+    /// Increments the version and stamps it with its writer.
     pub fn sign(&mut self, stamp: WriterStamp) {
         self.sign_as(self.version + 1, stamp);
     }
 
-    /// Signs a version.
+    /// Sets the version and stamps it with its writer.
     pub fn sign_as(&mut self, version: u64, stamp: WriterStamp) {
         self.version = version;
         sign(&mut self.stamp, &mut self.recent, stamp);
@@ -151,7 +155,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the VM belongs to a pool, be it the same one.
+    /// Fails when the VM already belongs to a pool, even to the same one.
     pub fn assign(&mut self, assignment: VmAssignment) -> Result<(), HallError> {
         match self
             .vms
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Finds the assignment of a VM, to change it.
+    /// Finds the assignment of a VM for a change.
     ///
     /// # Errors
     ///
--- a/crates/hoisthitch-core/src/wave.rs
+++ b/crates/hoisthitch-core/src/wave.rs
@@ -1,7 +1,9 @@
-//! Maintenance waves: which VMs are drained and rebooted, and in which order.
+//! Maintenance waves: rolling reboots of the VMs of some pools.
 //!
-//! A wave's progress stands in the hall records: each assignment names the last
-//! wave that its VM went through. The wave's own record stays small.
+//! [`wave_candidates`] is given a wave and the hall records and returns the VMs
+//! that are still to be drained, in order. The progress of a wave is kept in the
+//! hall records, where each assignment has the last wave that its VM completed,
+//! so the record of the wave itself stays small.
 
 use std::collections::BTreeMap;
 
@@ -22,25 +24,25 @@
     }, //
 };
 
-/// State of a wave.
+/// State of a maintenance wave.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaveState {
     /// VMs are drained and rebooted.
     #[default]
     Running,
-    /// No further VM is drained.
+    /// No further VMs are drained until the wave is resumed.
     Paused,
-    /// No further VM will be drained.
+    /// No further VMs will be drained.
     Cancelled,
 }
 
-/// A maintenance wave.
+/// Record of a maintenance wave.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaveRecord {
     /// Name of the wave; unique.
     pub name: String,
-    /// Counts the record's changes; never falls.
+    /// Number of changes of the record; never decreases.
     pub version: u64,
     /// Who wrote this version.
     #[serde(default)]
@@ -50,26 +52,26 @@
     pub recent: Vec<WriterStamp>,
     /// State of the wave.
     pub state: WaveState,
-    /// Why the wave is paused, for operators.
+    /// Reason for the pause, for operators.
     #[serde(default)]
     pub reason: String,
-    /// Pools that the wave goes through; all where none is named.
+    /// Names of the pools that the wave covers; empty for all pools.
     pub pools: Vec<String>,
 }
 
 /// Progress of a wave.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaveProgress {
-    /// VMs that the wave goes through.
+    /// Number of VMs that the wave covers.
     pub total: usize,
-    /// VMs that are back.
+    /// Number of VMs that completed the wave.
     pub done: usize,
-    /// VMs that are drained, rebooted or probed.
+    /// Number of VMs that are being drained, rebooted or probed.
     pub under_way: usize,
 }
 
 impl WaveRecord {
-    /// Starts a wave.
+    /// Creates the record of a running wave.
     pub fn new(name: &str, pools: Vec<String>) -> Self {
         Self {
             name: name.to_owned(),
@@ -78,18 +80,18 @@
         }
     }
 
-    /// Signs the next version.
+    /// Increments the version and stamps it with its writer.
     pub fn sign(&mut self, stamp: WriterStamp) {
         self.version += 1;
         sign(&mut self.stamp, &mut self.recent, stamp);
     }
 
-    /// Whether the wave goes through a pool.
+    /// Whether the wave covers a pool.
     pub fn covers(&self, pool: &str) -> bool {
         self.pools.is_empty() || self.pools.iter().any(|name| name == pool)
     }
 
-    /// Progress of the wave.
+    /// Computes the progress of the wave from the hall records.
     pub fn progress<'a>(&self, halls: impl Iterator<Item = &'a HallRecord>) -> WaveProgress {
         let mut progress = WaveProgress::default();
         for assignment in halls.flat_map(|hall| &hall.vms) {
@@ -115,27 +117,31 @@
 
 /// VMs of a pool that a wave has still to drain, in the order to drain them.
 ///
-/// Racks that the wave has begun come first, so that a failing rack costs VMs
-/// that are maintained anyhow; among those, by data hall and rack, so that the
-/// VMs that are absent together share their failure domain.
+/// Racks in which the wave has already begun come first, so that the failure of a
+/// rack hits VMs that are in maintenance anyway. Within both groups, VMs are
+/// ordered by data hall and rack, so that VMs that are absent at the same time
+/// share a failure domain.
 pub fn wave_candidates<'a>(
     wave: &WaveRecord,
     pool: &str,
     halls: impl Iterator<Item = &'a HallRecord>,
 ) -> Vec<WaveCandidate<'a>> {
-    let mut begun: BTreeMap<(&str, &str), bool> = BTreeMap::new();
+    let mut begun_racks: BTreeMap<(&str, &str), bool> = BTreeMap::new();
     let mut candidates = Vec::new();
     for hall in halls {
         for assignment in &hall.vms {
             if assignment.pool != pool || !wave.covers(pool) {
                 continue;
             }
-            let rack = begun.entry((&hall.hall, &assignment.rack)).or_default();
-            *rack |= assignment.completed_wave(&wave.name) || assignment.is_in_wave(&wave.name);
-            let waits = assignment.state == AssignmentState::Serving
+            let rack_begun = begun_racks
+                .entry((&hall.hall, &assignment.rack))
+                .or_default();
+            *rack_begun |=
+                assignment.completed_wave(&wave.name) || assignment.is_in_wave(&wave.name);
+            let is_candidate = assignment.state == AssignmentState::Serving
                 && assignment.task.is_none()
                 && !assignment.completed_wave(&wave.name);
-            if waits {
+            if is_candidate {
                 candidates.push(WaveCandidate {
                     hall: &hall.hall,
                     assignment,
@@ -144,9 +150,9 @@
         }
     }
     candidates.sort_by_key(|candidate| {
-        let place = (candidate.hall, candidate.assignment.rack.as_str());
-        let begun = begun.get(&place).copied().unwrap_or(false);
-        (!begun, place, candidate.assignment.vm.as_str())
+        let location = (candidate.hall, candidate.assignment.rack.as_str());
+        let begun = begun_racks.get(&location).copied().unwrap_or(false);
+        (!begun, location, candidate.assignment.vm.as_str())
     });
     candidates
 }
