--- a/crates/hoisthitch-core/src/edit.rs
+++ b/crates/hoisthitch-core/src/edit.rs
@@ -1,4 +1,8 @@
-//! Edits of the table: one row at a time, guarded by the row's revision.
+//! Edits of the operators' table, one row at a time.
+//!
+//! An edit carries the row's revision that the operator read (optimistic
+//! locking). It is refused if the row was changed since, or if the edited table
+//! violates a rule.
 
 use serde::{
     Deserialize,
@@ -16,43 +20,43 @@
     WriterStamp, //
 };
 
-/// One operator's change of one row.
+/// An operator's change of one row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RowEdit {
-    /// Writes a pool's row.
+    /// Adds or replaces a pool's row.
     PutPool(PoolRow),
-    /// Writes a team's row.
+    /// Adds or replaces a team's row.
     PutTeam(TeamRow),
-    /// Removes a pool's row, as read at the revision.
+    /// Removes the pool's row with the name, if its revision is the given one.
     RemovePool(String, u64),
-    /// Removes a team's row, as read at the revision.
+    /// Removes the team's row with the name, if its revision is the given one.
     RemoveTeam(String, u64),
 }
 
 /// Why an edit was not applied.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum EditError {
-    /// Someone else changed the row first.
+    /// The row was changed after the operator read it.
     #[error(
         "row {row} was changed at revision {current} after you read revision {read}; yours: {yours}; theirs: {theirs}; read the row again and repeat the edit"
     )]
     Conflict {
         /// Name of the row.
         row: String,
-        /// Row revision that the edit was made on.
+        /// Revision of the row that the operator read.
         read: u64,
-        /// Row revision in force.
+        /// Current revision of the row.
         current: u64,
-        /// The row as edited.
+        /// The edited row.
         yours: String,
-        /// The row in force.
+        /// The current row.
         theirs: String,
     },
     /// The row does not exist.
     #[error("row {0} does not exist; 'hoisthitch table show' lists the rows")]
     Missing(String),
-    /// The column does not exist or does not take the value.
+    /// The column does not exist or does not accept the value.
     #[error(
         "row {row}, column {column}: {fault}; 'hoisthitch table show --json' shows the columns"
     )]
@@ -64,19 +68,20 @@
         /// What is wrong.
         fault: String,
     },
-    /// The table would break a rule.
-    #[error("{}", list(.0))]
+    /// The edited table would violate a rule.
+    #[error("{}", join_lines(.0))]
     Refused(Vec<CellError>),
 }
 
 impl PolicyTable {
-    /// Applies edits to a copy, checks it whole and returns it.
+    /// Returns a copy of the table with the edits applied, after checking the
+    /// whole copy.
     ///
-    /// A row's revision in the edit must be the one in force.
+    /// The row revision in an edit must be the current one.
     ///
     /// # Errors
     ///
-    /// Nothing is applied when one edit fails.
+    /// Fails when any edit fails; no edit is applied then.
     pub fn with_edits(&self, edits: &[RowEdit], stamp: WriterStamp) -> Result<Self, EditError> {
         let mut table = self.clone();
         table.sign(table.revision + 1, stamp);
@@ -100,7 +105,7 @@
     }
 }
 
-/// What the rows of all kinds have in common.
+/// Common accessors of the rows of all kinds.
 trait TableRow: Clone + Serialize {
     fn name(&self) -> &str;
     fn revision(&self) -> u64;
@@ -141,7 +146,7 @@
         rows.push(written);
         return Ok(());
     };
-    check_revision(found, row.revision(), &to_text(row))?;
+    check_revision(found, row.revision(), &to_json(row))?;
     *found = written;
     Ok(())
 }
@@ -164,7 +169,7 @@
         read,
         current: row.revision(),
         yours: yours.to_owned(),
-        theirs: to_text(row),
+        theirs: to_json(row),
     })
 }
 
@@ -173,7 +178,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the column does not exist or does not take the value.
+    /// Fails when the column does not exist or does not accept the value.
     pub fn with_cell(&self, column: &str, value: &str) -> Result<Self, EditError> {
         with_cell(self, column, value)
     }
@@ -184,7 +189,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the column does not exist or does not take the value.
+    /// Fails when the column does not exist or does not accept the value.
     pub fn with_cell(&self, column: &str, value: &str) -> Result<Self, EditError> {
         with_cell(self, column, value)
     }
@@ -206,12 +211,13 @@
     if column == "name" || column == "revision" {
         return Err(fault("can't be edited".to_owned()));
     }
-    *cell = to_cell(cell, value);
+    *cell = parse_cell(cell, value);
     serde_json::from_value(cells).map_err(|err| fault(err.to_string()))
 }
 
-/// Reads `value` as the kind that the cell holds now.
-fn to_cell(cell: &Value, value: &str) -> Value {
+/// Parses `value` as a number if the cell currently holds one; otherwise takes it
+/// as a string.
+fn parse_cell(cell: &Value, value: &str) -> Value {
     if cell.is_number()
         && let Ok(number) = value.parse::<u64>()
     {
@@ -220,11 +226,11 @@
     Value::from(value)
 }
 
-fn to_text<R: Serialize>(row: &R) -> String {
+fn to_json<R: Serialize>(row: &R) -> String {
     serde_json::to_string(row).unwrap_or_default()
 }
 
-fn list(faults: &[CellError]) -> String {
+fn join_lines(faults: &[CellError]) -> String {
     let lines: Vec<String> = faults.iter().map(CellError::to_string).collect();
     lines.join("\n")
 }
--- a/crates/hoisthitch-core/src/table.rs
+++ b/crates/hoisthitch-core/src/table.rs
@@ -1,8 +1,9 @@
 //! The operators' table: pools and teams with their weights and limits.
 //!
-//! The table is one value in the store. It has a revision of its own, and each
-//! row keeps the table revision that last changed it, so that two operators who
-//! edit different rows don't get in each other's way.
+//! The table is one value in the store and has its own revision. Each row holds
+//! the table revision that last changed it, so that edits of different rows by
+//! two operators don't conflict. [`PolicyTable::check`] validates a table; a table
+//! that fails it must not be written.
 
 use std::collections::BTreeSet;
 
@@ -12,13 +13,13 @@
 };
 use thiserror::Error;
 
-/// Priority that a team pays for.
+/// Priority of requests, which a team pays for.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PaidPriority {
-    /// Served first.
+    /// Served before background requests.
     Urgent,
-    /// Served by its deadline.
+    /// Served in order of deadlines.
     #[default]
     Background,
 }
@@ -33,21 +34,21 @@
     }
 }
 
-/// Which requests of a pool may be sent a second time.
+/// Which requests of a pool may be retried after they were sent.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryRule {
-    /// Those whose method RFC 9110, section 9.2.2, calls idempotent.
+    /// Requests with an idempotent method (RFC 9110, section 9.2.2).
     #[default]
     Method,
-    /// All of them.
+    /// All requests.
     Always,
-    /// None of them.
+    /// No request.
     Never,
 }
 
 impl RetryRule {
-    /// Whether a request with `method` may be sent again.
+    /// Whether a request with `method` may be retried.
     pub fn allows(self, method: &str) -> bool {
         match self {
             Self::Always => true,
@@ -60,15 +61,15 @@
     }
 }
 
-/// Who wrote a record, and in which operation.
+/// Identifies the writer of a record and the write operation.
 ///
-/// After an unclear answer of the store, the writer reads the record again and
+/// If the outcome of a write is unknown, the writer reads the record again and
 /// recognises its own write by this stamp.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WriterStamp {
     /// Name of the writing process or operator.
     pub writer: String,
-    /// Random number of the operation.
+    /// Random identifier of the operation.
     pub operation: u64,
 }
 
@@ -76,7 +77,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyTable {
-    /// Revision of the table; each accepted change adds one.
+    /// Revision of the table; each accepted change increments it by one.
     pub revision: u64,
     /// Who wrote this revision.
     #[serde(default)]
@@ -92,7 +93,7 @@
     pub teams: Vec<TeamRow>,
 }
 
-/// Row of a pool of VMs.
+/// Row of a pool of VMs in the operators' table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolRow {
@@ -103,33 +104,34 @@
     pub revision: u64,
     /// First path segment of the pool's requests.
     pub path: String,
-    /// Concurrent requests that a runner serves.
+    /// Number of concurrent requests that a runner serves.
     pub slots_per_runner: u32,
-    /// Connections that a runner accepts from all entries.
+    /// Number of connections that a runner accepts from all entries together.
     pub connections_per_runner: u32,
-    /// Requests that may wait in one entry.
+    /// Largest number of requests that wait in one entry.
     pub queue_limit: u32,
-    /// Requests of the pool that one entry may have at runners.
+    /// Largest number of the pool's requests from one entry at runners.
     pub in_flight_limit: u32,
-    /// Requests a second that one entry admits.
+    /// Requests per second that one entry admits.
     pub rate_limit: u32,
-    /// Deadline of an urgent request without one of its own, in milliseconds.
+    /// Default deadline of urgent requests, in milliseconds.
     pub urgent_deadline_ms: u32,
-    /// Deadline of a background request without one of its own, in milliseconds.
+    /// Default deadline of background requests, in milliseconds.
     pub background_deadline_ms: u32,
-    /// Share of the slots that background work may fill, in percent.
+    /// Share of the slots above which no background request is sent, in percent.
     pub background_percent: u32,
-    /// Retries allowed, in percent of first tries.
+    /// Allowed retries, in percent of first attempts.
     pub retry_percent: u32,
-    /// Which requests may be sent a second time.
+    /// Which requests may be retried after they were sent.
     pub repeat: RetryRule,
-    /// Fewest VMs that the pool holds.
+    /// Least number of VMs that the pool holds; VMs are not moved away below it.
     pub min_vms: u32,
-    /// Most VMs that may be absent at once: the availability budget.
+    /// Largest number of VMs that may be absent at a time: the availability
+    /// budget.
     pub max_absent: u32,
 }
 
-/// Row of a team of callers.
+/// Row of a team of callers in the operators' table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamRow {
@@ -140,15 +142,15 @@
     pub revision: u64,
     /// Highest priority that the team pays for.
     pub priority: PaidPriority,
-    /// Weight against the other teams of the same priority.
+    /// Weight relative to the other teams of the same priority.
     pub weight: u32,
-    /// Requests a second that one entry admits.
+    /// Requests of the team per second and pool that one entry admits.
     pub rate_limit: u32,
-    /// Requests of the team that one entry may hold.
+    /// Largest number of the team's requests per pool that one entry holds.
     pub in_flight_limit: u32,
 }
 
-/// A cell, row or sum of the table that breaks a rule.
+/// A cell, row or total of the table that violates a rule.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("row {row}, column {column}: {fault}; {help}")]
 pub struct CellError {
@@ -162,24 +164,25 @@
     pub help: String,
 }
 
-/// Longest name of a row or path, in bytes.
-const NAME_LIMIT: usize = 64;
+/// Longest name of a row or path.
+const NAME_LIMIT_BYTES: usize = 64;
 
-/// Writers that a record remembers.
-const RECENT_LIMIT: usize = 32;
+/// Number of earlier writer stamps that a record keeps.
+const RECENT_STAMPS_LIMIT: usize = 32;
 
-/// Most rows of one kind, so that the table stays well under the store's 1 MB.
+/// Largest number of rows of one kind; it keeps the table well below the store's
+/// limit of 1 MB for a value.
 const ROW_LIMIT: usize = 1_000;
 
-/// Longest deadline: one day, in milliseconds.
+/// Longest deadline: one day.
 const DEADLINE_LIMIT_MS: u32 = 86_400_000;
 
 impl PolicyTable {
-    /// Checks every row and the sums across rows.
+    /// Checks every row and the totals across rows.
     ///
     /// # Errors
     ///
-    /// Returns all faults, not only the first.
+    /// Returns all faults, not only the first one.
     pub fn check(&self) -> Result<(), Vec<CellError>> {
         let mut faults = Vec::new();
         self.check_row_counts(&mut faults);
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Signs a revision with a new stamp.
+    /// Sets the revision and stamps it with its writer.
     pub fn sign(&mut self, revision: u64, stamp: WriterStamp) {
         self.revision = revision;
         sign(&mut self.stamp, &mut self.recent, stamp);
@@ -245,15 +248,15 @@
     }
 }
 
-/// Signs a record with a new stamp and remembers the one before.
+/// Replaces a record's stamp and keeps the previous one in `recent`.
 pub(crate) fn sign(stamp: &mut WriterStamp, recent: &mut Vec<WriterStamp>, new: WriterStamp) {
     let last = std::mem::replace(stamp, new);
     recent.insert(0, last);
-    recent.truncate(RECENT_LIMIT);
+    recent.truncate(RECENT_STAMPS_LIMIT);
 }
 
 impl PoolRow {
-    /// Deadline of a request without one of its own, in milliseconds.
+    /// Default deadline of requests of the priority, in milliseconds.
     pub fn deadline_ms(&self, priority: PaidPriority) -> u32 {
         match priority {
             PaidPriority::Urgent => self.urgent_deadline_ms,
@@ -345,14 +348,14 @@
     let plain = value
         .bytes()
         .all(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-');
-    if plain && !value.is_empty() && value.len() <= NAME_LIMIT {
+    if plain && !value.is_empty() && value.len() <= NAME_LIMIT_BYTES {
         return;
     }
     faults.push(CellError {
         row: row.to_owned(),
         column,
         fault: format!("'{value}' is not a plain name"),
-        help: format!("use 1 to {NAME_LIMIT} of a-z, 0-9 and '-'"),
+        help: format!("use 1 to {NAME_LIMIT_BYTES} of a-z, 0-9 and '-'"),
     });
 }
 
