--- a/crates/hoisthitch-core/src/lib.rs
+++ b/crates/hoisthitch-core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The caller passes in the time and the records, and sends and stores the
 //! results. Each decision can therefore be tested against a simple reference
-//! implementation.
+//! model.
 
 mod budget;
 mod edit;
--- a/crates/hoisthitch-core/tests/fleet.rs
+++ b/crates/hoisthitch-core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Plans of the stewards: what is planned together must be able to succeed.
+//! Plans of the stewards: the actions of one plan must not make each other fail.
 
 use std::{
     collections::BTreeMap,
@@ -22,7 +22,7 @@
     plan_pool, //
 };
 
-/// Names each case.
+/// Defines a test for each named case.
 macro_rules! cases {
     ($($name:ident => $call:expr;)+) => {
         $(
@@ -76,8 +76,9 @@
     hall
 }
 
-/// The withdrawal raises the VM's fence, so that whatever was planned on the
-/// fence before it would take a permit and fail, over and over.
+/// Guards against a plan that withdraws a VM's permit and drains the VM as well.
+/// The withdrawal raises the VM's fence, so that the drain, planned on the fence
+/// before, takes a permit again and then fails, in each round.
 fn withdraws_first(move_to: Option<&str>) {
     let table = PolicyTable::default();
     let halls = BTreeMap::from([("augusta".to_owned(), hall(move_to))]);
--- a/crates/hoisthitch-core/tests/ledger.rs
+++ b/crates/hoisthitch-core/tests/ledger.rs
@@ -1,6 +1,6 @@
-//! The slot ledger over random histories: no runner holds more than its limit,
-//! nothing goes to one that leaves, and no more are ejected than the budget
-//! allows.
+//! Invariants of the slot ledger over random histories: no runner has more
+//! requests than its limit, no request goes to a draining runner, and no more
+//! runners are ejected than the budget allows.
 
 use std::{
     collections::BTreeMap,
@@ -22,12 +22,13 @@
     quickcheck, //
 };
 
-/// Runners of a history.
+/// Number of runners in a history.
 const RUNNERS: usize = 4;
 
-/// Runners that may be ejected at once.
+/// Largest number of runners that may be ejected at a time.
 const EJECT_CAP: usize = 2;
 
+/// One step of a history.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Take,
@@ -56,9 +57,9 @@
     SocketAddr::from(([127, 0, 0, 1], 9_000 + runner as u16))
 }
 
-/// What the ledger must know of a runner, kept naively.
+/// Reference model of a runner.
 #[derive(Clone, Copy, Debug, Default)]
-struct NaiveRunner {
+struct ModelRunner {
     limit: u32,
     leaving: bool,
 }
@@ -67,13 +68,13 @@
     let mut now = Instant::now();
     let mut ledger = SlotLedger::default();
     ledger.set_eject_cap(EJECT_CAP);
-    let mut naive = BTreeMap::new();
+    let mut model = BTreeMap::new();
     let mut held: Vec<(RunnerKey, usize)> = Vec::new();
     for runner in 0..RUNNERS {
         ledger.put(&format!("vm-{runner}"), address(runner), 2, false);
-        naive.insert(
+        model.insert(
             runner,
-            NaiveRunner {
+            ModelRunner {
                 limit: 2,
                 leaving: false,
             },
@@ -89,7 +90,7 @@
                     let port = slots.address.port();
                     let runner = usize::from(port - 9_000);
                     let count = held.iter().filter(|(_, other)| *other == runner).count();
-                    let known = naive.get(&runner).copied().unwrap_or_default();
+                    let known = model.get(&runner).copied().unwrap_or_default();
                     if known.leaving || count as u32 >= known.limit {
                         return false;
                     }
@@ -102,19 +103,19 @@
             }
             Step::GiveBack(..) => {}
             Step::SetLimit(runner, limit) => {
-                let leaving = naive.get(&runner).is_some_and(|known| known.leaving);
+                let leaving = model.get(&runner).is_some_and(|known| known.leaving);
                 ledger.put(&format!("vm-{runner}"), address(runner), limit, leaving);
-                naive.insert(runner, NaiveRunner { limit, leaving });
+                model.insert(runner, ModelRunner { limit, leaving });
             }
             Step::SetLeaving(runner, leaving) => {
                 ledger.set_leaving(&format!("vm-{runner}"), leaving);
-                if let Some(known) = naive.get_mut(&runner) {
+                if let Some(known) = model.get_mut(&runner) {
                     known.leaving = leaving;
                 }
             }
             Step::Forget(runner) => {
-                naive.remove(&runner);
-                ledger.retain(|slots| naive.keys().any(|kept| slots.address == address(*kept)));
+                model.remove(&runner);
+                ledger.retain(|slots| model.keys().any(|kept| slots.address == address(*kept)));
             }
             Step::Wait(ms) => now += Duration::from_millis(ms),
         }
--- a/crates/hoisthitch-core/tests/permit.rs
+++ b/crates/hoisthitch-core/tests/permit.rs
@@ -1,9 +1,9 @@
-//! Permits and fences over random interleavings of stewards: each write is one
-//! atomic step, and a steward may stop for any time between two of its writes,
-//! or for ever.
+//! Invariants of permits and fences over random interleavings of stewards. Each
+//! write is one atomic step; a steward may pause for any time between two of its
+//! writes, or stop.
 //!
-//! What must hold after each step: a VM that leaves has a permit, and there are
-//! never more permits than the budget.
+//! After each step, every VM in the state `Leaving` must have a permit, and there
+//! must not be more permits than the budget.
 
 use std::{
     collections::BTreeSet,
@@ -25,16 +25,16 @@
     QuickCheck, //
 };
 
-/// VMs of the pool.
+/// Number of VMs of the pool.
 const VMS: usize = 4;
 
-/// VMs that may be absent.
+/// Largest number of VMs that may be absent.
 const BUDGET: usize = 2;
 
-/// Stewards.
+/// Number of stewards.
 const STEWARDS: usize = 3;
 
-/// Histories that are played.
+/// Number of random histories that are run.
 const HISTORIES: u64 = 2_000;
 
 /// One step of a history.
@@ -42,11 +42,11 @@
 enum Step {
     /// A steward reads the records and plans an action for a VM.
     Plan { steward: usize, vm: usize },
-    /// A steward does its next write.
+    /// A steward carries out the next write of its plan.
     Write { steward: usize },
-    /// A steward is killed and starts anew.
+    /// A steward is killed and restarts without a plan.
     Kill { steward: usize },
-    /// A VM is lost, or comes back.
+    /// A VM is lost or returns.
     Lose { vm: usize, lost: bool },
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// A plan, with what was read for it, and the write that comes next.
+/// A plan with the state that it is based on, and its next write.
 #[derive(Clone, Debug)]
 struct Plan {
     vm: String,
@@ -85,7 +85,7 @@
     GiveBack,
 }
 
-/// The store, and what the stewards have in mind.
+/// The records in the store, the lost VMs and the plans of the stewards.
 struct Fleet {
     hall: HallRecord,
     ledger: PermitLedger,
@@ -107,7 +107,7 @@
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Plan { steward, vm } => self.plans[steward] = Some(self.plan(vm)),
             Step::Write { steward } => {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Plans for a VM what `plan_pool` would.
+    /// Plans the same action for a VM as `plan_pool`.
     fn plan(&self, vm: usize) -> Plan {
         let vm = name(vm);
         let assignment = self.hall.find(&vm);
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Does a plan's next write; answers with what is left of the plan.
+    /// Carries out a plan's next write; returns the rest of the plan.
     fn write(&mut self, mut plan: Plan) -> Option<Plan> {
         let fence = plan.fence;
         match plan.next {
@@ -217,7 +217,7 @@
 fn history_holds(steps: Vec<Step>) -> bool {
     let mut fleet = Fleet::new();
     steps.into_iter().all(|step| {
-        fleet.play(step);
+        fleet.apply(step);
         fleet.holds()
     })
 }
--- a/crates/hoisthitch-core/tests/queue.rs
+++ b/crates/hoisthitch-core/tests/queue.rs
@@ -1,4 +1,5 @@
-//! The queue against a naive version: a list that is searched whole each time.
+//! The queue compared with a reference model: a list that is searched as a whole
+//! for each operation.
 
 use std::time::{
     Duration,
@@ -19,10 +20,10 @@
 };
 use slotmap::SlotMap;
 
-/// Grants of which one may go to promoted background work.
-const PROMOTED_TURN: u32 = 8;
+/// Urgent grants between two promoted background requests.
+const GRANTS_PER_PROMOTED: u32 = 8;
 
-/// Teams of a history, with the weights 1, 2 and 4.
+/// Weights of the teams of a history.
 const WEIGHTS: [u32; 3] = [1, 2, 4];
 
 /// One step of a history.
@@ -57,25 +58,25 @@
     }
 }
 
-/// The naive version: the rules, one by one, over a list.
-struct NaiveQueue {
-    units: Vec<NaiveUnit>,
+/// Reference model: the rules of the queue, applied to a list.
+struct ModelQueue {
+    units: Vec<ModelUnit>,
     passes: Vec<u64>,
-    clock: u64,
-    since_promoted: u32,
+    virtual_time: u64,
+    grants_since_promoted: u32,
     limits: QueueLimits,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct NaiveUnit {
+struct ModelUnit {
     number: usize,
     urgent: bool,
     team: usize,
     deadline: Instant,
 }
 
-impl NaiveQueue {
-    fn push(&mut self, unit: NaiveUnit) -> Result<Option<usize>, ()> {
+impl ModelQueue {
+    fn push(&mut self, unit: ModelUnit) -> Result<Option<usize>, ()> {
         let mut evicted = None;
         if self.units.len() >= self.limits.capacity {
             let background = self.units.iter().filter(|unit| !unit.urgent);
@@ -89,7 +90,7 @@
             .iter()
             .any(|other| other.urgent && other.team == unit.team);
         if unit.urgent && idle {
-            self.passes[unit.team] = self.passes[unit.team].max(self.clock);
+            self.passes[unit.team] = self.passes[unit.team].max(self.virtual_time);
         }
         self.units.push(unit);
         Ok(evicted)
@@ -104,14 +105,14 @@
             let left = unit.deadline.saturating_duration_since(now);
             let competes = background_allowed || self.units.iter().any(|unit| unit.urgent);
             let due = left <= self.limits.promote_within;
-            due && competes && self.since_promoted >= PROMOTED_TURN
+            due && competes && self.grants_since_promoted >= GRANTS_PER_PROMOTED
         });
         let chosen = if let Some(unit) = promoted {
-            self.since_promoted = 0;
+            self.grants_since_promoted = 0;
             unit
         } else if let Some(unit) = self.next_urgent() {
-            self.since_promoted += 1;
-            self.clock = self.passes[unit.team];
+            self.grants_since_promoted += 1;
+            self.virtual_time = self.passes[unit.team];
             self.passes[unit.team] += (1 << 20) / u64::from(WEIGHTS[unit.team]);
             unit
         } else {
@@ -121,7 +122,7 @@
         Some(chosen.number)
     }
 
-    fn next_urgent(&self) -> Option<NaiveUnit> {
+    fn next_urgent(&self) -> Option<ModelUnit> {
         let urgent = self.units.iter().filter(|unit| unit.urgent);
         urgent
             .min_by_key(|unit| (self.passes[unit.team], unit.team, unit.number))
@@ -141,22 +142,22 @@
     WEIGHTS.iter().map(|_| arena.insert(())).collect()
 }
 
-/// Plays a history on both; whether all answers were the same.
-fn plays_alike(steps: &[Step]) -> bool {
+/// Runs a history on the queue and the model; whether all results were the same.
+fn results_match(steps: &[Step]) -> bool {
     let start = Instant::now();
     let mut now = start;
     let teams = teams();
     let mut queue = WorkQueue::new(limits());
-    let mut naive = NaiveQueue {
+    let mut model = ModelQueue {
         units: Vec::new(),
         passes: vec![0; WEIGHTS.len()],
-        clock: 0,
-        since_promoted: PROMOTED_TURN,
+        virtual_time: 0,
+        grants_since_promoted: GRANTS_PER_PROMOTED,
         limits: limits(),
     };
     let mut tickets = Vec::new();
     for (number, step) in steps.iter().enumerate() {
-        let alike = match *step {
+        let matches = match *step {
             Step::Push {
                 urgent,
                 team,
@@ -175,31 +176,31 @@
                     weight: WEIGHTS[team],
                     deadline,
                 });
-                let wanted = naive.push(NaiveUnit {
+                let expected = model.push(ModelUnit {
                     number,
                     urgent,
                     team,
                     deadline,
                 });
-                match (pushed, wanted) {
-                    (Ok((ticket, evicted)), Ok(wanted)) => {
+                match (pushed, expected) {
+                    (Ok((ticket, evicted)), Ok(expected)) => {
                         tickets.push((number, ticket, priority, teams[team], deadline));
-                        evicted == wanted
+                        evicted == expected
                     }
                     (Err(_), Err(())) => true,
                     _ => false,
                 }
             }
             Step::Pop { background_allowed } => {
-                let announced = queue.has_next(background_allowed);
+                let has_next = queue.has_next(background_allowed);
                 let popped = queue.pop(now, background_allowed).map(|unit| unit.item);
-                announced == popped.is_some() && popped == naive.pop(now, background_allowed)
+                has_next == popped.is_some() && popped == model.pop(now, background_allowed)
             }
             Step::Remove(index) if !tickets.is_empty() => {
                 let (number, ticket, priority, team, deadline) = tickets[index % tickets.len()];
                 let removed = queue.remove(ticket, priority, team, deadline).is_some();
-                let held = naive.units.iter().any(|unit| unit.number == number);
-                naive.units.retain(|unit| unit.number != number);
+                let held = model.units.iter().any(|unit| unit.number == number);
+                model.units.retain(|unit| unit.number != number);
                 removed == held
             }
             Step::Remove(_) => true,
@@ -208,7 +209,7 @@
                 true
             }
         };
-        if !alike || queue.len() != naive.units.len() {
+        if !matches || queue.len() != model.units.len() {
             return false;
         }
     }
@@ -216,8 +217,8 @@
 }
 
 quickcheck! {
-    fn queue_does_as_the_naive_one(steps: Vec<Step>) -> bool {
-        plays_alike(&steps)
+    fn queue_matches_the_model(steps: Vec<Step>) -> bool {
+        results_match(&steps)
     }
 
     fn teams_get_their_weights(rounds: u8) -> bool {
--- a/crates/hoisthitch-core/tests/share.rs
+++ b/crates/hoisthitch-core/tests/share.rs
@@ -1,9 +1,10 @@
-//! Shares of slots: all entries together use each slot of each runner once.
+//! Slot shares: each slot of each runner belongs to the share of exactly one
+//! entry.
 
 use hoisthitch_core::EntryShare;
 use quickcheck::quickcheck;
 
-/// Most entries of a case.
+/// Largest number of entries in a case.
 const ENTRIES: usize = 12;
 
 quickcheck! {
--- a/crates/hoisthitch-core/tests/table.rs
+++ b/crates/hoisthitch-core/tests/table.rs
@@ -1,5 +1,5 @@
-//! The table: any text is read or refused, and no edit breaks a rule or takes
-//! back what another operator was told.
+//! The operators' table: any text is parsed or refused without a panic, and no
+//! edit violates a rule or overwrites an accepted edit of another operator.
 
 use hoisthitch_core::{
     EditError,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A table of two teams, at revision 1.
+/// A table with two teams, at revision 1.
 fn table() -> PolicyTable {
     let rows = [team(1, 1, 0), team(2, 1, 0)].map(RowEdit::PutTeam);
     let edited = PolicyTable::default().with_edits(&rows, stamp(1));
