--- a/crates/hoisthitch-store/src/claim.rs
+++ b/crates/hoisthitch-store/src/claim.rs
@@ -1,9 +1,11 @@
-//! Claims of idempotency keys: a keyed request is sent only by the entry that
-//! created the key's claim.
+//! Claims of idempotency keys: a request with a key is sent only by the entry that
+//! created the claim of the key.
 //!
-//! Each key has one small record, created by compare-and-swap and removed by a
-//! lease. Many claims travel in one call, so that the store's calls grow with
-//! time and not with requests. See `docs/design/claims.md`.
+//! Each key has one small record, which is created by compare-and-swap and expires
+//! with a lease. [`ClaimClient`] sends claims and their results to [`ClaimWriter`],
+//! which writes many of them in one call, so that the number of calls to the store
+//! grows with time and not with the number of requests. See
+//! `docs/design/claims.md`.
 
 use std::{
     collections::HashSet,
@@ -36,52 +38,53 @@
     message::base64_bytes, //
 };
 
-/// Most claims in one call; etcd takes 128 operations in a transaction.
+/// Largest number of claims in one call; etcd allows 128 operations in a
+/// transaction.
 const BATCH_LIMIT: usize = 64;
 
-/// Least time between two calls of one process.
+/// Least time between the starts of two calls of one process.
 const CALL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Jobs that may wait for the store.
+/// Largest number of queued jobs.
 const QUEUE_LIMIT: usize = 10_000;
 
-/// Time after a failed call in which new claims are refused at once.
-const BREAK_TIME: Duration = Duration::from_secs(1);
+/// Time after a failed call during which new claims are refused at once.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Part of the retention after which new claims get a new lease.
-const LEASE_PARTS: u32 = 4;
+/// A lease is replaced by a new one after the retention divided by this.
+const LEASE_RENEWAL_DIVISOR: u32 = 4;
 
-/// Longest time that the end of a claim is tried to be written.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(3_600);
+/// Time within which the resolution of a claim must be written.
+const RESOLUTION_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 /// Record of a claim.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRecord {
     /// Entry that created the claim.
     pub entry: String,
-    /// Random number of the request.
+    /// Random identifier of the request.
     pub operation: u64,
-    /// Hash of the request, to tell another request under the same key.
+    /// Hash of the request; distinguishes another request with the same key.
     pub fingerprint: u64,
-    /// Answer, once there is one.
+    /// Response to the request, once there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer: Option<ClaimAnswer>,
 }
 
-/// Answer that a second try is given.
+/// Stored response, which is returned to retries of the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimAnswer {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
     /// Media type.
     #[serde(default)]
     pub content_type: String,
-    /// Body; none where it was too long to keep.
+    /// Body; `None` if it was too long to store.
     #[serde(default)]
     pub body: Option<ClaimBody>,
 }
 
-/// Body of a kept answer.
+/// Body of a stored response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimBody {
     /// The bytes.
@@ -89,18 +92,18 @@
     pub bytes: Vec<u8>,
 }
 
-/// What a request is told that asked for a claim.
+/// Result of claiming a key for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimOutcome {
     /// The request may be sent.
     Granted(ClaimTicket),
-    /// Another try holds the key, or held it and was lost.
+    /// Another attempt of the request holds the key, or held it and was lost.
     InProgress,
-    /// Another try ran.
+    /// Another attempt of the request ran; this is its response.
     Answered(ClaimAnswer),
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
-    /// The claim could not be made in time.
+    /// The claim could not be created by the deadline.
     Unavailable,
 }
 
@@ -112,27 +115,29 @@
     record: ClaimRecord,
 }
 
-/// How a granted claim ended.
+/// Result of the request of a granted claim.
 #[derive(Clone, Debug)]
 pub enum ClaimResolution {
     /// The request ran.
     Ran(ClaimAnswer),
-    /// The request did not run; the key is free again.
+    /// The request did not run; the key is released.
     NotRun,
 }
 
-/// Asks for claims, from any thread.
+/// Handle for claiming keys, from any thread.
 #[derive(Clone, Debug)]
 pub struct ClaimClient {
     jobs: mpsc::Sender<ClaimJob>,
 }
 
+/// Write that a [`ClaimWriter`] has to carry out.
 #[derive(Debug)]
 enum ClaimJob {
     Create(CreateJob),
-    End(EndJob),
+    Resolve(ResolveJob),
 }
 
+/// Creation of a claim.
 #[derive(Debug)]
 struct CreateJob {
     key: String,
@@ -141,15 +146,16 @@
     reply: oneshot::Sender<ClaimOutcome>,
 }
 
+/// Resolution of a granted claim, or of one that may have been written.
 #[derive(Debug)]
-struct EndJob {
+struct ResolveJob {
     ticket: ClaimTicket,
-    end: ClaimResolution,
+    resolution: ClaimResolution,
     deadline: Instant,
 }
 
 impl ClaimClient {
-    /// Claims a key for a request; the answer comes by `deadline`.
+    /// Claims a key for a request; returns at `deadline` at the latest.
     pub async fn claim(&self, key: String, record: ClaimRecord, deadline: Instant) -> ClaimOutcome {
         let (reply, outcome) = oneshot::channel();
         let job = ClaimJob::Create(CreateJob {
@@ -167,15 +173,15 @@
         }
     }
 
-    /// Notes how a granted claim ended.
+    /// Queues the resolution of a granted claim.
     ///
-    /// When the note can't be taken, the key stays claimed until its lease
-    /// lapses, which is safe.
-    pub fn end(&self, ticket: ClaimTicket, end: ClaimResolution) {
-        let job = ClaimJob::End(EndJob {
+    /// If the queue is full, the resolution is dropped. The key then stays claimed
+    /// until its lease expires, which is safe.
+    pub fn end(&self, ticket: ClaimTicket, resolution: ClaimResolution) {
+        let job = ClaimJob::Resolve(ResolveJob {
             ticket,
-            end,
-            deadline: Instant::now() + SETTLE_PATIENCE,
+            resolution,
+            deadline: Instant::now() + RESOLUTION_TIMEOUT,
         });
         let _ = self.jobs.try_send(job);
     }
@@ -186,21 +192,24 @@
     store: S,
     retention: Duration,
     jobs: mpsc::Receiver<ClaimJob>,
-    /// Jobs that go into the next call.
+    /// Jobs for the next calls.
     pending: Vec<ClaimJob>,
     lease: Option<ClaimLease>,
-    /// When the last call failed.
-    failed: Option<Instant>,
+    /// Time at which the last call failed; `None` if it succeeded.
+    failed_at: Option<Instant>,
 }
 
+/// Lease with which new claims expire.
 #[derive(Clone, Copy)]
 struct ClaimLease {
     id: LeaseId,
-    renew: Instant,
+    /// Time after which new claims get another lease.
+    replace_at: Instant,
 }
 
 impl<S: StoreClient> ClaimWriter<S> {
-    /// Keeps claims for `retention` after their creation.
+    /// Creates a writer and its client. Claims are kept for at least `retention`
+    /// after their creation.
     pub fn new(store: S, retention: Duration) -> (ClaimClient, Self) {
         let (sender, jobs) = mpsc::channel(QUEUE_LIMIT);
         let writer = Self {
@@ -209,24 +218,24 @@
             jobs,
             pending: Vec::new(),
             lease: None,
-            failed: None,
+            failed_at: None,
         };
         (ClaimClient { jobs: sender }, writer)
     }
 
-    /// Runs until all clients are gone.
+    /// Writes claims until all clients are dropped.
     pub async fn run(mut self) {
-        while self.gather().await {
-            let started = Instant::now();
-            self.commit().await;
-            match self.failed {
-                Some(failed) => self.refuse_until(failed + BREAK_TIME).await,
-                None => tokio::time::sleep_until(started + CALL_INTERVAL).await,
+        while self.receive_jobs().await {
+            let started_at = Instant::now();
+            self.write_batch().await;
+            match self.failed_at {
+                Some(failed_at) => self.refuse_until(failed_at + FAILURE_BACKOFF).await,
+                None => tokio::time::sleep_until(started_at + CALL_INTERVAL).await,
             }
         }
     }
 
-    /// Takes jobs in without a call; new claims are refused at once.
+    /// Receives jobs without calling the store; new claims are refused at once.
     async fn refuse_until(&mut self, end: Instant) {
         while let Ok(Some(job)) = tokio::time::timeout_at(end, self.jobs.recv()).await {
             self.accept(job);
@@ -234,8 +243,9 @@
         tokio::time::sleep_until(end).await;
     }
 
-    /// Waits for jobs; answers whether there may be more.
-    async fn gather(&mut self) -> bool {
+    /// Waits for at least one pending job; returns false once all clients are
+    /// dropped and no job is pending.
+    async fn receive_jobs(&mut self) -> bool {
         if self.pending.is_empty() {
             let Some(job) = self.jobs.recv().await else {
                 return false;
@@ -251,51 +261,54 @@
         true
     }
 
-    /// Takes a job in, or refuses it at once while the store fails.
+    /// Adds a job to the pending ones. New claims are refused instead shortly after
+    /// a failed call.
     fn accept(&mut self, job: ClaimJob) {
-        let broken = self
-            .failed
-            .is_some_and(|failed| failed.elapsed() < BREAK_TIME);
+        let backing_off = self
+            .failed_at
+            .is_some_and(|failed_at| failed_at.elapsed() < FAILURE_BACKOFF);
         match job {
-            ClaimJob::Create(create) if broken => reply(create, ClaimOutcome::Unavailable),
+            ClaimJob::Create(create) if backing_off => reply(create, ClaimOutcome::Unavailable),
             job => self.pending.push(job),
         }
     }
 
-    async fn commit(&mut self) {
-        self.drop_late();
+    /// Writes the next batch and handles its result.
+    async fn write_batch(&mut self) {
+        self.drop_expired();
         let batch = self.take_batch();
         if batch.is_empty() {
             return;
         }
         match self.swap(&batch).await {
             Ok(BatchOutcome::Written(revision)) => {
-                self.failed = None;
-                let freed = batch.into_iter().filter_map(|job| written(job, revision));
-                self.pending.extend(freed);
+                self.failed_at = None;
+                let follow_ups = batch.into_iter().filter_map(|job| complete(job, revision));
+                self.pending.extend(follow_ups);
             }
             Ok(BatchOutcome::Conflict(found)) => {
-                self.failed = None;
+                self.failed_at = None;
                 for (job, found) in batch.into_iter().zip(found) {
-                    self.pending.extend(conflict(job, found));
+                    self.pending.extend(resolve_conflict(job, found));
                 }
             }
             Err(_) => {
-                self.failed = Some(Instant::now());
+                self.failed_at = Some(Instant::now());
                 self.pending.extend(batch);
                 self.refuse_creates();
             }
         }
     }
 
-    /// Takes the jobs of the next call, at most one for each key: two
-    /// creations of a key in one transaction would both find it absent.
+    /// Removes the jobs of the next call from the pending ones, at most one for
+    /// each key: two creations of a key in one transaction would both find that
+    /// the key does not exist.
     fn take_batch(&mut self) -> Vec<ClaimJob> {
         let mut keys = HashSet::new();
-        let (batch, later) = mem::take(&mut self.pending)
+        let (batch, rest) = mem::take(&mut self.pending)
             .into_iter()
             .partition(|job| keys.len() < BATCH_LIMIT && keys.insert(job.key().to_owned()));
-        self.pending = later;
+        self.pending = rest;
         batch
     }
 
@@ -305,40 +318,42 @@
         self.store.swap_all(items).await
     }
 
+    /// Returns the lease for new claims, and grants another one after a part of the
+    /// retention.
     async fn lease(&mut self) -> Result<LeaseId, StoreError> {
         if let Some(lease) = self.lease
-            && Instant::now() < lease.renew
+            && Instant::now() < lease.replace_at
         {
             return Ok(lease.id);
         }
-        let part = self.retention / LEASE_PARTS;
-        let id = self.store.grant_lease(self.retention + part).await?;
-        let renew = Instant::now() + part;
-        self.lease = Some(ClaimLease { id, renew });
+        let use_time = self.retention / LEASE_RENEWAL_DIVISOR;
+        let id = self.store.grant_lease(self.retention + use_time).await?;
+        let replace_at = Instant::now() + use_time;
+        self.lease = Some(ClaimLease { id, replace_at });
         Ok(id)
     }
 
-    /// Gives up on jobs whose time is over.
-    fn drop_late(&mut self) {
+    /// Abandons the pending jobs whose deadline has passed.
+    fn drop_expired(&mut self) {
         let now = Instant::now();
-        let late = |job: &ClaimJob| job.deadline() <= now;
-        let (late, rest) = std::mem::take(&mut self.pending)
+        let is_expired = |job: &ClaimJob| job.deadline() <= now;
+        let (expired, rest) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition::<Vec<_>, _>(late);
+            .partition::<Vec<_>, _>(is_expired);
         self.pending = rest;
-        for job in late {
+        for job in expired {
             self.pending.extend(abandon(job));
         }
     }
 
-    /// Tells waiting requests that the store fails; their claims may have been
-    /// written all the same, and are freed later.
+    /// Refuses the pending creations after a failed call. Their claims may have
+    /// been written nevertheless, so they are released later.
     fn refuse_creates(&mut self) {
         let jobs = std::mem::take(&mut self.pending);
         for job in jobs {
             match job {
                 ClaimJob::Create(_) => self.pending.extend(abandon(job)),
-                ClaimJob::End(_) => self.pending.push(job),
+                ClaimJob::Resolve(_) => self.pending.push(job),
             }
         }
     }
@@ -348,7 +363,7 @@
     fn deadline(&self) -> Instant {
         match self {
             Self::Create(create) => create.deadline,
-            Self::End(end) => end.deadline,
+            Self::Resolve(resolve) => resolve.deadline,
         }
     }
 
@@ -356,10 +371,11 @@
     fn key(&self) -> &str {
         match self {
             Self::Create(create) => &create.key,
-            Self::End(end) => &end.ticket.key,
+            Self::Resolve(resolve) => &resolve.ticket.key,
         }
     }
 
+    /// The compare-and-swap that carries out the job.
     fn item(&self, lease: LeaseId) -> SwapItem {
         match self {
             Self::Create(create) => SwapItem {
@@ -368,18 +384,21 @@
                 value: Some(encode(&create.record)),
                 lease: Some(lease),
             },
-            Self::End(end) => SwapItem {
-                key: end.ticket.key.clone(),
-                expected: end.ticket.revision,
-                value: end.end.record(&end.ticket.record).as_ref().map(encode),
-                lease: Some(lease),
-            },
+            Self::Resolve(resolve) => {
+                let record = resolve.resolution.record(&resolve.ticket.record);
+                SwapItem {
+                    key: resolve.ticket.key.clone(),
+                    expected: resolve.ticket.revision,
+                    value: record.as_ref().map(encode),
+                    lease: Some(lease),
+                }
+            }
         }
     }
 }
 
 impl ClaimResolution {
-    /// Record that the claim ends with; none where the key is freed.
+    /// Final record of the claim; `None` if the key is released.
     fn record(&self, claimed: &ClaimRecord) -> Option<ClaimRecord> {
         match self {
             Self::NotRun => None,
@@ -391,15 +410,16 @@
     }
 }
 
-/// Notes that a job's write took effect; a job to go on with is returned.
-fn written(job: ClaimJob, revision: StoreRevision) -> Option<ClaimJob> {
+/// Completes a job whose write took effect; returns a follow-up job.
+fn complete(job: ClaimJob, revision: StoreRevision) -> Option<ClaimJob> {
     match job {
         ClaimJob::Create(create) => grant(create, revision),
-        ClaimJob::End(_) => None,
+        ClaimJob::Resolve(_) => None,
     }
 }
 
-/// Grants a claim; when the request has given up by now, its key is freed.
+/// Grants a claim. If the request no longer waits, returns a job that releases the
+/// key.
 fn grant(create: CreateJob, revision: StoreRevision) -> Option<ClaimJob> {
     let ticket = ClaimTicket {
         key: create.key,
@@ -408,33 +428,33 @@
     };
     let granted = ClaimOutcome::Granted(ticket.clone());
     create.reply.send(granted).err()?;
-    Some(free(ticket))
+    Some(release_job(ticket))
 }
 
-/// A job that frees a key.
-fn free(ticket: ClaimTicket) -> ClaimJob {
-    ClaimJob::End(EndJob {
+/// A job that releases a key.
+fn release_job(ticket: ClaimTicket) -> ClaimJob {
+    ClaimJob::Resolve(ResolveJob {
         ticket,
-        end: ClaimResolution::NotRun,
-        deadline: Instant::now() + SETTLE_PATIENCE,
+        resolution: ClaimResolution::NotRun,
+        deadline: Instant::now() + RESOLUTION_TIMEOUT,
     })
 }
 
 fn reply(create: CreateJob, outcome: ClaimOutcome) {
-    // A request whose caller is gone needs no verdict.
+    // If the receiver was dropped, the request no longer waits for the outcome.
     let _ = create.reply.send(outcome);
 }
 
-/// Judges one job of a batch that met a conflict; a job to go on with is
-/// returned.
-fn conflict(job: ClaimJob, found: Option<StoredValue>) -> Option<ClaimJob> {
+/// Handles one job of a batch that was not written because of a conflict; returns
+/// the job to carry out next.
+fn resolve_conflict(job: ClaimJob, found: Option<StoredValue>) -> Option<ClaimJob> {
     match job {
-        ClaimJob::Create(create) => conflict_of_create(create, found),
-        ClaimJob::End(end) => conflict_of_end(end, found),
+        ClaimJob::Create(create) => resolve_create_conflict(create, found),
+        ClaimJob::Resolve(resolve) => resolve_resolution_conflict(resolve, found),
     }
 }
 
-fn conflict_of_create(create: CreateJob, found: Option<StoredValue>) -> Option<ClaimJob> {
+fn resolve_create_conflict(create: CreateJob, found: Option<StoredValue>) -> Option<ClaimJob> {
     let Some(stored) = found else {
         return Some(ClaimJob::Create(create));
     };
@@ -456,19 +476,23 @@
     None
 }
 
-fn conflict_of_end(mut end: EndJob, found: Option<StoredValue>) -> Option<ClaimJob> {
+fn resolve_resolution_conflict(
+    mut resolve: ResolveJob,
+    found: Option<StoredValue>,
+) -> Option<ClaimJob> {
     let stored = found?;
     let record: ClaimRecord = serde_json::from_slice(&stored.value).ok()?;
-    let own = record.operation == end.ticket.record.operation;
-    if !own || record.answer.is_some() {
+    let is_own = record.operation == resolve.ticket.record.operation;
+    if !is_own || record.answer.is_some() {
         return None;
     }
-    // The claim is there under a revision that an unclear answer hid.
-    end.ticket.revision = stored.revision;
-    Some(ClaimJob::End(end))
+    // The claim still exists. Its revision may not have been known, since the
+    // response to the write that created it was lost.
+    resolve.ticket.revision = stored.revision;
+    Some(ClaimJob::Resolve(resolve))
 }
 
-/// Gives up on a job. A creation may have taken effect, so its key is freed.
+/// Drops a job. A creation may have taken effect, so its key is released.
 fn abandon(job: ClaimJob) -> Option<ClaimJob> {
     let ClaimJob::Create(create) = job else {
         return None;
@@ -479,7 +503,7 @@
         record: create.record.clone(),
     };
     reply(create, ClaimOutcome::Unavailable);
-    Some(free(ticket))
+    Some(release_job(ticket))
 }
 
 fn encode(record: &ClaimRecord) -> Vec<u8> {
--- a/crates/hoisthitch-store/src/client.rs
+++ b/crates/hoisthitch-store/src/client.rs
@@ -1,4 +1,8 @@
-//! The seam between hoisthitch and the platform's store.
+//! Interface between hoisthitch and the platform's key-value store.
+//!
+//! [`StoreClient`] reads, watches and writes values. Writes are compare-and-swap
+//! operations on revisions. [`WatchStream`] delivers the changes below a key
+//! prefix in order.
 
 use std::time::Duration;
 
@@ -6,20 +10,21 @@
 
 use crate::error::StoreError;
 
-/// Revision of a value in the store; zero where there is none.
+/// Revision of a value in the store; zero if the value does not exist.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct StoreRevision(pub i64);
 
 impl StoreRevision {
-    /// A revision that no value has: a swap that expects it only reads.
+    /// A revision that no value has. A swap that expects it never writes, but
+    /// returns the value.
     pub const UNKNOWN: Self = Self(i64::MAX);
 
-    /// In a swap of several values: this one may have any revision. Only safe
-    /// beside a value of the same swap whose revision is expected and changes.
+    /// Matches any revision, in a swap of several values. This is only safe if the
+    /// same swap expects a revision of another value and changes that value.
     pub const ANY: Self = Self(-1);
 }
 
-/// A lease in the store.
+/// Identifier of a lease in the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseId(pub i64);
 
@@ -43,46 +48,47 @@
     pub revision: StoreRevision,
 }
 
-/// What became of a compare-and-swap.
+/// Result of a compare-and-swap.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SwapOutcome {
     /// The value was written at this revision.
     Written(StoreRevision),
-    /// Another revision was found; the value found is returned.
+    /// The value has another revision. The current value is returned.
     Conflict(Option<StoredValue>),
 }
 
-/// One of several values that are swapped together.
+/// One value of a swap of several values.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SwapItem {
     /// Key of the value.
     pub key: String,
-    /// Revision that the value must still have.
+    /// Revision that the value must have.
     pub expected: StoreRevision,
-    /// New value; none to remove it.
+    /// New value; `None` to remove it.
     pub value: Option<Vec<u8>>,
-    /// Lease that the value goes with.
+    /// Lease with which the value expires.
     pub lease: Option<LeaseId>,
 }
 
-/// What became of several values that were swapped together.
+/// Result of a swap of several values.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BatchOutcome {
-    /// All were written at this revision.
+    /// All values were written at this revision.
     Written(StoreRevision),
-    /// None was written, since at least one had another revision; the values
-    /// found are returned in the order of the items.
+    /// No value was written, since at least one has another revision. The current
+    /// values are returned in the order of the items.
     Conflict(Vec<Option<StoredValue>>),
 }
 
-/// One change seen by a watch.
+/// Event of a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WatchEvent {
-    /// The watch is in place; what there is has to be read.
+    /// The watch was created. The current values must be read separately.
     Created,
-    /// The watch is in place, and this is all there is.
+    /// The watch was created, or resumed after skipped changes. These are all the
+    /// current values.
     Snapshot(Vec<StoredValue>),
-    /// Nothing changed for a while; the watch is alive.
+    /// There was no change within the wait; the watch is alive.
     Unchanged,
     /// A value was written.
     Put(StoredValue),
@@ -95,38 +101,40 @@
     },
 }
 
-/// Changes seen by a watch, in order.
+/// Events of a watch, in order.
 pub trait WatchStream {
-    /// The next change; `None` once the watch has ended.
+    /// Waits for the next event; `None` once the watch has ended.
     fn next(&mut self) -> impl Future<Output = Option<Result<WatchEvent, StoreError>>>;
 
-    /// Whether every change that has come in was given out.
+    /// Whether every received event was returned by [`WatchStream::next`].
     fn is_buffer_empty(&self) -> bool;
 
-    /// A time before which nothing was written that this watch has not told of, or
-    /// holds ready; none where that can't be known.
+    /// Time up to which the watch is complete: every change before it was returned
+    /// or is buffered. `None` if this is not known.
     fn complete_as_of(&self) -> Option<Instant> {
         None
     }
 
-    /// Has the next look wait only shortly, to learn soon whether there is more.
+    /// Makes the next call to the store wait only shortly for changes, to find out
+    /// soon whether there are any.
     fn shorten_next_wait(&mut self) {}
 
-    /// Whether more may be ready than the last look was answered with.
+    /// Whether the store may have more changes than its last response contained.
     fn may_have_more(&self) -> bool {
         false
     }
 
-    /// Whether the watch goes on where it was after such an error, and misses nothing.
+    /// Whether the watch continues after the error from where it was, without
+    /// missing a change.
     fn can_resume_after(&self, _err: &StoreError) -> bool {
         false
     }
 }
 
-/// The platform's store.
+/// Client of the platform's store.
 ///
-/// A failed write is unclear: it may have taken effect. Only
-/// [`crate::RecordWriter`] resolves that.
+/// The outcome of a failed write is unknown: it may have taken effect. Only
+/// [`crate::RecordWriter`] finds that out.
 pub trait StoreClient: Clone + 'static {
     /// Type of the client's watches.
     type Watch: WatchStream;
@@ -147,7 +155,7 @@
         prefix: &str,
     ) -> impl Future<Output = Result<Vec<KeyRevision>, StoreError>>;
 
-    /// Writes a value if its revision is still `expected`.
+    /// Writes a value if its revision is `expected`.
     fn swap(
         &self,
         key: &str,
@@ -156,14 +164,14 @@
         lease: Option<LeaseId>,
     ) -> impl Future<Output = Result<SwapOutcome, StoreError>>;
 
-    /// Removes a value if its revision is still `expected`.
+    /// Removes a value if its revision is `expected`.
     fn remove(
         &self,
         key: &str,
         expected: StoreRevision,
     ) -> impl Future<Output = Result<SwapOutcome, StoreError>>;
 
-    /// Swaps several values in one call, all or none.
+    /// Writes several values atomically if all have their expected revisions.
     fn swap_all(
         &self,
         items: Vec<SwapItem>,
@@ -172,10 +180,11 @@
     /// Grants a lease.
     fn grant_lease(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, StoreError>>;
 
-    /// Keeps a lease alive; returns whether it still was.
+    /// Renews a lease; returns whether it had not expired.
     fn keep_alive(&self, lease: LeaseId) -> impl Future<Output = Result<bool, StoreError>>;
 
-    /// Watches the keys that start with `prefix`, from a revision on.
+    /// Watches the keys that start with `prefix` for changes, starting at a
+    /// revision; at zero, starting from the current state.
     fn watch(
         &self,
         prefix: &str,
