--- a/crates/hoisthitch-store/src/lib.rs
+++ b/crates/hoisthitch-store/src/lib.rs
@@ -1,7 +1,7 @@
-//! Client of the platform: its key-value store and its list of VMs.
+//! Clients of the platform's services: its key-value store and its list of VMs.
 //!
-//! [`StoreClient`] is the one seam between hoisthitch and the platform's
-//! store. [`EtcdClient`] is the adapter for the etcd v3 JSON gateway; another
+//! [`StoreClient`] is the only interface between hoisthitch and the platform's
+//! store. [`EtcdClient`] implements it for the etcd v3 JSON gateway; another
 //! platform needs another small adapter.
 
 mod calls;
@@ -11,8 +11,8 @@
 mod etcd;
 mod keyspace;
 pub mod message;
-mod recognise;
 mod vms;
+mod writer;
 
 pub use calls::{
     CallCounter,
@@ -43,11 +43,6 @@
 pub use error::StoreError;
 pub use etcd::EtcdClient;
 pub use keyspace::KeySpace;
-pub use recognise::{
-    RecordWriter,
-    StampedRecord,
-    WriteError, //
-};
 pub use vms::{
     ListedVm,
     RebootRequest,
@@ -55,3 +50,8 @@
     VmListing,
     VmState, //
 };
+pub use writer::{
+    RecordWriter,
+    StampedRecord,
+    WriteError, //
+};
--- a/crates/hoisthitch-store/src/recognise.rs
+++ b/crates/hoisthitch-store/src/writer.rs
@@ -1,10 +1,10 @@
-//! Writes whose answer may be lost.
+//! Record writer that resolves writes whose outcome is unknown.
 //!
-//! After an unclear answer the record is read again. If it carries the writer's
-//! stamp, the write took effect. If its revision is still the expected one, the
-//! very same swap is sent again: with the same expected revision and the same
-//! content, at most one of the two can take effect. If the revision has moved
-//! on without the stamp, the write can no longer take effect.
+//! After a failed write the same swap is sent again, with the same expected
+//! revision and the same content, so at most one of the two can take effect. If the
+//! revision has changed, the swap returns the current record. If that record
+//! carries the writer's stamp, the write took effect. Otherwise, the write can no
+//! longer take effect.
 
 use std::time::Duration;
 
@@ -34,19 +34,19 @@
     error::StoreError, //
 };
 
-/// Wait before an unclear write is looked into.
-const SETTLE_WAIT: Duration = Duration::from_millis(50);
+/// Delay before a write whose outcome is unknown is sent again.
+const RESEND_DELAY: Duration = Duration::from_millis(50);
 
-/// Times that a change is made anew on what another writer wrote.
-const UPDATE_LIMIT: usize = 20;
+/// Largest number of attempts to apply a change to the record of another writer.
+const UPDATE_ATTEMPTS: usize = 20;
 
-/// A record that tells who wrote it.
+/// A record with the stamps of its last writers.
 pub trait StampedRecord: Serialize + DeserializeOwned {
-    /// Whether the operation's write went into this record or one before it.
+    /// Whether this version or one of the recent ones was written by the operation.
     fn was_written_by(&self, stamp: &WriterStamp) -> bool;
 }
 
-/// Records that carry their writer's stamp and those of the writers before.
+/// Implements [`StampedRecord`] for records with the fields `stamp` and `recent`.
 macro_rules! stamped_records {
     ($($record:ident),+ $(,)?) => {
         $(impl StampedRecord for $record {
@@ -68,15 +68,15 @@
 /// Why a record was not written.
 #[derive(Debug, Error)]
 pub enum WriteError {
-    /// Another writer was first; the record found is returned.
+    /// Another writer changed the record first.
     #[error("another writer changed {key} first")]
     Conflict {
         /// Key of the record.
         key: String,
-        /// The record in force.
+        /// The current record.
         found: Option<StoredValue>,
     },
-    /// Whether the write took effect could not be found out in time.
+    /// The outcome of the write could not be determined in time.
     #[error(
         "whether {key} was written is not known: {source}; read it again before you repeat the change"
     )]
@@ -86,7 +86,7 @@
         /// Last error of the store.
         source: StoreError,
     },
-    /// The record in the store can't be read.
+    /// The record in the store can't be parsed.
     #[error("the record {key} can't be read: {fault}; restore it from an export")]
     Malformed {
         /// Key of the record.
@@ -107,30 +107,31 @@
     },
 }
 
-/// Writes records and settles unclear answers.
+/// Writes records and resolves writes whose outcome is unknown.
 #[derive(Clone, Debug)]
 pub struct RecordWriter<S> {
     store: S,
     writer: String,
-    patience: Duration,
+    resolve_timeout: Duration,
 }
 
 impl<S: StoreClient> RecordWriter<S> {
-    /// Writes as `writer`; unclear answers are looked into for `patience`.
-    pub fn new(store: S, writer: &str, patience: Duration) -> Self {
+    /// Creates a writer named `writer`. A write whose outcome is unknown is sent
+    /// again for `resolve_timeout`.
+    pub fn new(store: S, writer: &str, resolve_timeout: Duration) -> Self {
         Self {
             store,
             writer: writer.to_owned(),
-            patience,
+            resolve_timeout,
         }
     }
 
-    /// The store written to.
+    /// The client of the store.
     pub fn store(&self) -> &S {
         &self.store
     }
 
-    /// A stamp for a new operation.
+    /// Creates a stamp for a new operation.
     pub fn stamp(&self) -> WriterStamp {
         WriterStamp {
             writer: self.writer.clone(),
@@ -138,13 +139,13 @@
         }
     }
 
-    /// Reads a record, changes it and writes it; when another writer was first,
-    /// changes what that one wrote.
+    /// Reads a record, changes it and writes it. If another writer changed the
+    /// record first, the change is applied to the record of that writer.
     ///
     /// # Errors
     ///
-    /// Fails as `change` does, when the store fails, and when other writers are
-    /// first too many times.
+    /// Fails if `change` fails, if the store fails, or after too many conflicts
+    /// with other writers.
     pub async fn update<R, E, F>(&self, key: &str, change: F) -> Result<R, E>
     where
         R: StampedRecord,
@@ -153,7 +154,7 @@
     {
         let read = self.store.read(key).await;
         let mut stored = read.map_err(WriteError::from)?;
-        for _ in 0..UPDATE_LIMIT {
+        for _ in 0..UPDATE_ATTEMPTS {
             let revision = stored
                 .as_ref()
                 .map_or(StoreRevision::default(), |stored| stored.revision);
@@ -172,12 +173,12 @@
         Err(WriteError::Conflict { key, found: stored }.into())
     }
 
-    /// Writes a record that carries `stamp`, if its revision is `expected`.
+    /// Writes a record that carries `stamp`, if the stored revision is `expected`.
     ///
     /// # Errors
     ///
-    /// [`WriteError::Conflict`] says that the write has not taken effect and
-    /// won't; [`WriteError::OutcomeUnknown`] that this is not known.
+    /// After [`WriteError::Conflict`] the write has not taken effect and won't;
+    /// after [`WriteError::OutcomeUnknown`] this is not known.
     pub async fn write<R: StampedRecord>(
         &self,
         key: &str,
@@ -189,22 +190,22 @@
             key: key.to_owned(),
             fault: err.to_string(),
         })?;
-        let deadline = Instant::now() + self.patience;
-        let mut unclear = false;
+        let deadline = Instant::now() + self.resolve_timeout;
+        let mut outcome_unknown = false;
         loop {
             let err = match self.store.swap(key, expected, &value, None).await {
                 Ok(SwapOutcome::Written(revision)) => return Ok(revision),
                 Ok(SwapOutcome::Conflict(found)) => {
-                    return settle::<R>(key, found, stamp, unclear);
+                    return resolve_conflict::<R>(key, found, stamp, outcome_unknown);
                 }
                 Err(err) => err,
             };
-            unclear = true;
+            outcome_unknown = true;
             if Instant::now() >= deadline {
                 let key = key.to_owned();
                 return Err(WriteError::OutcomeUnknown { key, source: err });
             }
-            tokio::time::sleep(SETTLE_WAIT).await;
+            tokio::time::sleep(RESEND_DELAY).await;
         }
     }
 }
@@ -216,17 +217,17 @@
     })
 }
 
-/// Tells an own write from another's after a conflict.
+/// After a conflict, finds out whether the writer's own earlier attempt took effect.
 ///
-/// The swap that met the conflict also read the record, so no further read is
-/// needed.
-fn settle<R: StampedRecord>(
+/// The swap that failed with the conflict returned the current record, so it need
+/// not be read.
+fn resolve_conflict<R: StampedRecord>(
     key: &str,
     found: Option<StoredValue>,
     stamp: &WriterStamp,
-    unclear: bool,
+    outcome_unknown: bool,
 ) -> Result<StoreRevision, WriteError> {
-    if unclear && let Some(stored) = &found {
+    if outcome_unknown && let Some(stored) = &found {
         let record: Option<R> = serde_json::from_slice(&stored.value).ok();
         if record.is_some_and(|record| record.was_written_by(stamp)) {
             return Ok(stored.revision);
