--- a/crates/hoisthitch-core/src/share.rs
+++ b/crates/hoisthitch-core/src/share.rs
@@ -36,7 +36,7 @@
             "local" => Ok(Self::Local),
             "even" => Ok(Self::Even),
             "demand" => Ok(Self::Demand),
-            _ => Err("it is not a way of sharing; use local, even or demand".to_owned()),
+            _ => Err("it is not a sharing policy; use local, even or demand".to_owned()),
         }
     }
 }
--- a/crates/hoisthitch-core/src/transition.rs
+++ b/crates/hoisthitch-core/src/transition.rs
@@ -27,10 +27,10 @@
     #[error("the VM does not serve the pool")]
     NotServing,
     /// The VM is not draining, or it drains for another task.
-    #[error("the VM does not leave for this")]
+    #[error("the VM is not draining for this task")]
     NotLeaving,
     /// The VM is draining under the permit.
-    #[error("the VM leaves under its permit")]
+    #[error("the VM is draining under its permit")]
     Leaving,
 }
 
