--- a/crates/hoisthitch-core/src/hall.rs
+++ b/crates/hoisthitch-core/src/hall.rs
@@ -85,8 +85,8 @@
 pub enum MaintainStep {
     /// The VM takes no new requests while the running ones finish.
     Drain,
-    /// A reboot was requested. It is complete once the platform reports a higher
-    /// boot count.
+    /// The VM is drained and is being rebooted. The reboot is complete once the
+    /// platform reports a higher boot count.
     Reboot {
         /// Boot count of the platform before the reboot.
         boots: u64,
--- a/crates/hoisthitch-core/src/queue.rs
+++ b/crates/hoisthitch-core/src/queue.rs
@@ -40,11 +40,11 @@
 /// One queued request.
 #[derive(Clone, Debug)]
 pub struct WorkUnit<T> {
-    /// Value of the caller that stands for the request.
+    /// Handle by which the queue's owner knows the request.
     pub item: T,
     /// Priority at which the request is served.
     pub priority: PaidPriority,
-    /// Team that sent the request.
+    /// Team that pays for the request.
     pub team: TeamKey,
     /// Weight of the team.
     pub weight: u32,
--- a/crates/hoisthitch-core/src/scheduler.rs
+++ b/crates/hoisthitch-core/src/scheduler.rs
@@ -136,7 +136,7 @@
     queue: WorkQueue<T>,
     ledger: SlotLedger,
     limiter: RateLimiter,
-    retries: RetryBudget,
+    retry_budget: RetryBudget,
     quotas: SecondaryMap<TeamKey, TeamQuota>,
     service_seconds: f64,
     background_rate: BackgroundRate,
@@ -183,7 +183,7 @@
             }),
             ledger: SlotLedger::default(),
             limiter: RateLimiter::new(row.rate_limit, now),
-            retries: RetryBudget::new(row.retry_percent),
+            retry_budget: RetryBudget::new(row.retry_percent),
             quotas: SecondaryMap::new(),
             service_seconds: INITIAL_SERVICE_SECONDS,
             background_rate: BackgroundRate::default(),
@@ -194,7 +194,7 @@
     /// Applies a changed row.
     pub fn set_row(&mut self, row: PoolRow, now: Instant) {
         self.limiter.set_rate(row.rate_limit, now);
-        self.retries.set_percent(row.retry_percent);
+        self.retry_budget.set_percent(row.retry_percent);
         self.ledger.set_eject_cap(row.max_absent as usize);
         self.row = row;
         self.refresh_limits();
@@ -251,7 +251,7 @@
         self.take_quota(team, now)?;
         let admission = self.grant_or_queue(unit, now);
         match admission {
-            Ok(_) => self.retries.deposit(),
+            Ok(_) => self.retry_budget.deposit(),
             Err(_) => self.refund_quota(team),
         }
         admission
@@ -271,7 +271,7 @@
         failed: RunnerKey,
         now: Instant,
     ) -> Option<RunnerKey> {
-        if !self.has_room(priority) || !self.retries.withdraw() {
+        if !self.has_capacity(priority) || !self.retry_budget.withdraw() {
             return None;
         }
         let runner = self.ledger.take(now, Some(failed))?;
@@ -286,7 +286,7 @@
         failed: RunnerKey,
         now: Instant,
     ) -> Option<RunnerKey> {
-        if !self.has_room(priority) {
+        if !self.has_capacity(priority) {
             return None;
         }
         let runner = self.ledger.take(now, Some(failed))?;
@@ -306,10 +306,10 @@
     /// Takes the next request from the queue and grants it a free slot, or refuses
     /// it if it can no longer end by its deadline.
     pub fn grant_next(&mut self, now: Instant) -> Option<WorkGrant<T>> {
-        if !self.has_room(PaidPriority::Urgent) {
+        if !self.has_capacity(PaidPriority::Urgent) {
             return None;
         }
-        let background_allowed = self.has_room(PaidPriority::Background);
+        let background_allowed = self.has_capacity(PaidPriority::Background);
         if !self.queue.has_next(background_allowed) {
             return None;
         }
@@ -376,7 +376,7 @@
         now: Instant,
     ) -> Result<WorkAdmission<T>, WorkRefusal> {
         if self.queue.len_of(unit.priority) == 0
-            && self.has_room(unit.priority)
+            && self.has_capacity(unit.priority)
             && let Some(runner) = self.ledger.take(now, None)
         {
             return Ok(WorkAdmission::Granted(runner));
@@ -434,7 +434,7 @@
     /// use, by requests of any priority. The other slots stay free for urgent
     /// requests. (An upper limit on utilisation, from "Approaches for maximizing
     /// PTU utilization"; see `docs/design/queue.md`.)
-    fn has_room(&self, priority: PaidPriority) -> bool {
+    fn has_capacity(&self, priority: PaidPriority) -> bool {
         let limit = match priority {
             PaidPriority::Urgent => self.row.in_flight_limit,
             PaidPriority::Background => self.slots() * self.row.background_percent / 100,
