--- a/crates/hoisthitch-store/src/claim.rs
+++ b/crates/hoisthitch-store/src/claim.rs
@@ -54,7 +54,7 @@
 /// A lease is replaced by a new one after the retention divided by this.
 const LEASE_RENEWAL_DIVISOR: u32 = 4;
 
-/// Time within which the resolution of a claim must be written.
+/// Time after which attempts to write the resolution of a claim end.
 const RESOLUTION_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 /// Record of a claim.
@@ -195,7 +195,7 @@
     /// Jobs for the next calls.
     pending: Vec<ClaimJob>,
     lease: Option<ClaimLease>,
-    /// Time at which the last call failed; `None` if it succeeded.
+    /// Time of the last call if it failed; `None` otherwise.
     failed_at: Option<Instant>,
 }
 
