--- a/crates/hoisthitch-core/tests/fleet.rs
+++ b/crates/hoisthitch-core/tests/fleet.rs
@@ -35,8 +35,8 @@
 }
 
 cases! {
-    withdrawn_permit_s_vm_is_not_begun_in_the_same_plan => withdraws_first(None);
-    withdrawn_permit_s_vm_is_not_moved_in_the_same_plan => withdraws_first(Some("picking"));
+    vm_of_a_withdrawn_permit_is_not_drained_in_the_same_plan => withdraws_first(None);
+    vm_of_a_withdrawn_permit_is_not_moved_in_the_same_plan => withdraws_first(Some("picking"));
 }
 
 fn row() -> PoolRow {
@@ -91,11 +91,11 @@
     });
     let ledgers = BTreeMap::from([("quotes".to_owned(), ledger)]);
     let waves = [WaveRecord::new("spring", vec!["quotes".to_owned()])];
-    let sighting = ObservedVm {
+    let observed = ObservedVm {
         live: true,
         boots: 1,
     };
-    let listed = ["vm-0", "vm-1"].map(|vm| (vm.to_owned(), sighting));
+    let listed = ["vm-0", "vm-1"].map(|vm| (vm.to_owned(), observed));
     let listed = BTreeMap::from(listed);
     let snapshot = FleetSnapshot {
         table: &table,
@@ -108,7 +108,7 @@
     let withdrawn = plan.iter().any(|action| {
         matches!(action, FleetAction::WithdrawPermit { target, .. } if target.vm == "vm-0")
     });
-    let begun: Vec<&str> = plan
+    let drained: Vec<&str> = plan
         .iter()
         .filter_map(|action| match action {
             FleetAction::BeginLeave { target, .. } => Some(target.vm.as_str()),
@@ -116,5 +116,5 @@
         })
         .collect();
     assert!(withdrawn, "{plan:?}");
-    assert_eq!(begun, ["vm-1"], "{plan:?}");
+    assert_eq!(drained, ["vm-1"], "{plan:?}");
 }
--- a/crates/hoisthitch-core/tests/ledger.rs
+++ b/crates/hoisthitch-core/tests/ledger.rs
@@ -64,7 +64,7 @@
     leaving: bool,
 }
 
-fn holds(steps: &[Step]) -> bool {
+fn limits_hold(steps: &[Step]) -> bool {
     let mut now = Instant::now();
     let mut ledger = SlotLedger::default();
     ledger.set_eject_cap(EJECT_CAP);
@@ -130,8 +130,8 @@
 }
 
 quickcheck! {
-    fn ledger_keeps_its_bounds(steps: Vec<Step>) -> bool {
-        holds(&steps)
+    fn ledger_keeps_its_limits(steps: Vec<Step>) -> bool {
+        limits_hold(&steps)
     }
 }
 
--- a/crates/hoisthitch-core/tests/permit.rs
+++ b/crates/hoisthitch-core/tests/permit.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    fn holds(&self) -> bool {
+    fn invariants_hold(&self) -> bool {
         let mut leaving = self.hall.vms.iter();
         let covered = leaving
             .all(|found| found.state == AssignmentState::Serving || self.ledger.holds(&found.vm));
@@ -218,7 +218,7 @@
     let mut fleet = Fleet::new();
     steps.into_iter().all(|step| {
         fleet.apply(step);
-        fleet.holds()
+        fleet.invariants_hold()
     })
 }
 
--- a/crates/hoisthitch-core/tests/share.rs
+++ b/crates/hoisthitch-core/tests/share.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn slots_are_not_divided_while_few_are_asked_for() {
+fn slots_are_not_divided_at_low_demand() {
     let demands = [10, 0, 0];
     for own in 0..demands.len() {
         let share = EntryShare::by_demand(&demands, own, 80);
--- a/crates/hoisthitch-core/tests/table.rs
+++ b/crates/hoisthitch-core/tests/table.rs
@@ -37,14 +37,14 @@
 }
 
 quickcheck! {
-    fn any_text_is_read_or_refused(text: String) -> bool {
+    fn any_text_is_parsed_or_refused(text: String) -> bool {
         match serde_json::from_str::<PolicyTable>(&text) {
             Ok(table) => { let _ = table.check(); true }
             Err(_) => true,
         }
     }
 
-    fn damaged_table_is_read_or_refused(at: usize, byte: u8) -> bool {
+    fn damaged_table_is_parsed_or_refused(at: usize, byte: u8) -> bool {
         let mut text = serde_json::to_vec(&table()).unwrap();
         let at = at % text.len();
         text[at] = byte;
@@ -54,7 +54,7 @@
         true
     }
 
-    fn any_cell_is_taken_or_refused(column: String, value: String) -> bool {
+    fn any_cell_is_accepted_or_refused(column: String, value: String) -> bool {
         let row = team(1, 1, 1);
         match row.with_cell(&column, &value) {
             Ok(changed) => changed.name == row.name && changed.revision == row.revision,
@@ -71,7 +71,7 @@
         }
     }
 
-    fn second_edit_on_the_same_reading_is_refused(first: u16, second: u16) -> bool {
+    fn second_edit_of_the_same_revision_is_refused(first: u16, second: u16) -> bool {
         let read = table();
         let weight = |weight: u16| u32::from(weight % 1_000) + 1;
         let mine = RowEdit::PutTeam(team(1, weight(first), 1));
