--- a/crates/hoisthitch-core/src/fleet.rs
+++ b/crates/hoisthitch-core/src/fleet.rs
@@ -89,8 +89,7 @@
         /// Why the VM is drained.
         task: VmTask,
     },
-    /// Assigns a drained VM to another pool. No entry has requests at the VM any
-    /// more when the action is carried out.
+    /// Assigns a drained VM to another pool, once no entry has requests at the VM.
     FinishMove {
         /// Pool that held the VM.
         pool: String,
@@ -99,8 +98,7 @@
         /// Pool that the VM is assigned to.
         to: String,
     },
-    /// Reboots a drained VM. No entry has requests at the VM any more when the
-    /// action is carried out.
+    /// Reboots a drained VM, once no entry has requests at the VM.
     BeginReboot {
         /// The VM.
         target: VmTarget,
@@ -302,7 +300,7 @@
             .is_some_and(|ledger| ledger.holds(&assignment.vm))
     }
 
-    /// Number of further VMs that the availability budget allows to be absent.
+    /// Number of VMs that may still become absent within the availability budget.
     fn absence_headroom(&self) -> usize {
         let none = PermitLedger::default();
         let absent = self.ledger().unwrap_or(&none).absent(&self.lost);
