--- a/crates/hoisthitch-scheduler/src/group.rs
+++ b/crates/hoisthitch-scheduler/src/group.rs
@@ -1,9 +1,12 @@
-//! Which nodes are alive, and which of them owns which pool.
+//! Membership of the group of nodes, and the choice of which node campaigns for which pool.
 //!
-//! A node is alive while its leased record is there. A pool whose owner is not
-//! alive goes to the node that owns the fewest for its processor time; the others step in one
-//! after the other if that one does not. No safety rests on any of this: an
-//! election is a compare-and-swap, and its revision fences all orders.
+//! A node is alive while its leased record exists. A pool whose owner is not alive goes to the
+//! node that owns the fewest pools for its processor time; if that node does not take it, the
+//! others campaign for it one after the other. [`GroupView`] is given the group's records and
+//! returns the pools that this node should campaign for, and the one that it should hand over.
+//!
+//! Safety does not depend on any of this: an election is a compare-and-swap, and the revision of
+//! the election fences all orders.
 
 use std::{
     cmp::Reverse,
@@ -44,75 +47,75 @@
     shared::NodeShared, //
 };
 
-/// Time without renewal after which a node counts as gone. It bounds the time
-/// that a lost owner's pools stand still; the platform takes a second or more.
+/// Lease of a member's record: time without renewal after which a node counts as gone. It bounds
+/// the time for which the pools of a lost owner make no progress; the platform takes a second or
+/// more.
 const MEMBER_TTL: Duration = Duration::from_millis(1_600);
 
-/// Time between two renewals.
-const RENEW_TIME: Duration = Duration::from_millis(400);
+/// Time between two renewals of the lease.
+const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest wait after a renewal that failed: two more fit into the time that the record has.
-const RETRY_MOST: Duration = Duration::from_millis(500);
+/// Longest wait after a failed renewal: two more attempts fit into the lease.
+const MAX_RETRY_WAIT: Duration = Duration::from_millis(500);
 
-/// Renewals in a row without an answer after which a node first makes sure that
-/// it is answered at all. Where only the answers are lost, further renewals would
-/// keep its record alive while it can't do anything for its pools.
-const UNANSWERED_MOST: u32 = 2;
+/// Unanswered renewals in a row after which a node renews only once the store has answered a
+/// read. Where only the answers are lost, further renewals would keep its record alive while it
+/// can't do anything for its pools.
+const MAX_UNANSWERED: u32 = 2;
 
-/// Time in which the group shows a record that was written, in milliseconds: slow
+/// Time within which a written record appears in the group, in milliseconds. It covers slow
 /// answers to the write and to the watch.
-const LISTED_MS: Millis = 1_000;
+const LISTING_TIMEOUT_MS: Millis = 1_000;
 
-/// Time that the next node in order waits for the one before it, in
-/// milliseconds: the time of a takeover with slow answers.
-const STEP_MS: Millis = 1_200;
+/// Time for which the next node in order waits for the one before it, in milliseconds: the
+/// duration of a takeover with slow answers.
+const ELECTION_STEP_MS: Millis = 1_200;
 
-/// Time after trouble with the store, or after the start, in which lapsed
-/// records of living nodes come back, in milliseconds.
+/// Time after a store failure, or after the start, within which living nodes write their lapsed
+/// records again, in milliseconds.
 const SETTLE_MS: Millis = 700;
 
-/// Nodes of each pool that are ready to step in: they follow the runners, whose
-/// records change hundreds of times a second in a large fleet. Others read them
-/// when they step in, if as many nodes are lost at once.
-const STAND_BY: usize = 3;
+/// Standbys of each pool. They follow the runners, whose records change hundreds of times a
+/// second in a large fleet. If that many nodes are lost at once, another node reads the records
+/// only when it takes over.
+const STANDBYS: usize = 3;
 
-/// Parts in which the pools of a node are compared with its power.
-const STRAIN_PARTS: usize = 1_000_000;
+/// Scale of a node's relative load, which is its number of pools per thousandth of a core.
+const LOAD_SCALE: usize = 1_000_000;
 
-/// Strain of an owner over that of another node with one pool more, in halves,
-/// from which on it hands a pool over. A change costs what a planned stop costs,
-/// some tens of milliseconds in which the pool starts nothing; a node of an eighth
-/// of a core is too slow for a hundred runners, one of half a core is not.
-const RELIEF_HALVES: usize = 5;
+/// Ratio at which an owner hands a pool over, in halves: its own relative load to the load that
+/// another node would have with the pool. A handover costs as much as a planned stop, some tens
+/// of milliseconds in which the pool starts nothing. A node with an eighth of a core is too slow
+/// for a hundred runners; one with half a core is not.
+const HANDOVER_RATIO_HALVES: usize = 5;
 
-/// Time for which the group has to be the same before a pool is handed over, in
-/// milliseconds: nodes that are restarted in turn come each one to two seconds.
-const CALM_MS: Millis = 3_000;
+/// Time for which the group has to be unchanged before a pool is handed over, in milliseconds.
+/// In a rolling restart, nodes come back one to two seconds apart.
+const STABLE_MS: Millis = 3_000;
 
-/// Time within which nodes that started count as started together, in milliseconds:
-/// all start within a third of a second, by clocks that differ.
-const START_MS: u64 = 2_000;
+/// Width of the windows in which start times count as equal, in milliseconds. Nodes that start
+/// together do so within a third of a second, by clocks that differ.
+const START_WINDOW_MS: u64 = 2_000;
 
 /// Record of a node that is alive.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct MemberRecord {
-    /// Life of the node.
+    /// Random number of this instance of the node's process.
     #[serde(rename = "life")]
     pub(crate) instance: u64,
     /// Data hall of the node.
     pub(crate) hall: String,
     /// Processor time that the node has, in thousandths of a core.
-    #[serde(default = "usual_power")]
+    #[serde(default = "default_cpu_milli")]
     #[serde(rename = "power")]
     pub(crate) cpu_milli: u64,
-    /// Time of day at which the node started, in milliseconds since 1970; zero where
-    /// it does not tell.
+    /// When the node started, in milliseconds since 1970; zero if the record does not say.
     #[serde(default)]
     pub(crate) started_ms: u64,
 }
 
-/// Power of a node that does not tell, in thousandths of a core.
-fn usual_power() -> u64 {
+/// Processor time of a node whose record does not say, in thousandths of a core.
+fn default_cpu_milli() -> u64 {
     1_000
 }
 
@@ -123,7 +126,7 @@
     pub(crate) revision: StoreRevision,
 }
 
-/// The group as the store shows it.
+/// The group of nodes as the store last showed it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupView {
     /// Nodes that are alive, by name.
@@ -132,32 +135,32 @@
     pub(crate) owners: BTreeMap<String, OwnerEntry>,
     /// When a pool was first seen without a living owner.
     vacant_since: BTreeMap<String, Millis>,
-    /// Lives of the members as last looked at.
+    /// Instances of the members when they were last compared.
     instances: BTreeMap<String, u64>,
-    /// Since when those are the same.
-    same_since: Millis,
+    /// Time since which those instances are unchanged.
+    unchanged_since: Millis,
 }
 
-/// A pool that another node has much more power for.
+/// A pool that this node should hand over to a node with much more capacity for it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct PoolHandover {
     pub(crate) pool: String,
-    /// Pools of this node for its power.
+    /// Relative load of this node.
     pub(crate) load: usize,
     /// The other node.
     pub(crate) node: String,
-    /// What it would have with the pool.
+    /// Relative load that the other node would have with the pool.
     pub(crate) target_load: usize,
 }
 
 impl GroupView {
-    /// Takes in a change.
+    /// Applies a change of the group's records.
     pub(crate) fn take(&mut self, keys: &JobKeys, change: FollowEvent, now: Millis) {
-        self.take_change(keys, change);
+        self.apply_change(keys, change);
         self.note_members(now);
     }
 
-    fn take_change(&mut self, keys: &JobKeys, change: FollowEvent) {
+    fn apply_change(&mut self, keys: &JobKeys, change: FollowEvent) {
         match change {
             FollowEvent::Snapshot(values) => {
                 self.members.clear();
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Whether this life of a node is among those that are alive.
+    /// Whether this instance of a node is a member.
     pub(crate) fn lists(&self, identity: &NodeIdentity) -> bool {
         let member = self.members.get(&identity.node);
         member.is_some_and(|member| member.instance == identity.instance)
@@ -211,8 +214,9 @@
         })
     }
 
-    /// Pools that this node should try to own now, with the revision of their
-    /// last election.
+    /// Pools that this node should try to own now, with the revision of their last election.
+    /// `running` are the pools that it owns or campaigns for already, and `quiet_since` is the time of
+    /// the last store failure.
     pub(crate) fn wanted(
         &mut self,
         pools: &[String],
@@ -224,7 +228,7 @@
         let vacant: Vec<&String> = pools
             .iter()
             .filter(|pool| !running.contains(*pool))
-            .filter(|pool| !self.is_owned(pool) || self.is_own(pool, identity))
+            .filter(|pool| !self.is_owned(pool) || self.names_owner(pool, identity))
             .collect();
         self.vacant_since.retain(|pool, _| vacant.contains(&pool));
         for pool in &vacant {
@@ -233,7 +237,7 @@
         let mut loads = self.loads(pools);
         let mut wanted = Vec::new();
         for pool in vacant {
-            let order = self.order(pool, &loads);
+            let order = self.candidates(pool, &loads);
             if let Some(first) = order.first() {
                 *loads.entry(first.clone()).or_insert(0) += 1;
             }
@@ -242,7 +246,7 @@
                 continue;
             };
             let since = self.vacant_since.get(pool).copied().unwrap_or(now);
-            let due = (since + place * STEP_MS).max(quiet_since + SETTLE_MS);
+            let due = (since + place * ELECTION_STEP_MS).max(quiet_since + SETTLE_MS);
             if now >= due {
                 let revision = self
                     .owners
@@ -254,7 +258,7 @@
         wanted
     }
 
-    /// Notes when the members last changed.
+    /// Records when the members last changed.
     fn note_members(&mut self, now: Millis) {
         let instances = self
             .members
@@ -271,18 +275,17 @@
         self.instances = members
             .map(|(node, member)| (node.clone(), member.instance))
             .collect();
-        self.same_since = now;
+        self.unchanged_since = now;
     }
 
-    /// A pool of this node that it should leave to another one, if the group was
-    /// the same for a while.
+    /// A pool that this node should hand over, if the group has been unchanged for a while.
     pub(crate) fn pick_handover(
         &self,
         pools: &[String],
         identity: &NodeIdentity,
         now: Millis,
     ) -> Option<PoolHandover> {
-        if now < self.same_since + CALM_MS {
+        if now < self.unchanged_since + STABLE_MS {
             return None;
         }
         let loads = self.loads(pools);
@@ -290,13 +293,13 @@
             .get(&identity.node)
             .copied()
             .filter(|load| *load > 0)?;
-        let load = strain_of(own, identity.cpu_milli);
-        let pool = pools.iter().find(|pool| self.is_own(pool, identity))?;
-        let order = self.order(pool, &loads);
+        let load = relative_load(own, identity.cpu_milli);
+        let pool = pools.iter().find(|pool| self.names_owner(pool, identity))?;
+        let order = self.candidates(pool, &loads);
         let node = order.into_iter().find(|node| *node != identity.node)?;
         let cpu_milli = self.members.get(&node)?.cpu_milli;
-        let target_load = strain_of(loads.get(&node).copied().unwrap_or(0) + 1, cpu_milli);
-        (load * 2 >= target_load * RELIEF_HALVES).then(|| PoolHandover {
+        let target_load = relative_load(loads.get(&node).copied().unwrap_or(0) + 1, cpu_milli);
+        (load * 2 >= target_load * HANDOVER_RATIO_HALVES).then(|| PoolHandover {
             pool: pool.clone(),
             load,
             node,
@@ -304,24 +307,24 @@
         })
     }
 
-    /// Whether this node is among the first to step in for some pool.
+    /// Whether this node is a standby of some pool.
     pub(crate) fn is_standby(&self, pools: &[String], node: &str) -> bool {
         let loads = self.loads(pools);
         pools.iter().any(|pool| {
-            let order = self.order(pool, &loads);
-            order.iter().take(STAND_BY).any(|other| other == node)
+            let order = self.candidates(pool, &loads);
+            order.iter().take(STANDBYS).any(|other| other == node)
         })
     }
 
-    /// Whether the records name this node. When it does not run the pool, the
-    /// answer to its election was lost.
-    fn is_own(&self, pool: &str, identity: &NodeIdentity) -> bool {
+    /// Whether the pool's record names this instance of this node. If the node does not run the pool,
+    /// the answer to its election was lost.
+    fn names_owner(&self, pool: &str, identity: &NodeIdentity) -> bool {
         self.owners.get(pool).is_some_and(|entry| {
             entry.record.node == identity.node && entry.record.instance == identity.instance
         })
     }
 
-    /// Pools owned, by living node.
+    /// Number of pools that each living node owns.
     fn loads(&self, pools: &[String]) -> BTreeMap<String, usize> {
         let mut loads: BTreeMap<String, usize> =
             self.members.keys().map(|node| (node.clone(), 0)).collect();
@@ -335,11 +338,11 @@
         loads
     }
 
-    /// Living nodes in the order in which they should step in for a pool: the least
-    /// strained, and among those alike the one that started last. Nodes are restarted in
-    /// turn, and one that was not yet would hand the pool on again, which takes three
+    /// Living nodes in the order in which they should campaign for a pool: by relative load with
+    /// the pool, and at equal load the node that started last first. In a rolling
+    /// restart, a node that was not restarted yet would hand the pool on again, which takes three
     /// seconds where the store is slow.
-    fn order(&self, pool: &str, loads: &BTreeMap<String, usize>) -> Vec<String> {
+    fn candidates(&self, pool: &str, loads: &BTreeMap<String, usize>) -> Vec<String> {
         let mut order: Vec<String> = self.members.keys().cloned().collect();
         order.sort_by_cached_key(|node| {
             let load = loads.get(node).copied().unwrap_or(0);
@@ -347,8 +350,8 @@
             let cpu_milli = member.map_or(1, |member| member.cpu_milli);
             let started_ms = member.map_or(0, |member| member.started_ms);
             (
-                strain_of(load + 1, cpu_milli),
-                Reverse(started_ms / START_MS),
+                relative_load(load + 1, cpu_milli),
+                Reverse(started_ms / START_WINDOW_MS),
                 hash_name(&format!("{pool}/{node}")),
             )
         });
@@ -356,14 +359,16 @@
     }
 }
 
-/// Load of a node for its power, in parts of it.
-fn strain_of(load: usize, cpu_milli: u64) -> usize {
-    load * STRAIN_PARTS / usize::try_from(cpu_milli.max(1)).unwrap_or(1)
+/// Number of pools of a node in relation to its processor time, scaled by [`LOAD_SCALE`].
+fn relative_load(load: usize, cpu_milli: u64) -> usize {
+    load * LOAD_SCALE / usize::try_from(cpu_milli.max(1)).unwrap_or(1)
 }
 
-/// Keeps the node's record alive until the node stops. `listed` tells whether the
-/// group shows it: the record may be taken away, or be overwritten by one that was
-/// written late and goes with an older lease, while its own lease is renewed on.
+/// Keeps the node's record alive until the node stops.
+///
+/// `listed` says whether the group contains the record. The record may be removed, or overwritten
+/// by a late write that belongs to an older lease, while its own lease is still renewed. In that
+/// case a new lease and record are written.
 pub(crate) async fn maintain_membership<S: StoreClient>(
     store: S,
     shared: Arc<NodeShared>,
@@ -372,7 +377,7 @@
     listed: watch::Receiver<bool>,
 ) {
     let mut lease = None;
-    let mut recorded_at = 0;
+    let mut lease_recorded_at = 0;
     let mut unanswered = 0;
     let key = keys.member(&identity.node);
     let record = MemberRecord {
@@ -383,7 +388,7 @@
     };
     while !shared.is_stopping() {
         let sent = shared.clock.now();
-        let listed_by = recorded_at + LISTED_MS + shared.store.added_wait();
+        let listed_by = lease_recorded_at + LISTING_TIMEOUT_MS + shared.store.added_wait();
         if lease.is_some() && !*listed.borrow() && sent >= listed_by {
             event!(
                 Warn,
@@ -393,7 +398,7 @@
             );
             lease = None;
         }
-        match renew_if_heard(&store, &key, &record, lease, unanswered).await {
+        match renew_if_answered(&store, &key, &record, lease, unanswered).await {
             Ok(renewed) => {
                 shared.store.record_success(sent);
                 if unanswered > 0 || lease != renewed {
@@ -405,11 +410,11 @@
                     );
                 }
                 if lease != renewed {
-                    recorded_at = sent;
+                    lease_recorded_at = sent;
                 }
                 unanswered = 0;
                 lease = renewed;
-                tokio::time::sleep(RENEW_TIME).await;
+                tokio::time::sleep(RENEW_INTERVAL).await;
             }
             Err(err) => {
                 shared.store.record_failure(shared.clock.now());
@@ -422,30 +427,31 @@
                     );
                 }
                 unanswered += 1;
-                let wait = shared.store.retry_wait(unanswered).min(RETRY_MOST);
+                let wait = shared.store.retry_wait(unanswered).min(MAX_RETRY_WAIT);
                 tokio::time::sleep(wait).await;
             }
         }
     }
 }
 
-/// Renews the lease; after some renewals without an answer only once the store
-/// has answered a read.
-async fn renew_if_heard<S: StoreClient>(
+/// Renews the lease; after [`MAX_UNANSWERED`] unanswered renewals only once the store has answered
+/// a read.
+async fn renew_if_answered<S: StoreClient>(
     store: &S,
     key: &str,
     record: &MemberRecord,
     lease: Option<LeaseId>,
     unanswered: u32,
 ) -> Result<Option<LeaseId>, StoreError> {
-    if unanswered >= UNANSWERED_MOST {
+    if unanswered >= MAX_UNANSWERED {
         store.read(key).await?;
     }
-    renew(store, key, record, lease).await
+    renew_lease(store, key, record, lease).await
 }
 
-/// Renews the lease, or makes a new one; none where it has just lapsed.
-async fn renew<S: StoreClient>(
+/// Renews the lease, or writes the record under a new one. Returns none where the new lease
+/// lapsed before the record was written.
+async fn renew_lease<S: StoreClient>(
     store: &S,
     key: &str,
     record: &MemberRecord,
@@ -469,7 +475,7 @@
     }
 }
 
-/// Removes the node's record, so that others take its pools at once.
+/// Removes the node's record, so that other nodes take over its pools at once.
 pub(crate) async fn leave_group<S: StoreClient>(
     store: &S,
     keys: &JobKeys,
--- a/crates/hoisthitch-scheduler/src/node.rs
+++ b/crates/hoisthitch-scheduler/src/node.rs
@@ -1,4 +1,11 @@
-//! The control thread of a node.
+//! Control loop of a node.
+//!
+//! [`run_node`] is given the platform, the node's shared state and its identity. It follows the
+//! group of nodes and the records of operators and runners, campaigns for pools without a living
+//! owner, and runs an owner for each pool that it wins. It returns once the node is stopping and
+//! its owners have ended, or the time for that is over.
+//!
+//! Runners are followed only while this node owns a pool or is a standby for one.
 
 use std::{
     collections::BTreeMap,
@@ -56,19 +63,18 @@
     }, //
 };
 
-/// Time between two looks at the group.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of the checks for elections and handovers that no change triggers.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause after a lost election, in which this node hears who won.
+/// Pause after a lost election, in which the winner's record reaches this node.
 const ELECTION_PAUSE: Duration = Duration::from_millis(400);
 
-/// Pause between two looks at what runners write: they write often, and a
-/// change has two seconds to be in force.
+/// Pause between two reads of changes to runners' records. Runners write often, and a change
+/// has two seconds to take effect.
 const RUNNERS_PAUSE: Duration = Duration::from_millis(300);
 
-/// Longest time that a stopping node waits for its owners to write what they
-/// hold.
-const HAND_OVER: Duration = Duration::from_millis(800);
+/// Longest time that a stopping node waits for its owners to write their unsaved state.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(800);
 
 struct NodeControl<P: Platform> {
     platform: P,
@@ -76,13 +82,12 @@
     keys: JobKeys,
     identity: NodeIdentity,
     fleet: Rc<watch::Sender<Arc<FleetView>>>,
-    /// Pools that this node owns or stands for, each with its order to stop.
+    /// Pools that this node owns or campaigns for, each with its stop signal.
     running: BTreeMap<String, watch::Sender<bool>>,
     ended: mpsc::UnboundedSender<String>,
 }
 
-/// Runs the control side of a node until it is told to stop; returns once its
-/// pools are handed over.
+/// Runs the control loop of a node until the node stops, and hands its pools over.
 pub async fn run_node<P: Platform>(
     platform: P,
     shared: Arc<NodeShared>,
@@ -93,30 +98,30 @@
     let codec = platform.codec().clone();
     let watched = shared.clone();
     let follow = |order: FollowOptions| {
-        let (sender, told) = mpsc::unbounded_channel();
+        let (sender, changes) = mpsc::unbounded_channel();
         let follower = follow_prefix(store.clone(), order, watched.clone(), sender);
         actix_rt::spawn(follower);
-        told
+        changes
     };
-    let mut runners = None;
-    let mut changes = follow(FollowOptions {
+    let mut runner_changes = None;
+    let mut group_changes = follow(FollowOptions {
         prefix: keys.group_prefix(),
         pause: FollowPause::ByNodes,
         confirms: FollowProgress::Never,
         retry: FollowRetry::ByNodes,
     });
-    let (shows, listed) = watch::channel(true);
+    let (listed, listed_receiver) = watch::channel(true);
     let member = maintain_membership(
         store.clone(),
         shared.clone(),
         keys.clone(),
         identity.clone(),
-        listed,
+        listed_receiver,
     );
     let member = actix_rt::spawn(member);
     let (fleet, _) = watch::channel(Arc::new(FleetView::default()));
     let fleet = Rc::new(fleet);
-    let mut operators = OperatorWatcher::start(&platform, shared.clone(), fleet.clone());
+    let mut operator_changes = OperatorWatcher::start(&platform, shared.clone(), fleet.clone());
     let (ended, mut ends) = mpsc::unbounded_channel();
     let mut control = NodeControl {
         platform,
@@ -128,38 +133,38 @@
         ended,
     };
     let mut group = GroupView::default();
-    let mut tick = tokio::time::interval(TICK);
-    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut check = tokio::time::interval(CHECK_INTERVAL);
+    check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut is_standby = false;
     while !control.shared.is_stopping() {
-        let mut regroup = false;
+        let mut group_changed = false;
         tokio::select! {
-            Some(()) = operators.recv() => regroup = true,
-            Some(change) = next_change(&mut runners) => control.apply_runner_change(change),
-            Some(change) = changes.recv() => {
+            Some(()) = operator_changes.recv() => group_changed = true,
+            Some(change) = next_change(&mut runner_changes) => control.apply_runner_change(change),
+            Some(change) = group_changes.recv() => {
                 group.take(&control.keys, change, control.shared.clock.now());
                 control.shared.store.note_nodes(group.members.len());
-                shows.send_replace(group.lists(&control.identity));
-                regroup = true;
+                listed.send_replace(group.lists(&control.identity));
+                group_changed = true;
             }
             Some(pool) = ends.recv() => drop(control.running.remove(&pool)),
-            _ = tick.tick() => control.relieve(&group),
+            _ = check.tick() => control.relieve(&group),
         }
         control.elect(&mut group);
-        if regroup {
+        if group_changed {
             let pools = control.fleet.borrow().pools.clone();
             is_standby = group.is_standby(&pools, &control.identity.node);
         }
-        let follows = is_standby || !control.running.is_empty();
-        if follows && runners.is_none() {
+        let needs_runners = is_standby || !control.running.is_empty();
+        if needs_runners && runner_changes.is_none() {
             event!(Info, "runners_followed", node = control.identity.node);
-            runners = Some(follow(FollowOptions {
+            runner_changes = Some(follow(FollowOptions {
                 prefix: codec.runners_prefix(),
                 pause: FollowPause::Fixed(RUNNERS_PAUSE),
                 confirms: FollowProgress::Often,
                 retry: FollowRetry::Short,
             }));
-        } else if !follows && runners.take().is_some() {
+        } else if !needs_runners && runner_changes.take().is_some() {
             event!(Info, "runners_left", node = control.identity.node);
             control.forget_runners();
         }
@@ -173,25 +178,28 @@
             control.running.remove(&pool);
         }
     };
-    if tokio::time::timeout(HAND_OVER, handed_over).await.is_err() {
+    if tokio::time::timeout(HANDOVER_TIMEOUT, handed_over)
+        .await
+        .is_err()
+    {
         event!(Warn, "hand_over_cut_short", pools = control.running.len());
     }
     member.abort();
     leave_group(&store, &control.keys, &control.identity).await;
 }
 
-/// The next change of what is followed; none comes while nothing is.
+/// Waits for the next change; never returns while there is nothing to follow.
 async fn next_change(
-    followed: &mut Option<mpsc::UnboundedReceiver<FollowEvent>>,
+    changes: &mut Option<mpsc::UnboundedReceiver<FollowEvent>>,
 ) -> Option<FollowEvent> {
-    match followed {
+    match changes {
         Some(changes) => changes.recv().await,
         None => std::future::pending().await,
     }
 }
 
 impl<P: Platform> NodeControl<P> {
-    /// Forgets the runners, which are not followed any more.
+    /// Clears the list of runners, which are no longer followed.
     fn forget_runners(&self) {
         update_fleet(&self.fleet, |fleet| {
             fleet.forget_runners();
@@ -217,7 +225,7 @@
         });
     }
 
-    /// Stands for election where this node should.
+    /// Starts a campaign for each pool that this node should try to own now.
     fn elect(&mut self, group: &mut GroupView) {
         let now = self.shared.clock.now();
         if !self.shared.store.is_usable(now) {
@@ -228,7 +236,7 @@
         let running = self.running.keys().cloned().collect();
         let wanted = group.wanted(&pools, &self.identity, &running, quiet_since, now);
         for (pool, revision) in wanted {
-            let (stop, told) = watch::channel(false);
+            let (stop, stop_receiver) = watch::channel(false);
             self.running.insert(pool.clone(), stop);
             let context = OwnerContext {
                 platform: self.platform.clone(),
@@ -237,12 +245,12 @@
                 identity: self.identity.clone(),
                 pool: pool.clone(),
                 fleet: self.fleet.subscribe(),
-                stop: told,
+                stop: stop_receiver,
             };
             let ended = self.ended.clone();
             actix_rt::spawn(async move {
-                stand_for(context, revision).await;
-                // A node that is gone counts no pools.
+                campaign_for_pool(context, revision).await;
+                // Fails only once the control loop has ended.
                 let _ = ended.send(pool);
             });
         }
@@ -250,14 +258,14 @@
 }
 
 impl<P: Platform> NodeControl<P> {
-    /// Hands a pool over that another node has much more power for.
+    /// Hands over a pool for which another node has much more capacity.
     fn relieve(&self, group: &GroupView) {
         let now = self.shared.clock.now();
         let pools = &self.fleet.borrow().pools;
         let Some(handover) = group.pick_handover(pools, &self.identity, now) else {
             return;
         };
-        // One after the other, so that each is weighed against the last.
+        // One pool at a time, so that each decision counts the one before.
         if self.running.values().any(|stop| *stop.borrow()) {
             return;
         }
@@ -275,10 +283,10 @@
     }
 }
 
-/// Tries to become the owner of a pool, and owns it if that succeeds.
-async fn stand_for<P: Platform>(context: OwnerContext<P>, seen: StoreRevision) {
+/// Campaigns for a pool, and owns the pool if that succeeds.
+async fn campaign_for_pool<P: Platform>(context: OwnerContext<P>, seen: StoreRevision) {
     let pool = context.pool.clone();
-    let taken = take_over(
+    let election = take_over(
         context.platform.store(),
         &context.shared,
         &context.keys,
@@ -286,8 +294,8 @@
         &pool,
         seen,
     );
-    match taken.await {
-        Ok(Some(takeover)) => own(context, takeover).await,
+    match election.await {
+        Ok(Some(takeover)) => own_pool(context, takeover).await,
         Ok(None) => tokio::time::sleep(ELECTION_PAUSE).await,
         Err(err) => {
             event!(Warn, "takeover_unclear", pool = pool, error = err);
@@ -296,8 +304,8 @@
     }
 }
 
-/// Owns a pool to the end, and leaves it to another node if this one goes on.
-async fn own<P: Platform>(context: OwnerContext<P>, takeover: PoolTakeover<P::Store>) {
+/// Owns a pool until that ends, and releases it if it was stopped while the node runs on.
+async fn own_pool<P: Platform>(context: OwnerContext<P>, takeover: PoolTakeover<P::Store>) {
     let pool = context.pool.clone();
     let shared = context.shared.clone();
     let store = context.platform.store().clone();
@@ -305,16 +313,16 @@
     let elected = takeover.elected;
     match run_owner(context, takeover).await {
         Ok(OwnerEnd::Stopped) if !shared.is_stopping() => {
-            release(&store, key, elected, &pool).await;
+            release_pool(&store, key, elected, &pool).await;
         }
         Ok(OwnerEnd::Stopped | OwnerEnd::Deposed) => {}
         Err(err) => event!(Error, "pool_not_read", pool = pool, error = err),
     }
 }
 
-/// Removes the record of an owner that goes on as a node, so that others stand for
-/// its pool at once.
-async fn release<S: StoreClient>(store: &S, key: String, elected: StoreRevision, pool: &str) {
+/// Removes an owner's record while its node runs on, so that other nodes campaign for the pool
+/// at once.
+async fn release_pool<S: StoreClient>(store: &S, key: String, elected: StoreRevision, pool: &str) {
     let item = SwapItem {
         key,
         expected: elected,
