--- a/crates/hoisthitch-scheduler/src/follow.rs
+++ b/crates/hoisthitch-scheduler/src/follow.rs
@@ -1,4 +1,8 @@
-//! Follows a part of the store: all of it first, then each change.
+//! Follows the records below a prefix of the store: all of them first, then each change.
+//!
+//! [`follow_prefix`] is given a prefix and where to send events. It resumes after failures, and
+//! sends all records again when a watch was opened anew. It may also confirm up to which time the
+//! events are complete; that time must never be later than what the store has shown.
 
 use std::{
     sync::Arc,
@@ -29,65 +33,65 @@
     }, //
 };
 
-/// Time between two lines on a prefix that can't be followed, in milliseconds:
-/// lines of some dozen nodes stay few, and an outage of seconds shows.
-const TOLD_MS: Millis = 1_000;
+/// Time between two log lines on a prefix that can't be followed, in milliseconds. Some dozen
+/// nodes then log few lines, and an outage of seconds is visible.
+const LOG_INTERVAL_MS: Millis = 1_000;
 
-/// What a follower is told.
+/// What a follower reports.
 #[derive(Clone, Debug)]
 pub(crate) enum FollowEvent {
-    /// Everything there is; what is not in it is gone.
+    /// All records below the prefix; a record that is not among them does not exist.
     Snapshot(Vec<StoredValue>),
     /// A value was written.
     Put(StoredValue),
     /// A value was removed.
     Deleted(String),
-    /// Nothing that was written before this time, of the node's clock, is left to
-    /// tell of.
+    /// All changes made before this time, by the node's clock, have been reported.
     Progress(Millis),
 }
 
-/// What is followed, and how.
+/// What to follow, and how.
 #[derive(Clone, Debug)]
 pub(crate) struct FollowOptions {
-    /// Start of the keys.
+    /// Prefix of the keys.
     pub(crate) prefix: String,
     /// Pause between two waits for changes.
     pub(crate) pause: FollowPause,
-    /// How soon to tell up to when what was told is complete.
+    /// How soon to report up to when the events are complete.
     pub(crate) confirms: FollowProgress,
-    /// Waits after calls that failed.
+    /// Waits after failed calls.
     pub(crate) retry: FollowRetry,
 }
 
-/// How soon a follower is told up to when what it was told is complete.
+/// How soon a follower reports up to when its events are complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum FollowProgress {
     /// Never.
     Never,
-    /// Soon after each change, and now and then.
+    /// Soon after each change, and occasionally without one.
     AfterChange,
     /// Several times a second.
     Often,
 }
 
-/// Waits after calls of a follower that failed.
+/// Waits of a follower after failed calls.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FollowRetry {
-    /// Short ones, for what only a few nodes follow.
+    /// Short waits, for records that only a few nodes follow.
     Short,
-    /// The longer, the more nodes there are: each of them follows.
+    /// Waits that grow with the number of nodes, for records that every node follows.
     ByNodes,
 }
 
-/// Pause between two waits for changes, so that changes which come often share a call.
+/// Pause between two waits for changes, so that frequent changes share a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FollowPause {
-    /// None: each change counts at once.
+    /// No pause: each change is reported at once.
     None,
-    /// So long.
+    /// A pause of this length.
     Fixed(Duration),
-    /// The longer, the more nodes there are: each of them follows, and writes there.
+    /// A pause that grows with the number of nodes, for records that every node follows and
+    /// writes.
     ByNodes,
 }
 
@@ -101,18 +105,18 @@
     }
 }
 
-/// Failures since a prefix could last be followed.
+/// Failures since the prefix was last followed without one.
 #[derive(Clone, Copy, Debug)]
 struct FollowLoss {
-    /// When the first came.
+    /// Time of the first failure.
     since: Millis,
-    /// When a line told of one.
-    told: Millis,
-    /// How many came.
+    /// Time of the last log line on them.
+    logged_at: Millis,
+    /// Number of failures.
     failures: u32,
 }
 
-/// Follows a part of the store until nobody listens.
+/// Follows the records below a prefix until the receiver of the events is closed.
 pub(crate) async fn follow_prefix<S: StoreClient>(
     store: S,
     order: FollowOptions,
@@ -144,24 +148,24 @@
     tokio::time::sleep(wait).await;
 }
 
-/// Counts a failure, and answers with how many there were in a row; tells of the first, and
-/// of those that follow now and then.
+/// Counts a failure and returns how many there were in a row. Logs the first, and further ones at
+/// most once per [`LOG_INTERVAL_MS`].
 fn note_loss(lost: &mut Option<FollowLoss>, prefix: &str, err: &StoreError, now: Millis) -> u32 {
     let Some(loss) = lost else {
         event!(Warn, "follow_lost", prefix = prefix, error = err);
         *lost = Some(FollowLoss {
             since: now,
-            told: now,
+            logged_at: now,
             failures: 1,
         });
         return 1;
     };
     loss.failures = loss.failures.saturating_add(1);
     let failures = loss.failures;
-    if now.saturating_sub(loss.told) < TOLD_MS {
+    if now.saturating_sub(loss.logged_at) < LOG_INTERVAL_MS {
         return failures;
     }
-    loss.told = now;
+    loss.logged_at = now;
     event!(
         Warn,
         "follow_failing",
@@ -173,10 +177,10 @@
     failures
 }
 
-/// Tells of the end of the failures, if there were any.
+/// Logs the end of the failures, if there were any.
 fn note_regained(lost: &mut Option<FollowLoss>, prefix: &str, change: &WatchEvent, now: Millis) {
     if let Some(loss) = lost.take() {
-        // None where the watch goes on.
+        // A watch that was resumed has no list of all values.
         let values = match change {
             WatchEvent::Snapshot(all) => all.len(),
             _ => 0,
@@ -192,34 +196,36 @@
     }
 }
 
-/// For how long the VM may have been suspended since a call of a watch was sent, whose time
-/// is told by the steady clock.
-struct AwakeMark {
-    /// The last such call.
+/// Measures for how long this node's VM may have been suspended since a call of a watch was sent.
+/// The time of the call is read from the monotonic clock, which stands still during a suspension.
+struct SuspendMeter {
+    /// Time of the last measured call.
     call: Option<Instant>,
-    /// Time slept before it, and before what was last taken in, in milliseconds.
+    /// Total suspended time, in milliseconds, as measured before that call.
     before_call: Millis,
-    before_last: Millis,
+    /// Total suspended time, in milliseconds, at the last measurement.
+    at_last: Millis,
 }
 
-impl AwakeMark {
-    fn now(clock: &NodeClock) -> Self {
+impl SuspendMeter {
+    fn start(clock: &NodeClock) -> Self {
         let slept = clock.suspended_ms();
         Self {
             call: None,
             before_call: slept,
-            before_last: slept,
+            at_last: slept,
         }
     }
 
-    /// Time slept since the call that was sent at `at`, or a little before.
-    fn slept_since(&mut self, at: Instant, clock: &NodeClock) -> Millis {
+    /// Time, in milliseconds, for which the VM was suspended since the call that was sent at `at`,
+    /// or since a little before it.
+    fn suspended_since(&mut self, at: Instant, clock: &NodeClock) -> Millis {
         let slept = clock.suspended_ms();
         if self.call != Some(at) {
             self.call = Some(at);
-            self.before_call = self.before_last;
+            self.before_call = self.at_last;
         }
-        self.before_last = slept;
+        self.at_last = slept;
         slept - self.before_call
     }
 }
@@ -242,7 +248,7 @@
     lost: &mut Option<FollowLoss>,
 ) -> Result<(), StoreError> {
     let prefix = order.prefix.as_str();
-    let mut awake = AwakeMark::now(&shared.clock);
+    let mut suspends = SuspendMeter::start(&shared.clock);
     let mut watch = store.watch(prefix, StoreRevision::default()).await?;
     while let Some(change) = next_change(&mut watch, order.confirms).await {
         let change = match change {
@@ -258,7 +264,7 @@
             change => change,
         };
         note_regained(lost, prefix, &change, shared.clock.now());
-        let told = match change {
+        let sent = match change {
             WatchEvent::Snapshot(all) => events.send(FollowEvent::Snapshot(all)),
             WatchEvent::Put(stored) => {
                 if order.confirms == FollowProgress::AfterChange {
@@ -269,7 +275,7 @@
             WatchEvent::Delete { key, .. } => events.send(FollowEvent::Deleted(key)),
             WatchEvent::Created | WatchEvent::Unchanged => Ok(()),
         };
-        if told.is_err() {
+        if sent.is_err() {
             break;
         }
         if order.confirms != FollowProgress::Never
@@ -277,9 +283,9 @@
             && let Some(at) = watch.complete_as_of()
         {
             let age = Millis::try_from(at.elapsed().as_millis()).unwrap_or(Millis::MAX);
-            let slept = awake.slept_since(at, &shared.clock);
-            let at = shared.clock.now().saturating_sub(age + slept);
-            // Whoever listens no more is seen at the next change.
+            let suspended = suspends.suspended_since(at, &shared.clock);
+            let at = shared.clock.now().saturating_sub(age + suspended);
+            // A closed receiver is noticed at the next change.
             let _ = events.send(FollowEvent::Progress(at));
         }
         let pause = order.pause.length(&shared.store);
--- a/crates/hoisthitch-scheduler/src/shared.rs
+++ b/crates/hoisthitch-scheduler/src/shared.rs
@@ -1,4 +1,8 @@
-//! What the threads of a node share.
+//! State that the threads of a node share: its clock, the configuration in effect, the health of
+//! its store calls, and how current its view of the store is.
+//!
+//! A node answers requests by the configuration, and starts tasks by its list of runners, only
+//! while the [`ViewLease`] of each is valid.
 
 use std::{
     sync::{
@@ -26,87 +30,88 @@
     platform::FleetPolicy, //
 };
 
-/// Time without a successful call after which the store counts as lost, in
-/// milliseconds: longer than its slowest answers, shorter than a caller waits.
+/// Time without a successful call after which the store counts as lost, in milliseconds: longer
+/// than its slowest answers, shorter than a caller waits.
 const STORE_LOST_MS: Millis = 1_800;
 
-/// Nodes that may ask the store at will; each further one adds to what all of them wait, for
-/// the store answers so many calls a second to all of them together.
-const FREE_NODES: u32 = 40;
+/// Number of nodes up to which waits for the store don't grow. Each further node adds to the
+/// waits of all, since the store limits the calls per second of all nodes together.
+const UNTHROTTLED_NODES: u32 = 40;
 
-/// Wait after the first call of the store that failed; it doubles with each.
+/// Wait after the first failed call to the store; it doubles with each further one.
 pub(crate) const RETRY_WAIT: Duration = Duration::from_millis(150);
 
-/// What each node beyond those that are free adds to the longest such wait, in milliseconds,
-/// and that wait while the group is not known.
-const RETRY_EACH_MS: Millis = 8;
-const RETRY_UNKNOWN: Duration = Duration::from_millis(600);
+/// What each node above [`UNTHROTTLED_NODES`] adds to the longest such wait, in milliseconds.
+const RETRY_WAIT_PER_NODE_MS: Millis = 8;
 
-/// What each of them adds to the pause between two waits for changes of the group: all
-/// nodes are woken by each change, and their number brings as many more of them.
-const PAUSE_EACH: Duration = Duration::from_millis(2);
+/// Longest such wait while the size of the group is not known.
+const MAX_RETRY_WAIT_UNKNOWN_GROUP: Duration = Duration::from_millis(600);
 
-/// When calls to the store last succeeded and failed, and how many nodes call it.
+/// What each node above [`UNTHROTTLED_NODES`] adds to the pause between two waits for changes of
+/// the group. Each change wakes all nodes, and more nodes also make more changes.
+const GROUP_PAUSE_PER_NODE: Duration = Duration::from_millis(2);
+
+/// When calls to the store last succeeded and failed, and how many nodes call the store.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     succeeded: AtomicU64,
     failed: AtomicU64,
-    /// Nodes of the group as last seen; zero while it was not.
+    /// Number of nodes in the group as last seen; zero before it was seen.
     nodes: AtomicU32,
 }
 
 impl StoreHealth {
-    /// Notes that a call sent at `at` succeeded.
+    /// Records that a call sent at `at` succeeded.
     pub fn record_success(&self, at: Millis) {
         self.succeeded.fetch_max(at, Ordering::Relaxed);
     }
 
-    /// Notes that a call failed at `at`.
+    /// Records that a call failed at `at`.
     pub fn record_failure(&self, at: Millis) {
         self.failed.fetch_max(at, Ordering::Relaxed);
     }
 
-    /// Whether the store could be used of late.
+    /// Whether a call to the store succeeded recently.
     pub fn is_usable(&self, now: Millis) -> bool {
         self.succeeded.load(Ordering::Relaxed) + STORE_LOST_MS > now
     }
 
-    /// Notes how many nodes the group has.
+    /// Records how many nodes the group has.
     pub(crate) fn note_nodes(&self, nodes: usize) {
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
         self.nodes.store(nodes, Ordering::Relaxed);
     }
 
-    /// Nodes beyond those that may ask at will.
+    /// Number of nodes above [`UNTHROTTLED_NODES`].
     fn further_nodes(&self) -> u32 {
         self.nodes
             .load(Ordering::Relaxed)
-            .saturating_sub(FREE_NODES)
+            .saturating_sub(UNTHROTTLED_NODES)
     }
 
     /// What the number of nodes adds to the longest wait for the store, in milliseconds.
     pub(crate) fn added_wait(&self) -> Millis {
-        RETRY_EACH_MS * Millis::from(self.further_nodes())
+        RETRY_WAIT_PER_NODE_MS * Millis::from(self.further_nodes())
     }
 
-    /// Wait after so many calls in a row that failed: nodes that are turned away together
-    /// would otherwise come again together, and be turned away again.
+    /// Wait after this many failed calls in a row: an exponential backoff with jitter. Without the
+    /// jitter, nodes that are refused together would retry together and be refused again.
     pub(crate) fn retry_wait(&self, failures: u32) -> Duration {
-        let most = if self.nodes.load(Ordering::Relaxed) == 0 {
-            RETRY_UNKNOWN
+        let longest = if self.nodes.load(Ordering::Relaxed) == 0 {
+            MAX_RETRY_WAIT_UNKNOWN_GROUP
         } else {
             RETRY_WAIT + Duration::from_millis(self.added_wait())
         };
         let doubled = RETRY_WAIT.saturating_mul(1 << failures.saturating_sub(1).min(8));
-        if most <= RETRY_WAIT || doubled <= RETRY_WAIT {
+        if longest <= RETRY_WAIT || doubled <= RETRY_WAIT {
             return RETRY_WAIT;
         }
-        doubled.min(most).mul_f64(rand::random_range(0.6..1.0))
+        doubled.min(longest).mul_f64(rand::random_range(0.6..1.0))
     }
 
     /// Pause between two waits for changes of the group.
     pub(crate) fn group_pause(&self) -> Duration {
-        PAUSE_EACH.saturating_mul(self.further_nodes())
+        GROUP_PAUSE_PER_NODE.saturating_mul(self.further_nodes())
     }
 
     /// When a call last failed.
@@ -115,75 +120,78 @@
     }
 }
 
-/// The right to act on what the store was last seen to hold: for a time after it last
-/// showed that nothing newer was there. Waits for the store each have a limit, and what
-/// they add up to has none; so the age of what is known is what counts.
+/// The right to act on a view of the store's records. It is valid for some time after the store
+/// last confirmed that the view is complete.
+///
+/// It goes by the age of the view and not by timeouts, since each wait for the store has a limit
+/// but the sum of the waits has none.
 #[derive(Debug)]
 pub struct ViewLease {
-    /// How long it lasts, in milliseconds.
-    hold: Millis,
-    /// Time, of the node's clock, before which no change was made that is not known; zero
-    /// while nothing is known.
-    complete: AtomicU64,
+    /// How long it is valid after a confirmation, in milliseconds.
+    duration_ms: Millis,
+    /// Time, by the node's clock, up to which all changes are in the view; zero before the first
+    /// confirmation.
+    complete_until: AtomicU64,
 }
 
 impl ViewLease {
-    /// A lease that lasts for a time after each confirmation.
-    fn new(hold: Duration) -> Self {
+    /// A lease that is valid for this time after each confirmation.
+    fn new(duration: Duration) -> Self {
         Self {
-            hold: Millis::try_from(hold.as_millis()).unwrap_or(Millis::MAX),
-            complete: AtomicU64::new(0),
+            duration_ms: Millis::try_from(duration.as_millis()).unwrap_or(Millis::MAX),
+            complete_until: AtomicU64::new(0),
         }
     }
 
-    /// Takes in that all changes made before `at` are known.
+    /// Records the confirmation that all changes made before `at` are in the view.
     pub(crate) fn renew(&self, at: Millis) {
-        self.complete.fetch_max(at, Ordering::Release);
+        self.complete_until.fetch_max(at, Ordering::Release);
     }
 
-    /// Time since which a change may have been made that is not known.
+    /// Age of the view: changes made within this time may be missing from it.
     pub(crate) fn age(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.complete.load(Ordering::Acquire))
+        now.saturating_sub(self.complete_until.load(Ordering::Acquire))
     }
 
-    /// The same; none while nothing is known.
+    /// Age of the view; none before the first confirmation.
     pub(crate) fn known_age(&self, now: Millis) -> Option<Millis> {
-        let is_known = self.complete.load(Ordering::Acquire) > 0;
+        let is_known = self.complete_until.load(Ordering::Acquire) > 0;
         is_known.then(|| self.age(now))
     }
 
-    /// Whether what is known may be acted on.
+    /// Whether the view may be acted on.
     pub(crate) fn is_valid(&self, now: Millis) -> bool {
-        self.age(now) <= self.hold
+        self.age(now) <= self.duration_ms
     }
 }
 
-/// For how long a node acts on what it knows of the store without a confirmation.
+/// For how long a node acts on a view of the store's records without a confirmation.
 #[derive(Clone, Copy, Debug)]
 pub struct StalenessLimits {
-    /// On the configuration.
+    /// Time for the configuration.
     pub policy: Duration,
-    /// On the list of runners.
+    /// Time for the list of runners.
     pub runners: Duration,
 }
 
-/// The configuration, as a request may be answered by it.
+/// The configuration by which a request may be answered now.
 #[derive(Clone, Debug)]
 pub enum PolicyStatus {
     /// There is none yet.
     Missing,
-    /// There may be a newer one, for too long.
+    /// The known one was not confirmed for too long: there may be a newer one.
     Unconfirmed {
         /// Version that is known.
         version: u64,
-        /// Time since which a newer one may be in force, in milliseconds.
+        /// Time, in milliseconds, within which a newer one may have come into effect.
         age_ms: Millis,
     },
-    /// It is in force.
+    /// The known one is in effect.
     Current(Arc<FleetPolicy>),
 }
 
-/// A version of the configuration that this node was told of and may not have.
+/// Request to read the configuration again, for a version that this node has learned of and may
+/// not have.
 #[derive(Debug, Default)]
 pub(crate) struct PolicyRefresh {
     version: AtomicU64,
@@ -191,44 +199,44 @@
 }
 
 impl PolicyRefresh {
-    /// Waits until a version is asked for that is newer than those before.
+    /// Waits until a version is requested that is newer than all before, and returns it.
     pub(crate) async fn raised(&self) -> u64 {
         self.raised.notified().await;
         self.version.load(Ordering::Relaxed)
     }
 }
 
-/// State that all threads of a node see.
+/// State that all threads of a node share.
 #[derive(Debug)]
 pub struct NodeShared {
     /// The node's clock.
     pub clock: NodeClock,
-    /// Configuration in force.
+    /// The configuration in effect.
     pub policy: ArcSwapOption<FleetPolicy>,
-    /// The store as this node sees it.
+    /// Health of this node's calls to the store.
     pub store: StoreHealth,
-    /// Whether the node was told to stop.
+    /// Whether the node is stopping.
     pub stopping: AtomicBool,
     /// Metrics.
     pub metrics: NodeMetrics,
-    /// For how long the node may answer by it.
+    /// Whether the node may still answer by its configuration.
     pub(crate) policy_lease: ViewLease,
-    /// For how long the node may start tasks by its list of runners.
+    /// Whether the node may still start tasks by its list of runners.
     pub(crate) runner_list_lease: ViewLease,
-    /// Version of the configuration that is to be read at once.
+    /// Request to read the configuration at once.
     pub(crate) policy_refresh: PolicyRefresh,
-    /// Leave to ask an adviser, which serves one call of a node at a time.
+    /// Permit to call the adviser, which serves one call of a node at a time.
     pub(crate) advice_permit: Semaphore,
 }
 
 impl NodeShared {
-    /// State of a node that starts, and that acts on what it knows of the store for those
-    /// times after it was last confirmed.
+    /// State of a node that starts. `holds` says for how long it acts on its views of the store
+    /// after they were last confirmed.
     pub fn new(metrics: NodeMetrics, holds: StalenessLimits) -> Arc<Self> {
         Self::with_clock(metrics, holds, NodeClock::start())
     }
 
-    /// State of a node that starts, with a clock.
+    /// State of a node that starts, with a given clock.
     pub fn with_clock(metrics: NodeMetrics, holds: StalenessLimits, clock: NodeClock) -> Arc<Self> {
         Arc::new(Self {
             clock,
@@ -243,14 +251,15 @@
         })
     }
 
-    /// The configuration by which a request is to be answered now.
+    /// The configuration by which a request is to be answered now, or why there is none.
     pub fn policy_status(&self) -> PolicyStatus {
-        // The age first: it tells of the configuration of this moment or an older one.
+        // The age is read first: it then belongs to the configuration that is loaded next or to an
+        // older one, never to a newer one.
         let age_ms = self.policy_lease.age(self.clock.now());
         let Some(policy) = self.policy.load_full() else {
             return PolicyStatus::Missing;
         };
-        if age_ms > self.policy_lease.hold {
+        if age_ms > self.policy_lease.duration_ms {
             return PolicyStatus::Unconfirmed {
                 version: policy.version,
                 age_ms,
@@ -259,14 +268,14 @@
         PolicyStatus::Current(policy)
     }
 
-    /// Version of the configuration in force; zero before the first.
+    /// Version of the configuration in effect; zero before the first.
     pub fn policy_version(&self) -> u64 {
         let policy = self.policy.load();
         policy.as_ref().map_or(0, |policy| policy.version)
     }
 
-    /// Has the configuration read at once, unless it is as new as that version or was
-    /// asked for before.
+    /// Requests that the configuration is read at once, unless the known one is at least as new as
+    /// `version` or that version was requested before.
     pub(crate) fn request_policy_refresh(&self, version: u64) {
         if version <= self.policy_version() {
             return;
@@ -281,12 +290,12 @@
         }
     }
 
-    /// Whether the node was told to stop.
+    /// Whether the node is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether new callers should come to this node.
+    /// Whether new callers should be sent to this node.
     pub fn is_ready(&self) -> bool {
         let now = self.clock.now();
         let serves = matches!(self.policy_status(), PolicyStatus::Current(_));
