--- a/crates/hoisthitch-scheduler/src/fleet.rs
+++ b/crates/hoisthitch-scheduler/src/fleet.rs
@@ -1,4 +1,7 @@
-//! Operators' and runners' records, as a node last saw them.
+//! A node's view of the records that operators and runners write to the store.
+//!
+//! [`FleetView`] is given the changes of these records and keeps the latest state of each. The
+//! control loop changes it through [`update_fleet`]; owners of pools read it.
 
 use std::{
     collections::{
@@ -27,37 +30,37 @@
     }, //
 };
 
-/// Operators' and runners' records, as last seen.
+/// Operators' and runners' records as this node last saw them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetView {
-    /// Runners by name, as they were last written.
+    /// Runners by name, as last written.
     pub(crate) runners: HashMap<String, RunnerRecord>,
-    /// Policies by queue.
+    /// Queue policies by name of the queue.
     pub(crate) policies: HashMap<String, QueuePolicy>,
     /// Pools.
     pub(crate) pools: Vec<String>,
     /// Waves by number.
     pub(crate) waves: BTreeMap<u64, WaveRequest>,
-    /// Whether the runners are listed; only nodes that own pools, or are the next
-    /// to, follow them.
+    /// Whether the list of runners was read; only nodes that own pools, or are standbys, follow
+    /// it.
     pub(crate) listed: bool,
-    /// Lives of runners that were listed while they were followed, by address and
-    /// by VM, and when they first were.
+    /// Instances of runners that were listed since the list is followed, by address and by VM,
+    /// and when each was first listed.
     instances: HashMap<String, BTreeMap<RunnerInstance, Millis>>,
 }
 
-/// Another runner's life at a runner's place.
+/// An instance of another runner at the same address or on the same VM.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct ConflictingInstance {
-    /// The life.
+    /// The instance.
     pub(crate) instance: RunnerInstance,
-    /// When it was first listed here.
+    /// When this node first saw it listed.
     pub(crate) listed_at: Millis,
 }
 
 impl FleetView {
-    /// Takes in what runners wrote; answers whether it changes anything. `age` is the longest
-    /// time that the change was under way, where that is known.
+    /// Applies a change of runners' records and returns whether the view changed. `age` is an
+    /// upper bound of the time since the record was written, where one is known.
     pub(crate) fn apply_runner_change<C: FleetCodec>(
         &mut self,
         codec: &C,
@@ -69,7 +72,7 @@
             FollowEvent::Snapshot(mut values) => {
                 self.runners.clear();
                 self.listed = true;
-                // A later record at the same address is that of a later life.
+                // A later record at the same address is that of a later instance.
                 values.sort_by_key(|value| value.revision);
                 for value in &values {
                     self.put_runner(codec, value, None, now);
@@ -85,14 +88,14 @@
         }
     }
 
-    /// Forgets the runners, which are not followed any more.
+    /// Clears the list of runners, which is no longer followed.
     pub(crate) fn forget_runners(&mut self) {
         self.runners.clear();
         self.instances.clear();
         self.listed = false;
     }
 
-    /// Takes a runner off the list; answers whether it was there.
+    /// Removes a runner from the list and returns whether it was there.
     fn remove_runner(&mut self, name: &str) -> bool {
         let Some(record) = self.runners.remove(name) else {
             return false;
@@ -101,7 +104,7 @@
         true
     }
 
-    /// Takes in a runner's record; answers whether it changes anything.
+    /// Applies a runner's record and returns whether the view changed.
     fn put_runner<C: FleetCodec>(
         &mut self,
         codec: &C,
@@ -131,7 +134,7 @@
             draining = record.facts.draining,
             age_ms = age.map_or_else(|| "unknown".to_owned(), |age| age.to_string())
         );
-        for place in places_of(&record) {
+        for place in locations_of(&record) {
             let instances = self.instances.entry(place).or_default();
             instances.entry(record.facts.instance()).or_insert(now);
         }
@@ -139,14 +142,15 @@
         true
     }
 
-    /// Lives of other runners that were listed at the address or on the VM of a runner.
-    /// Which of them came last no record tells: one of a dead life may be
-    /// written late. While the runner answers, all that were listed before are over.
+    /// Instances of other runners that were listed at the address or on the VM of a runner.
+    ///
+    /// The records don't show which instance is the latest, since the record of an ended one may
+    /// be written late. But while the runner answers, all that were listed before have ended.
     pub(crate) fn conflicting_instances(&self, name: &str) -> BTreeSet<ConflictingInstance> {
         let Some(record) = self.runners.get(name) else {
             return BTreeSet::new();
         };
-        let places = places_of(record);
+        let places = locations_of(record);
         let instances = places
             .filter_map(|place| self.instances.get(&place))
             .flatten();
@@ -159,8 +163,8 @@
             .collect()
     }
 
-    /// When the life that is listed under a name was first listed here, where an earlier
-    /// life of that name was listed before it.
+    /// When this node first saw the instance that is listed under a name, if an earlier instance
+    /// of that name was listed before it.
     pub(crate) fn restarted_at(&self, name: &str) -> Option<Millis> {
         let record = self.runners.get(name)?;
         let instance = record.facts.instance();
@@ -173,13 +177,13 @@
         renews.then_some(listed_at)
     }
 
-    /// Whether a runner has said that it leaves, or is listed no more.
+    /// Whether a runner is draining or no longer listed.
     pub(crate) fn is_departing(&self, name: &str) -> bool {
         let record = self.runners.get(name);
         record.is_none_or(|record| record.facts.draining)
     }
 
-    /// The life that is listed under a name.
+    /// The instance that is listed under a name.
     pub(crate) fn instance_of(&self, name: &str) -> RunnerInstance {
         let record = self.runners.get(name);
         record.map_or_else(
@@ -189,7 +193,7 @@
     }
 }
 
-/// Changes the view; those who follow it hear of it if `change` says so.
+/// Changes the view. Its watchers are notified if `change` returns true.
 pub(crate) fn update_fleet(
     fleet: &watch::Sender<Arc<FleetView>>,
     change: impl FnOnce(&mut FleetView) -> bool,
@@ -197,8 +201,8 @@
     fleet.send_if_modified(|fleet| change(Arc::make_mut(fleet)));
 }
 
-/// Where a runner is: its address and its VM.
-fn places_of(record: &RunnerRecord) -> impl Iterator<Item = String> {
+/// The address and the VM of a runner, as far as they are known.
+fn locations_of(record: &RunnerRecord) -> impl Iterator<Item = String> {
     let places = [record.address.to_string(), record.facts.vm.clone()];
     places.into_iter().filter(|place| !place.is_empty())
 }
--- a/crates/hoisthitch-scheduler/src/operators.rs
+++ b/crates/hoisthitch-scheduler/src/operators.rs
@@ -1,8 +1,8 @@
-//! Keeps what operators write: the configuration in force, and the waves.
+//! Follows the operators' records: puts each newer configuration into effect on this node, and
+//! adds the requested waves to the [`FleetView`].
 //!
-//! It goes on for as long as the process does. A node that was told to stop gives
-//! its pools away, and serves the connections that its callers have open for seconds
-//! more: by the configuration of that moment.
+//! It runs for as long as the process does. A node that stops hands over its pools and then serves
+//! its callers' open connections for some seconds more, by the configuration of that moment.
 
 use std::{
     rc::Rc,
@@ -45,8 +45,8 @@
     shared::NodeShared, //
 };
 
-/// Follows the operators' records, and reads them anew where this node is told of a
-/// version that it has not heard of by itself.
+/// Follows the operators' records, and reads all of them again when this node learns of a version
+/// that has not reached it yet.
 async fn follow_operators<S: StoreClient>(
     store: S,
     prefix: String,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Takes in what operators write.
+/// Applies the operators' records to the node's state.
 pub(crate) struct OperatorWatcher<C> {
     codec: C,
     shared: Arc<NodeShared>,
@@ -81,8 +81,8 @@
 }
 
 impl<C: FleetCodec> OperatorWatcher<C> {
-    /// Starts to follow the operators' records; the receiver hears of each change
-    /// once it is taken in.
+    /// Starts to follow the operators' records. The returned receiver gets a message after each
+    /// change that was applied.
     pub(crate) fn start<P>(
         platform: &P,
         shared: Arc<NodeShared>,
@@ -103,32 +103,32 @@
             shared,
             sender,
         ));
-        let (taken, hears) = mpsc::unbounded_channel();
+        let (applied, applied_receiver) = mpsc::unbounded_channel();
         actix_rt::spawn(async move {
             while let Some(change) = changes.recv().await {
                 let is_change = !matches!(change, FollowEvent::Progress(_));
-                keeper.take_operators(change);
+                keeper.apply_change(change);
                 if is_change {
-                    // The configuration is kept on when nobody owns pools here any more.
-                    let _ = taken.send(());
+                    // The control loop may have ended; the configuration is still followed.
+                    let _ = applied.send(());
                 }
             }
         });
-        hears
+        applied_receiver
     }
 
-    fn take_operators(&self, change: FollowEvent) {
+    fn apply_change(&self, change: FollowEvent) {
         match change {
             FollowEvent::Snapshot(values) => {
-                values.iter().for_each(|value| self.take_operator(value))
+                values.iter().for_each(|value| self.apply_record(value))
             }
-            FollowEvent::Put(value) => self.take_operator(&value),
+            FollowEvent::Put(value) => self.apply_record(&value),
             FollowEvent::Deleted(key) => event!(Warn, "operators_key_gone", key = key),
             FollowEvent::Progress(at) => self.shared.policy_lease.renew(at),
         }
     }
 
-    fn take_operator(&self, value: &StoredValue) {
+    fn apply_record(&self, value: &StoredValue) {
         match self.codec.parse_policy(&value.key, &value.value) {
             Some(Ok(policy)) => self.apply_policy(policy, value.revision),
             Some(Err(err)) => event!(
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Puts a configuration in force, unless it is older than the one there.
+    /// Puts a configuration into effect if its version is higher than that of the current one.
     fn apply_policy(&self, policy: FleetPolicy, revision: StoreRevision) {
         let current = self.shared.policy.load();
         if current
--- a/crates/hoisthitch-scheduler/src/policy.rs
+++ b/crates/hoisthitch-scheduler/src/policy.rs
@@ -1,4 +1,8 @@
-//! The operators' configuration: queues, the pools that serve them, and limits.
+//! The operators' configuration: the queues, the pools that run their jobs, the teams of callers
+//! and the limits.
+//!
+//! [`FleetPolicy`] is made from an operators' record and never changes. For each request it finds
+//! the queue and the caller's team. [`PolicyChange`] compares two versions for the log.
 
 use std::collections::{
     BTreeMap,
@@ -16,8 +20,8 @@
     }, //
 };
 
-/// Names of queues that a line on a change gives of each kind; the rest is counted.
-const NAMES_TOLD: usize = 3;
+/// Number of names that a log line on a change lists of each kind; the others are only counted.
+const LOGGED_NAMES: usize = 3;
 
 /// A queue as the operators configured it.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,13 +30,13 @@
     pub name: String,
     /// Host that callers name.
     pub host: String,
-    /// Start of the path that callers name.
+    /// Prefix of the path that callers name.
     pub prefix: String,
     /// Pool that runs the queue's jobs.
     pub pool: String,
-    /// Policy.
+    /// Policy of the queue's jobs.
     pub policy: QueuePolicy,
-    /// Whether anyone may call it, without a key.
+    /// Whether anyone may call it without a key.
     pub anonymous: bool,
 }
 
@@ -48,7 +52,7 @@
 /// The operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetPolicy {
-    /// Version; rises with each change.
+    /// Version; it increases with each change.
     pub version: u64,
     /// Pools.
     pub pools: Vec<PoolPolicy>,
@@ -56,12 +60,12 @@
     pub body_limit: usize,
     queues: Vec<QueueRoute>,
     index: QueueIndex,
-    /// Teams of callers; none where callers are not told apart.
+    /// Teams of callers; none where callers need no key.
     teams: Option<TeamTable>,
 }
 
 impl FleetPolicy {
-    /// A configuration.
+    /// A configuration without teams of callers.
     pub fn new(
         version: u64,
         queues: Vec<QueueRoute>,
@@ -78,22 +82,22 @@
         }
     }
 
-    /// The same, with callers told apart by their teams' keys.
+    /// The same configuration, where callers are identified by their teams' keys.
     pub fn with_teams(mut self, teams: TeamTable) -> Self {
         self.teams = Some(teams);
         self
     }
 
-    /// Teams of callers; none where callers are not told apart.
+    /// Teams of callers; none where callers need no key.
     pub fn teams(&self) -> Option<&TeamTable> {
         self.teams.as_ref()
     }
 
-    /// Tells who calls a queue with a key, or without one.
+    /// Identifies the team that calls a queue by its key, if it has one.
     ///
     /// # Errors
     ///
-    /// Fails where the queue is for teams, and the key is of none.
+    /// Fails if the queue needs a key of a team and there is none, or an unknown one.
     pub fn authenticate(
         &self,
         queue: &QueueRoute,
@@ -116,13 +120,13 @@
         &self.queues
     }
 
-    /// The queue that a request is for, with what follows the queue's prefix.
+    /// The queue that a request is for, and the rest of the path after the queue's prefix.
     pub fn find_queue<'a>(&self, host: &str, path: &'a str) -> Option<(&QueueRoute, &'a str)> {
         let (place, rest) = self.index.find(host, path)?;
         Some((self.queues.get(place)?, rest))
     }
 
-    /// Policies by name of the queue.
+    /// Queue policies by name of the queue.
     pub fn policies(&self) -> HashMap<String, QueuePolicy> {
         self.queues
             .iter()
@@ -131,23 +135,23 @@
     }
 }
 
-/// What a configuration changes of an earlier one.
+/// What a configuration changes compared with an earlier one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct PolicyChange {
-    /// Queues that are new, by name.
+    /// Names of queues that are new.
     pub(crate) added: Vec<String>,
-    /// Queues that are gone.
+    /// Names of queues that were removed.
     pub(crate) dropped: Vec<String>,
-    /// Queues that are found elsewhere, or that another pool serves.
+    /// Names of queues with another host, prefix or pool.
     pub(crate) moved: Vec<String>,
-    /// Keys of teams that are new.
+    /// Number of teams' keys that are new.
     pub(crate) keys_added: usize,
-    /// Keys of teams that are gone.
+    /// Number of teams' keys that were removed.
     pub(crate) keys_dropped: usize,
 }
 
 impl PolicyChange {
-    /// What `new` changes of `old`, which had no queues where there was none.
+    /// What `new` changes compared with `old`; without `old`, all queues and keys are new.
     pub(crate) fn between(old: Option<&FleetPolicy>, new: &FleetPolicy) -> Self {
         let none = TeamTable::default();
         let before = old.and_then(FleetPolicy::teams).unwrap_or(&none);
@@ -157,7 +161,7 @@
         let names = |names: Vec<&&str>| names.into_iter().map(|name| (*name).to_owned()).collect();
         let moved = new.iter().filter(|(name, queue)| {
             let before = old.get(*name);
-            before.is_some_and(|before| place_of(before) != place_of(queue))
+            before.is_some_and(|before| endpoint_of(before) != endpoint_of(queue))
         });
         Self {
             added: names(new.keys().filter(|name| !old.contains_key(*name)).collect()),
@@ -174,14 +178,14 @@
     queues.map(|queue| (queue.name.as_str(), queue)).collect()
 }
 
-/// Where requests for a queue come in, and go to.
-fn place_of(queue: &QueueRoute) -> [&str; 3] {
+/// Host and path of the requests for a queue, and the pool that runs its jobs.
+fn endpoint_of(queue: &QueueRoute) -> [&str; 3] {
     [&queue.host, &queue.prefix, &queue.pool]
 }
 
-/// Count and first names, for a line.
+/// Number of names and the first of them, for a log line.
 pub(crate) fn format_names(names: &[String]) -> String {
-    let told = names.iter().take(NAMES_TOLD).map(String::as_str);
-    let told: Vec<&str> = told.collect();
-    format!("{}:{}", names.len(), told.join(","))
+    let first = names.iter().take(LOGGED_NAMES).map(String::as_str);
+    let first: Vec<&str> = first.collect();
+    format!("{}:{}", names.len(), first.join(","))
 }
--- a/crates/hoisthitch-scheduler/src/teams.rs
+++ b/crates/hoisthitch-scheduler/src/teams.rs
@@ -1,9 +1,11 @@
 //! Teams of callers: their keys, weights and limits.
 //!
-//! Keys are secrets. The table keeps a keyed hash of each, under a key that the process
-//! draws at its start; a key that comes in is hashed before it is looked up, so that a
-//! known key and an unknown one take the same time and nothing can be learnt of one from
-//! how long its refusal took. No key is kept, told or logged.
+//! [`TeamTable`] is built from the operators' entries and finds the team of a caller's key.
+//!
+//! Keys are secrets: none is kept, returned or logged. The table keeps a keyed hash of each, under
+//! a random secret of the process. A caller's key is hashed before it is looked up, so that a
+//! known key and an unknown one take the same time, and the time of a refusal reveals nothing
+//! about a key.
 
 use std::{
     collections::{
@@ -20,15 +22,15 @@
 use hoisthitch_jobs::ResourceAmounts;
 use thiserror::Error;
 
-/// Length of a key's hash, in bytes.
-const HASH_LENGTH: usize = 32;
+/// Length of a key's hash.
+const HASH_BYTES: usize = 32;
 
-/// A key by which a team proves who it is.
+/// A key that authenticates a team.
 #[derive(Clone, Eq, PartialEq)]
 pub struct TeamKey(String);
 
 impl TeamKey {
-    /// A key as operators wrote it.
+    /// A key as the operators wrote it.
     pub fn new(text: String) -> Self {
         Self(text)
     }
@@ -44,13 +46,13 @@
     }
 }
 
-/// Hash of a key under this process's secret.
+/// Hash of a key under the secret of this process.
 #[derive(Clone, Copy, Eq, Hash, PartialEq)]
-struct KeyHash([u8; HASH_LENGTH]);
+struct KeyHash([u8; HASH_BYTES]);
 
 impl KeyHash {
     fn of(key: &str) -> Self {
-        static SECRET: OnceLock<[u8; HASH_LENGTH]> = OnceLock::new();
+        static SECRET: OnceLock<[u8; HASH_BYTES]> = OnceLock::new();
         let secret = SECRET.get_or_init(rand::random);
         Self(blake3::keyed_hash(secret, key.as_bytes()).into())
     }
@@ -67,16 +69,16 @@
 pub struct TeamPolicy {
     /// Name.
     pub name: Arc<str>,
-    /// Its share where there is not enough for all.
+    /// Weight of its share where the capacity is not enough for all teams.
     pub weight: f64,
-    /// What it may have running on all runners; zero for no limit.
+    /// Resources that its running tasks may use on all runners together; zero for no limit.
     pub limit: ResourceAmounts,
-    /// Keys that stand for it.
+    /// Number of its keys.
     pub keys: usize,
 }
 
 impl TeamPolicy {
-    /// Whether any amount of what it may have running is limited.
+    /// Whether any resource is limited.
     pub(crate) fn has_limit(&self) -> bool {
         self.limit != ResourceAmounts::default()
     }
@@ -87,32 +89,32 @@
 pub struct TeamEntry {
     /// The team.
     pub policy: TeamPolicy,
-    /// Keys, any of which stands for it.
+    /// Its keys, each of which authenticates it.
     pub keys: Vec<TeamKey>,
 }
 
-/// Why a table of teams can't come into force. No key is told.
+/// Why a table of teams is invalid. The messages contain no key.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum TeamError {
     /// A team has no name.
-    #[error("team {0} of the table has no name")]
+    #[error("the team at index {0} has no name")]
     MissingName(usize),
-    /// Two teams have one name.
-    #[error("team {0} stands twice in the table")]
+    /// Two teams have the same name.
+    #[error("team {0} is listed twice")]
     DuplicateName(String),
-    /// A team has a key without a character.
+    /// A team has an empty key.
     #[error("team {0} has an empty key")]
     EmptyKey(String),
-    /// A key stands twice.
-    #[error("key {place} of team {team} stands in the table before")]
+    /// A key is listed twice, for the same team or for two teams.
+    #[error("key {place} of team {team} is listed before")]
     DuplicateKey {
         /// The team.
         team: String,
-        /// Place of the key among the team's, from 0.
+        /// Index of the key among the team's keys, from 0.
         place: usize,
     },
-    /// A weight is below zero or no number.
-    #[error("the weight of team {0} is not a number from zero on")]
+    /// A weight is negative, infinite or not a number.
+    #[error("the weight of team {0} is not a finite number of at least zero")]
     BadWeight(String),
 }
 
@@ -129,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// Says the first thing that is wrong.
+    /// Returns the first fault that is found.
     pub fn new(entries: Vec<TeamEntry>) -> Result<Self, TeamError> {
         let mut table = Self::default();
         for (place, entry) in entries.into_iter().enumerate() {
@@ -165,27 +167,27 @@
         Ok(())
     }
 
-    /// Teams.
+    /// The teams, in the order in which they were listed.
     pub fn teams(&self) -> &[TeamPolicy] {
         &self.teams
     }
 
-    /// Keys of all teams.
+    /// Number of keys of all teams.
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// The team of a name.
+    /// The team with a name.
     pub fn find(&self, name: &str) -> Option<&TeamPolicy> {
         self.teams.get(*self.names.get(name)?)
     }
 
-    /// The team that a key stands for.
+    /// The team that a key belongs to.
     pub fn find_by_key(&self, key: &str) -> Option<&TeamPolicy> {
         self.teams.get(*self.keys.get(&KeyHash::of(key))?)
     }
 
-    /// Keys that are here and not in another table, and the other way round.
+    /// Number of keys that are in this table and not in an earlier one, and the other way round.
     pub(crate) fn key_changes(&self, before: &Self) -> (usize, usize) {
         let now: HashSet<&KeyHash> = self.keys.keys().collect();
         let old: HashSet<&KeyHash> = before.keys.keys().collect();
@@ -193,17 +195,17 @@
     }
 }
 
-/// Who calls, as far as that is proved.
+/// Authenticated team of a caller; none for an anonymous caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallerTeam(pub Option<Arc<str>>);
 
-/// Why a caller is not let in.
+/// Why a caller is rejected.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum CallerError {
-    /// It shows no key, or what it shows can't be one.
-    #[error("a key of a team is needed")]
+    /// It presents no key, or something that can't be one.
+    #[error("a team's key is required")]
     NoKey,
-    /// It shows a key of no team.
-    #[error("the key is of no team")]
+    /// It presents a key of no team.
+    #[error("the key belongs to no team")]
     UnknownKey,
 }
