--- a/crates/hoisthitch-scheduler/src/clock.rs
+++ b/crates/hoisthitch-scheduler/src/clock.rs
@@ -1,9 +1,9 @@
 //! The clock of a node, in milliseconds since the process started.
 //!
-//! The steady clock stands still while a VM is suspended; leases at the store and on runners
-//! do not, nor do owners elsewhere. A node's clock counts that time, so that a node that
-//! wakes takes nothing for fresh that is seconds old. What the node waits for goes by the
-//! runtime's timers, which go by the steady clock: it waits the longer for it.
+//! The monotonic clock stands still while the VM is suspended, but leases at the store and on
+//! runners run on, and so do owners elsewhere. A node's clock therefore counts suspended time, so
+//! that a node that resumes doesn't treat data as current that is seconds old. Waits use the
+//! runtime's timers, which go by the monotonic clock, so a suspension makes them longer.
 
 use std::{
     sync::{
@@ -30,52 +30,53 @@
 };
 use tokio::time::Instant;
 
-/// Time that the process slept from which it counts, in milliseconds: two clocks that are
-/// read one after the other differ by less.
-const SLEEP_LEAST_MS: Millis = 20;
+/// Shortest suspension that is counted, in milliseconds. Two clocks that are read one after the
+/// other differ by less.
+const MIN_SUSPEND_MS: Millis = 20;
 
-/// Milliseconds since the process started, with those for which it was suspended.
+/// Milliseconds since the process started, including those for which the VM was suspended.
 #[derive(Clone, Debug)]
 pub struct NodeClock {
     start: Instant,
-    day: DaySource,
-    sleep: SleepSource,
+    wall: WallSource,
+    suspends: SuspendSource,
     /// Time for which the VM was suspended so far, in milliseconds.
-    suspended_ms: Arc<AtomicU64>,
+    counted_suspended: Arc<AtomicU64>,
 }
 
-/// Where a clock takes the time of day from.
+/// Source of the wall-clock time.
 #[derive(Clone, Copy, Debug)]
-enum DaySource {
+enum WallSource {
     /// The system's clock.
     System,
-    /// The steady clock, from this time of day at the start on.
-    Steady(u64),
+    /// The monotonic clock, counted from this time at the start, in milliseconds since 1970.
+    Monotonic(u64),
 }
 
-/// Where a clock learns for how long the steady clock stood still.
+/// Source of the time for which the monotonic clock stood still.
 #[derive(Clone, Debug)]
-enum SleepSource {
-    /// The system's clocks: the one that counts such time was that far ahead of the steady
-    /// one at the start, in milliseconds.
+enum SuspendSource {
+    /// The system's clocks. At the start, the one that counts suspended time was ahead of the
+    /// monotonic one by this many milliseconds.
     System(Millis),
-    /// A test, on the runtime's paused clock, which goes on meanwhile.
+    /// A test's counter in milliseconds. The runtime's paused clock goes on during such a
+    /// suspension.
     Test(Arc<AtomicU64>),
 }
 
-/// Readings of the time asleep at the start.
+/// Number of readings of the suspended time at the start.
 const START_READINGS: usize = 5;
 
 /// Offset of the clock, so that no time before the start is negative.
 const START_MS: Millis = 1_000_000;
 
-impl SleepSource {
-    /// For how long the steady clock stood still since the start, in milliseconds; none
-    /// where that can't be read.
+impl SuspendSource {
+    /// For how long the monotonic clock stood still since the start, in milliseconds; none where
+    /// that can't be read.
     fn read(&self) -> Option<Millis> {
         match self {
-            Self::System(at_start) => Some(asleep_since_boot()?.saturating_sub(*at_start)),
-            Self::Test(asleep) => Some(asleep.load(Ordering::Relaxed)),
+            Self::System(at_start) => Some(suspended_since_boot()?.saturating_sub(*at_start)),
+            Self::Test(suspended) => Some(suspended.load(Ordering::Relaxed)),
         }
     }
 }
@@ -85,82 +86,87 @@
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
-            day: DaySource::System,
-            sleep: SleepSource::System(asleep_at_start()),
-            suspended_ms: Arc::default(),
+            wall: WallSource::System,
+            suspends: SuspendSource::System(suspended_at_start()),
+            counted_suspended: Arc::default(),
         }
     }
 
-    /// A clock that starts now, whose time of day is `unix_ms` now and goes on
-    /// with the runtime's clock, paused or not; `asleep` tells for how many milliseconds its
-    /// VM was suspended so far, while the runtime's clock went on.
-    pub fn start_for_test(unix_ms: u64, asleep: Arc<AtomicU64>) -> Self {
+    /// A clock for tests that starts now. The Unix time is `unix_ms` now and advances with the
+    /// runtime's clock, paused or not. `suspended` counts the milliseconds for which the VM was
+    /// suspended so far, while the runtime's clock went on.
+    pub fn start_for_test(unix_ms: u64, suspended: Arc<AtomicU64>) -> Self {
         Self {
             start: Instant::now(),
-            day: DaySource::Steady(unix_ms),
-            sleep: SleepSource::Test(asleep),
-            suspended_ms: Arc::default(),
+            wall: WallSource::Monotonic(unix_ms),
+            suspends: SuspendSource::Test(suspended),
+            counted_suspended: Arc::default(),
         }
     }
 
-    /// Now.
+    /// The current time.
     pub fn now(&self) -> Millis {
-        START_MS + self.steady() + self.suspended_ms()
+        START_MS + self.running_ms() + self.suspended_ms()
     }
 
     /// Time for which the VM was suspended so far, in milliseconds.
     pub fn suspended_ms(&self) -> Millis {
-        let before = self.suspended_ms.load(Ordering::Relaxed);
-        let asleep = self.sleep.read().unwrap_or(before);
-        if asleep < before + SLEEP_LEAST_MS {
-            return before;
+        let counted = self.counted_suspended.load(Ordering::Relaxed);
+        let suspended = self.suspends.read().unwrap_or(counted);
+        if suspended < counted + MIN_SUSPEND_MS {
+            return counted;
         }
-        // Whoever notices first tells.
-        let told = self.suspended_ms.fetch_max(asleep, Ordering::Relaxed);
-        if told < asleep {
+        // Only the thread that notices a suspension first logs it.
+        let logged = self
+            .counted_suspended
+            .fetch_max(suspended, Ordering::Relaxed);
+        if logged < suspended {
             event!(
                 Warn,
                 "node_slept",
-                slept_ms = asleep - told,
-                total_ms = asleep
+                slept_ms = suspended - logged,
+                total_ms = suspended
             );
         }
-        asleep.max(told)
+        suspended.max(logged)
     }
 
-    /// Time since the start, but for that for which the VM was suspended.
-    fn steady(&self) -> Millis {
+    /// Time since the start, in milliseconds, without the time for which the VM was suspended.
+    fn running_ms(&self) -> Millis {
         let elapsed = self.start.elapsed().as_millis() as Millis;
-        match &self.sleep {
-            SleepSource::System(_) => elapsed,
-            SleepSource::Test(asleep) => elapsed.saturating_sub(asleep.load(Ordering::Relaxed)),
+        match &self.suspends {
+            SuspendSource::System(_) => elapsed,
+            SuspendSource::Test(suspended) => {
+                elapsed.saturating_sub(suspended.load(Ordering::Relaxed))
+            }
         }
     }
 
-    /// The time of day, in milliseconds since 1970.
+    /// The Unix time, in milliseconds since 1970.
     pub fn unix_ms(&self) -> u64 {
-        match self.day {
-            DaySource::System => SystemTime::now()
+        match self.wall {
+            WallSource::System => SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |time| time.as_millis() as u64),
-            DaySource::Steady(first) => first + self.start.elapsed().as_millis() as u64,
+            WallSource::Monotonic(first) => first + self.start.elapsed().as_millis() as u64,
         }
     }
 }
 
-/// For how long the system was asleep when the process started, in milliseconds: the most of
-/// some readings, for what they miss would be taken for sleep later.
-fn asleep_at_start() -> Millis {
-    let readings = (0..START_READINGS).filter_map(|_| asleep_since_boot());
+/// For how long the system had been suspended when the process started, in milliseconds. It is the
+/// largest of some readings, since what a reading misses would later count as a suspension.
+fn suspended_at_start() -> Millis {
+    let readings = (0..START_READINGS).filter_map(|_| suspended_since_boot());
     readings.max().unwrap_or(0)
 }
 
-/// For how long the system was asleep since it booted, in milliseconds, or a little less;
-/// none where that can't be read.
-fn asleep_since_boot() -> Option<Millis> {
-    // A process that is held up between the two readings must not take that for sleep.
-    let counted = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
-    let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
-    let ahead = counted - steady;
+/// For how long the system was suspended since it booted, in milliseconds, or a little less; none
+/// where that can't be read.
+fn suspended_since_boot() -> Option<Millis> {
+    // In this order, a delay of the process between the two readings doesn't count as a
+    // suspension.
+    let boottime = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
+    let ahead = boottime - monotonic;
     Millis::try_from(ahead.num_milliseconds()).ok()
 }
--- a/crates/hoisthitch-scheduler/src/create.rs
+++ b/crates/hoisthitch-scheduler/src/create.rs
@@ -1,4 +1,8 @@
-//! Grouped creation of records, shared by the calls that wait for them.
+//! Creation of records in batches.
+//!
+//! [`CreateBatcher`] is given records that must not exist yet, writes many of them in one swap, and
+//! returns the outcome of each. A key is never created twice, and the outcome says whether a record
+//! may exist.
 
 use std::{
     collections::HashSet,
@@ -23,49 +27,49 @@
 
 use crate::shared::NodeShared;
 
-/// Values in one write; the platform takes 32 entries.
-const BATCH_VALUES: usize = 30;
+/// Largest number of values in one write; the platform takes 32 entries.
+const MAX_BATCH_VALUES: usize = 30;
 
-/// Creations that may wait.
-const QUEUE_LIMIT: usize = 1_024;
+/// Largest number of creations in the queue of the writer.
+const QUEUE_CAPACITY: usize = 1_024;
 
-/// Wait before a write that failed is tried again.
+/// Wait before a failed write is retried.
 const RETRY_WAIT: Duration = Duration::from_millis(60);
 
-/// What became of a creation.
+/// Outcome of a creation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CreateOutcome {
-    /// The values are there, by this creation.
+    /// This creation wrote the values.
     Created,
-    /// The key was there before.
+    /// The key existed already.
     Present,
     /// Nothing was written, and nothing will be.
     Refused,
-    /// Whether the values are there is not known.
+    /// Whether the values were written is not known.
     Unknown,
 }
 
-/// A record to create if its key is absent, with others that go along.
+/// A record to create if its key is absent, with other values that are written in the same swap.
 #[derive(Debug)]
 pub(crate) struct CreateRequest {
     /// Key that must be absent.
     pub(crate) key: String,
     /// Its value.
     pub(crate) value: Vec<u8>,
-    /// Further values.
+    /// Further keys and their values.
     pub(crate) others: Vec<(String, Vec<u8>)>,
-    /// When the caller has to have an answer.
+    /// Time by which the caller needs an answer.
     pub(crate) deadline: Millis,
 }
 
 struct PendingCreate {
     request: CreateRequest,
     reply: oneshot::Sender<CreateOutcome>,
-    /// Whether a write that carried it had no answer.
-    unclear: bool,
+    /// Whether a write that contained it may have taken effect.
+    outcome_unknown: bool,
 }
 
-/// Asks for creations.
+/// Hands creations to the writer.
 #[derive(Clone, Debug)]
 pub(crate) struct CreateBatcher {
     queue: mpsc::Sender<(CreateRequest, oneshot::Sender<CreateOutcome>)>,
@@ -74,12 +78,12 @@
 impl CreateBatcher {
     /// Starts the writer on this thread.
     pub(crate) fn start<S: StoreClient>(store: S, shared: Arc<NodeShared>) -> Self {
-        let (queue, asked) = mpsc::channel(QUEUE_LIMIT);
-        actix_rt::spawn(write_all(store, shared, asked));
+        let (queue, requests) = mpsc::channel(QUEUE_CAPACITY);
+        actix_rt::spawn(run_writer(store, shared, requests));
         Self { queue }
     }
 
-    /// Creates a record; the answer comes about when the request gives up.
+    /// Creates a record; returns at about the request's deadline at the latest.
     pub(crate) async fn create(&self, request: CreateRequest) -> CreateOutcome {
         let (reply, outcome) = oneshot::channel();
         if self.queue.try_send((request, reply)).is_err() {
@@ -89,29 +93,30 @@
     }
 }
 
-async fn write_all<S: StoreClient>(
+/// Writes the requested creations in batches until the clients are gone.
+async fn run_writer<S: StoreClient>(
     store: S,
     shared: Arc<NodeShared>,
-    mut asked: mpsc::Receiver<(CreateRequest, oneshot::Sender<CreateOutcome>)>,
+    mut requests: mpsc::Receiver<(CreateRequest, oneshot::Sender<CreateOutcome>)>,
 ) {
     let mut waiting: Vec<PendingCreate> = Vec::new();
     loop {
         if waiting.is_empty() {
-            let Some((request, reply)) = asked.recv().await else {
+            let Some((request, reply)) = requests.recv().await else {
                 return;
             };
             waiting.push(PendingCreate::new(request, reply));
         }
-        while let Ok((request, reply)) = asked.try_recv() {
+        while let Ok((request, reply)) = requests.try_recv() {
             waiting.push(PendingCreate::new(request, reply));
         }
-        give_up(&mut waiting, &shared);
+        answer_expired(&mut waiting, &shared);
         let batch = take_batch(&mut waiting);
         if batch.is_empty() {
             continue;
         }
         let sent = shared.clock.now();
-        match store.swap_all(items(&batch)).await {
+        match store.swap_all(swap_items(&batch)).await {
             Ok(BatchOutcome::Written(_)) => {
                 shared.store.record_success(sent);
                 for create in batch {
@@ -123,7 +128,7 @@
                 let mut found = found.into_iter();
                 for create in batch {
                     let present = found.next().flatten().is_some();
-                    // The other values of the creation come after its key.
+                    // The values found for the creation's other keys follow that of its key.
                     for _ in &create.request.others {
                         found.next();
                     }
@@ -135,11 +140,11 @@
                 }
             }
             Err(err) => {
-                let clear = matches!(err, StoreError::Status { .. });
+                let is_rejected = matches!(err, StoreError::Status { .. });
                 shared.store.record_failure(shared.clock.now());
                 event!(Warn, "create_failed", records = batch.len(), error = err);
                 waiting.extend(batch.into_iter().map(|create| PendingCreate {
-                    unclear: create.unclear || !clear,
+                    outcome_unknown: create.outcome_unknown || !is_rejected,
                     ..create
                 }));
                 tokio::time::sleep(RETRY_WAIT).await;
@@ -148,17 +153,17 @@
     }
 }
 
-/// Answers those whose time is over, and all once this node has lost the store:
-/// their callers can try another node while they have time.
-fn give_up(waiting: &mut Vec<PendingCreate>, shared: &NodeShared) {
+/// Answers the creations whose deadline has passed, and all of them once this node has lost the
+/// store: their callers then have time to try another node.
+fn answer_expired(waiting: &mut Vec<PendingCreate>, shared: &NodeShared) {
     let now = shared.clock.now();
     let lost = !shared.store.is_usable(now);
-    let (over, left): (Vec<_>, Vec<_>) = mem::take(waiting)
+    let (expired, remaining): (Vec<_>, Vec<_>) = mem::take(waiting)
         .into_iter()
         .partition(|create| lost || create.request.deadline <= now);
-    *waiting = left;
-    for create in over {
-        let outcome = if create.unclear {
+    *waiting = remaining;
+    for create in expired {
+        let outcome = if create.outcome_unknown {
             CreateOutcome::Unknown
         } else {
             CreateOutcome::Refused
@@ -167,14 +172,14 @@
     }
 }
 
-/// Takes what goes into the next write; a key at most once, since two creations
-/// of it in one write would both find it absent.
+/// Removes and returns the creations for the next write. It contains each key at most once, since
+/// two creations of a key in one write would both find it absent.
 fn take_batch(waiting: &mut Vec<PendingCreate>) -> Vec<PendingCreate> {
     let mut keys = HashSet::new();
     let mut values = 0;
     let (batch, later) = mem::take(waiting).into_iter().partition(|create| {
         let size = 1 + create.request.others.len();
-        let fits = values + size <= BATCH_VALUES && keys.insert(create.request.key.clone());
+        let fits = values + size <= MAX_BATCH_VALUES && keys.insert(create.request.key.clone());
         values += if fits { size } else { 0 };
         fits
     });
@@ -182,7 +187,7 @@
     batch
 }
 
-fn items(batch: &[PendingCreate]) -> Vec<SwapItem> {
+fn swap_items(batch: &[PendingCreate]) -> Vec<SwapItem> {
     let item = |key: &String, expected: StoreRevision, value: &Vec<u8>| SwapItem {
         key: key.clone(),
         expected,
@@ -208,12 +213,12 @@
         Self {
             request,
             reply,
-            unclear: false,
+            outcome_unknown: false,
         }
     }
 
     fn answer(self, outcome: CreateOutcome) {
-        // A caller that is gone needs no answer.
+        // Fails only if the caller no longer waits.
         let _ = self.reply.send(outcome);
     }
 }
--- a/crates/hoisthitch-scheduler/src/http.rs
+++ b/crates/hoisthitch-scheduler/src/http.rs
@@ -1,4 +1,6 @@
-//! The product's own interface for jobs, over HTTP, for operators.
+//! HTTP interface for operators: lists queues and teams, submits, describes and cancels jobs.
+//!
+//! Submissions are accepted only while this node's configuration is confirmed to be in effect.
 
 use actix_web::{
     HttpResponse,
@@ -37,13 +39,13 @@
     teams::TeamTable, //
 };
 
-/// Time in which a call of an operator is to be answered, in milliseconds.
-const PATIENCE_MS: Millis = 3_000;
+/// Time within which an operator's call is answered, in milliseconds.
+const CALL_TIMEOUT_MS: Millis = 3_000;
 
 /// Longest identifier of a job that operators may choose, in bytes.
-const ID_LIMIT: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
-/// Adds the routes; the desk is part of the app's data.
+/// Adds the routes. The app's data has to contain the [`JobService`].
 pub fn job_routes<S: StoreClient>(config: &mut web::ServiceConfig) {
     let job = format!("{JOBS_PATH}/{{id}}");
     config
@@ -98,8 +100,8 @@
     call: web::Json<JobCall>,
 ) -> HttpResponse {
     let is_id = id.bytes().all(|byte| byte.is_ascii_alphanumeric());
-    if !is_id || id.is_empty() || id.len() > ID_LIMIT {
-        let text = format!("an id has up to {ID_LIMIT} letters and digits");
+    if !is_id || id.is_empty() || id.len() > MAX_ID_BYTES {
+        let text = format!("an id has up to {MAX_ID_BYTES} letters and digits");
         return fault(StatusCode::BAD_REQUEST, &text);
     }
     if let Err(err) = call.spec.check() {
@@ -120,7 +122,7 @@
         let text = format!("there is no queue {}; see {QUEUES_PATH}", call.queue);
         return fault(StatusCode::NOT_FOUND, &text);
     };
-    let deadline = service.shared().clock.now() + PATIENCE_MS;
+    let deadline = service.shared().clock.now() + CALL_TIMEOUT_MS;
     match service
         .submit(queue, CallScope::All, &id, call.spec.clone(), deadline)
         .await
@@ -155,7 +157,7 @@
     service: web::Data<JobService<S>>,
     id: web::Path<String>,
 ) -> HttpResponse {
-    let deadline = service.shared().clock.now() + PATIENCE_MS;
+    let deadline = service.shared().clock.now() + CALL_TIMEOUT_MS;
     match service.cancel(CallScope::All, &id, deadline).await {
         CancelAnswer::Accepted => describe(service, id).await,
         CancelAnswer::Absent => fault(StatusCode::NOT_FOUND, "there is no such job"),
--- a/crates/hoisthitch-scheduler/src/location.rs
+++ b/crates/hoisthitch-scheduler/src/location.rs
@@ -1,4 +1,5 @@
-//! Where a job is, and whose it is: what any node needs to answer for it.
+//! The pool, queue and team of a job, which any node needs to serve a call about it, and the check
+//! whether a caller may know of the job.
 
 use serde::{
     Deserialize,
@@ -10,22 +11,22 @@
     teams::CallerTeam, //
 };
 
-/// A job's place, written once with the job.
+/// Pool, queue and team of a job; written once, together with the job.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct JobLocation {
     /// Pool that runs it.
     #[serde(rename = "p")]
     pub(crate) pool: String,
-    /// Queue that took it.
+    /// Queue to which it was submitted.
     #[serde(rename = "q", default, skip_serializing_if = "String::is_empty")]
     pub(crate) queue: String,
-    /// Team whose key it came with; empty where none was needed.
+    /// Team whose key it was submitted with; empty if no key was needed.
     #[serde(rename = "t", default, skip_serializing_if = "String::is_empty")]
     pub(crate) team: String,
 }
 
 impl JobLocation {
-    /// Reads a record; an older one holds the pool's name and nothing else.
+    /// Parses a record. Older records contain only the name of the pool.
     pub(crate) fn read(value: &[u8]) -> Self {
         serde_json::from_slice(value).unwrap_or_else(|_| Self {
             pool: String::from_utf8_lossy(value).into_owned(),
@@ -34,24 +35,24 @@
     }
 }
 
-/// Whose jobs a call may be about.
+/// Jobs that a call may be about.
 #[derive(Clone, Copy, Debug)]
 pub enum CallScope<'a> {
-    /// Any: an operator's call.
+    /// All jobs: an operator's call.
     All,
-    /// Those that a caller of the queue may know of.
+    /// Jobs that a caller of the queue may know of.
     Caller {
         /// The queue.
         queue: &'a QueueRoute,
-        /// Who calls.
+        /// Team of the caller.
         team: &'a CallerTeam,
     },
 }
 
 impl CallScope<'_> {
-    /// Whether a call may be about a job: one of the caller's team, of no team, or of an
-    /// open queue that the call came by. Others are as if they were not there, so that
-    /// nobody learns of them.
+    /// Whether a call may be about a job: a job of the caller's team, of no team, or of the queue
+    /// of the call if that needs no key. Other jobs are treated as absent, so that nobody learns
+    /// of them.
     pub(crate) fn covers(self, job: &JobLocation) -> bool {
         match self {
             Self::All => true,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Name of the team that a job is handed in for; empty for none.
+    /// Name of the team for which a job is submitted; empty for none.
     pub(crate) fn team_name(self) -> String {
         match self {
             Self::All => String::new(),
--- a/crates/hoisthitch-scheduler/src/service.rs
+++ b/crates/hoisthitch-scheduler/src/service.rs
@@ -1,7 +1,8 @@
-//! The desk of a node: takes jobs in and answers for them.
+//! Job calls that every node serves: submission, status, cancel, and the counts that operators
+//! read.
 //!
-//! A job is accepted once its submission lies in the store. What is answered of
-//! a job is read from there, so that every node answers alike.
+//! A job is accepted only once its submission is in the store. All that is returned on a job is
+//! read from the store, so that every node gives the same answer.
 
 use std::{
     cell::RefCell,
@@ -40,26 +41,26 @@
     shared::NodeShared, //
 };
 
-/// Jobs whose pool and end are remembered.
-const MEMORY_LIMIT: usize = 20_000;
+/// Number of jobs whose location and final phase are cached.
+const MAX_CACHED_JOBS: usize = 20_000;
 
-/// Age up to which counts that were read are told again, in milliseconds.
-const COUNT_AGE_MS: Millis = 300;
+/// Age up to which cached counts are returned, in milliseconds.
+const MAX_COUNT_AGE_MS: Millis = 300;
 
 /// Answer to a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SubmitAnswer {
-    /// The job is kept.
+    /// The job is stored.
     Accepted,
-    /// The job was not taken and never runs.
+    /// The job was not stored and never runs.
     Refused,
-    /// Whether the job is kept is not known.
+    /// Whether the job is stored is not known.
     Unknown,
-    /// The identifier is that of another team's job; nothing was taken.
+    /// The identifier belongs to another team's job; nothing was stored.
     Foreign,
 }
 
-/// Answer to a question for a job's state.
+/// Answer to a query for a job's state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatusAnswer {
     /// The job's state.
@@ -73,40 +74,42 @@
 /// Answer to a cancel.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CancelAnswer {
-    /// The cancel is kept.
+    /// The cancel is stored.
     Accepted,
     /// There is no such job.
     Absent,
-    /// Whether the cancel is kept is not known.
+    /// Whether the cancel is stored is not known.
     Unknown,
 }
 
+/// What never changes of a job, as read from the store or written there.
 #[derive(Clone, Debug)]
-struct JobMemory {
+struct CachedJob {
     location: JobLocation,
+    /// Final phase; none if the job was not known to have ended.
     end: Option<JobPhase>,
 }
 
-/// Waiting jobs of a pool by queue, and when they were read.
+/// Number of waiting jobs of a pool by queue, and when it was read.
 #[derive(Clone, Debug)]
-struct CountMemory {
+struct CachedCounts {
     read_at: Millis,
     counts: HashMap<String, u32>,
 }
 
-/// Takes jobs in, on one thread.
+/// Serves job calls on one thread.
 #[derive(Clone)]
 pub struct JobService<S> {
     store: S,
     shared: Arc<NodeShared>,
     keys: JobKeys,
     creates: CreateBatcher,
-    memory: Rc<RefCell<HashMap<String, JobMemory>>>,
-    counts: Rc<RefCell<HashMap<String, CountMemory>>>,
+    cache: Rc<RefCell<HashMap<String, CachedJob>>>,
+    counts: Rc<RefCell<HashMap<String, CachedCounts>>>,
 }
 
 impl<S: StoreClient> JobService<S> {
-    /// Opens the desk.
+    /// Starts the service on this thread.
     pub fn open(store: S, shared: Arc<NodeShared>, keys: JobKeys) -> Self {
         let creates = CreateBatcher::start(store.clone(), shared.clone());
         Self {
@@ -114,12 +117,12 @@
             shared,
             keys,
             creates,
-            memory: Rc::default(),
+            cache: Rc::default(),
             counts: Rc::default(),
         }
     }
 
-    /// Takes a job in.
+    /// Submits a job; answers at about the caller's deadline at the latest.
     pub async fn submit(
         &self,
         queue: &QueueRoute,
@@ -130,7 +133,7 @@
     ) -> SubmitAnswer {
         let started = self.shared.clock.now();
         if !self.shared.store.is_usable(started) {
-            self.note("submit", id, &queue.name, "store_lost", started);
+            self.record_call("submit", id, &queue.name, "store_lost", started);
             return SubmitAnswer::Refused;
         }
         let location = JobLocation {
@@ -156,21 +159,22 @@
             deadline,
         };
         let outcome = self.creates.create(request).await;
-        let (answer, word) = match outcome {
+        let (answer, outcome) = match outcome {
             CreateOutcome::Created => {
-                self.remember(id, location, None);
+                self.cache_job(id, location, None);
                 (SubmitAnswer::Accepted, "accepted")
             }
-            CreateOutcome::Present => self.find_present(id, scope).await,
+            CreateOutcome::Present => self.answer_present(id, scope).await,
             CreateOutcome::Refused => (SubmitAnswer::Refused, "refused"),
             CreateOutcome::Unknown => (SubmitAnswer::Unknown, "unknown"),
         };
-        self.note("submit", id, &queue.name, word, started);
+        self.record_call("submit", id, &queue.name, outcome, started);
         answer
     }
 
-    /// Answers for an identifier that is taken already: a lost answer, or another's job.
-    async fn find_present(&self, id: &str, scope: CallScope<'_>) -> (SubmitAnswer, &'static str) {
+    /// Answers a submission whose identifier exists already: the answer to an earlier attempt was
+    /// lost, or the job is another team's.
+    async fn answer_present(&self, id: &str, scope: CallScope<'_>) -> (SubmitAnswer, &'static str) {
         match self.locate(id, scope).await {
             Ok(Some(_)) => (SubmitAnswer::Accepted, "present"),
             Ok(None) => (SubmitAnswer::Foreign, "foreign"),
@@ -181,27 +185,26 @@
         }
     }
 
-    /// What the node's threads share.
+    /// The state that the node's threads share.
     pub fn shared(&self) -> &NodeShared {
         &self.shared
     }
 
-    /// Tells how far a job is, and the pool that runs it; nothing when there is
-    /// no such job.
+    /// Returns the pool that runs a job and the job's progress; none if there is no such job.
     ///
     /// # Errors
     ///
-    /// Fails as the store does.
+    /// Fails if the store can't be read.
     pub async fn describe(&self, id: &str) -> Result<Option<(String, JobProgress)>, StoreError> {
-        let Some(memory) = self.locate(id, CallScope::All).await? else {
+        let Some(job) = self.locate(id, CallScope::All).await? else {
             return Ok(None);
         };
-        let pool = memory.location.pool;
+        let pool = job.location.pool;
         let progress = self.read_progress(&pool, id).await?;
         Ok(Some((pool, progress.unwrap_or_default())))
     }
 
-    /// Tells a job's state.
+    /// Returns a job's state.
     pub async fn status(&self, scope: CallScope<'_>, id: &str) -> StatusAnswer {
         match self.read_status(scope, id).await {
             Ok(Some(phase)) => StatusAnswer::Known(phase),
@@ -219,18 +222,18 @@
         scope: CallScope<'_>,
         id: &str,
     ) -> Result<Option<JobPhase>, StoreError> {
-        let Some(memory) = self.locate(id, scope).await? else {
+        let Some(job) = self.locate(id, scope).await? else {
             return Ok(None);
         };
-        if let Some(end) = memory.end {
+        if let Some(end) = job.end {
             return Ok(Some(end));
         }
-        let progress = self.read_progress(&memory.location.pool, id).await?;
+        let progress = self.read_progress(&job.location.pool, id).await?;
         let Some(progress) = progress else {
             return Ok(Some(JobPhase::Queued));
         };
         if progress.phase.is_final() {
-            self.remember(id, memory.location, Some(progress.phase));
+            self.cache_job(id, job.location, Some(progress.phase));
         }
         Ok(Some(progress.phase))
     }
@@ -250,13 +253,13 @@
         Ok(Some(progress))
     }
 
-    /// Cancels a job.
+    /// Cancels a job; answers at about the caller's deadline at the latest.
     pub async fn cancel(&self, scope: CallScope<'_>, id: &str, deadline: Millis) -> CancelAnswer {
         let started = self.shared.clock.now();
         let pool = match self.locate(id, scope).await {
-            Ok(Some(memory)) => memory.location.pool,
+            Ok(Some(job)) => job.location.pool,
             Ok(None) => {
-                self.note("cancel", id, "", "absent", started);
+                self.record_call("cancel", id, "", "absent", started);
                 return CancelAnswer::Absent;
             }
             Err(err) => {
@@ -270,25 +273,25 @@
             others: Vec::new(),
             deadline,
         };
-        let (answer, word) = match self.creates.create(request).await {
+        let (answer, outcome) = match self.creates.create(request).await {
             CreateOutcome::Created | CreateOutcome::Present => (CancelAnswer::Accepted, "accepted"),
             CreateOutcome::Refused | CreateOutcome::Unknown => (CancelAnswer::Unknown, "unknown"),
         };
-        self.note("cancel", id, &pool, word, started);
+        self.record_call("cancel", id, &pool, outcome, started);
         answer
     }
 
-    /// Jobs of a queue of which nothing has begun.
+    /// Number of jobs of a queue of which no task has started.
     ///
     /// # Errors
     ///
-    /// Fails as the store does.
+    /// Fails if the store can't be read.
     pub async fn waiting(&self, queue: &QueueRoute) -> Result<u32, StoreError> {
         let now = self.shared.clock.now();
-        if let Some(memory) = self.counts.borrow().get(&queue.pool)
-            && memory.read_at + COUNT_AGE_MS > now
+        if let Some(cached) = self.counts.borrow().get(&queue.pool)
+            && cached.read_at + MAX_COUNT_AGE_MS > now
         {
-            return Ok(memory.counts.get(&queue.name).copied().unwrap_or(0));
+            return Ok(cached.counts.get(&queue.name).copied().unwrap_or(0));
         }
         let found = self.store.read(&self.keys.counts(&queue.pool)).await?;
         self.shared.store.record_success(now);
@@ -302,19 +305,19 @@
             None => HashMap::new(),
         };
         let count = counts.get(&queue.name).copied().unwrap_or(0);
-        let memory = CountMemory {
+        let cached = CachedCounts {
             read_at: now,
             counts,
         };
-        self.counts.borrow_mut().insert(queue.pool.clone(), memory);
+        self.counts.borrow_mut().insert(queue.pool.clone(), cached);
         Ok(count)
     }
 
-    /// What pools hold of the limits of teams, by name.
+    /// Allocations of the teams' limits to pools, by name of the team.
     ///
     /// # Errors
     ///
-    /// Fails as the store does, and where a record can't be read.
+    /// Fails if the store can't be read or a record is malformed.
     pub async fn quota_allocations(&self) -> Result<HashMap<String, QuotaAllocations>, StoreError> {
         let prefix = self.keys.quotas_prefix();
         let values = self.store.read_prefix(&prefix).await?;
@@ -331,15 +334,15 @@
             })
     }
 
-    /// Finds a job that a call may be about.
+    /// Finds a job if the caller may know of it.
     async fn locate(
         &self,
         id: &str,
         scope: CallScope<'_>,
-    ) -> Result<Option<JobMemory>, StoreError> {
-        let known = self.memory.borrow().get(id).cloned();
-        let memory = match known {
-            Some(memory) => memory,
+    ) -> Result<Option<CachedJob>, StoreError> {
+        let cached = self.cache.borrow().get(id).cloned();
+        let job = match cached {
+            Some(job) => job,
             None => {
                 let sent = self.shared.clock.now();
                 let found = self.store.read(&self.keys.location(id)).await?;
@@ -348,25 +351,33 @@
                     return Ok(None);
                 };
                 let location = JobLocation::read(&stored.value);
-                self.remember(id, location.clone(), None);
-                JobMemory {
+                self.cache_job(id, location.clone(), None);
+                CachedJob {
                     location,
                     end: None,
                 }
             }
         };
-        Ok(Some(memory).filter(|memory| scope.covers(&memory.location)))
+        Ok(Some(job).filter(|job| scope.covers(&job.location)))
     }
 
-    fn remember(&self, id: &str, location: JobLocation, end: Option<JobPhase>) {
-        let mut memory = self.memory.borrow_mut();
-        if memory.len() >= MEMORY_LIMIT {
-            memory.clear();
+    fn cache_job(&self, id: &str, location: JobLocation, end: Option<JobPhase>) {
+        let mut cache = self.cache.borrow_mut();
+        if cache.len() >= MAX_CACHED_JOBS {
+            cache.clear();
         }
-        memory.insert(id.to_owned(), JobMemory { location, end });
+        cache.insert(id.to_owned(), CachedJob { location, end });
     }
 
-    fn note(&self, call: &'static str, id: &str, queue: &str, outcome: &str, started: Millis) {
+    /// Counts and logs a call.
+    fn record_call(
+        &self,
+        call: &'static str,
+        id: &str,
+        queue: &str,
+        outcome: &str,
+        started: Millis,
+    ) {
         let counter = &self.shared.metrics.calls;
         counter.with_label_values(&[call, outcome]).inc();
         event!(
