--- a/crates/hoisthitch-scheduler/src/identity.rs
+++ b/crates/hoisthitch-scheduler/src/identity.rs
@@ -1,31 +1,31 @@
-//! Who a node is, and who owns a pool.
+//! Identity of a node, and the record of a pool's owner.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Who a node is.
+/// Identity of a node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NodeIdentity {
     /// Name of the node.
     pub node: String,
-    /// Random number of this life of the process.
+    /// Random number of this instance of the process.
     pub instance: u64,
-    /// Data hall.
+    /// Data hall of the node.
     pub hall: String,
     /// Processor time that it has, in thousandths of a core.
     pub cpu_milli: u64,
 }
 
-/// Owner of a pool.
+/// Record of the owner of a pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct OwnerRecord {
-    /// Node.
+    /// Name of the node.
     pub(crate) node: String,
-    /// Life of the node.
+    /// Instance of the node.
     #[serde(rename = "life")]
     pub(crate) instance: u64,
-    /// Number of the ownership.
+    /// Number of the ownership; it counts the owners of the pool.
     pub(crate) term: u64,
 }
--- a/crates/hoisthitch-scheduler/src/keys.rs
+++ b/crates/hoisthitch-scheduler/src/keys.rs
@@ -1,72 +1,74 @@
 //! Keys of the job service's records in the store.
+//!
+//! The keys are part of the stored format and must not change.
 
-/// Names the records of the job service.
+/// Builds and parses the keys of the job service's records.
 #[derive(Clone, Debug)]
 pub struct JobKeys {
     root: String,
 }
 
 impl JobKeys {
-    /// Records below `root`.
+    /// Keys below `root`.
     pub fn new(root: &str) -> Self {
         Self {
             root: root.trim_end_matches('/').to_owned(),
         }
     }
 
-    /// Nodes that are alive, and owners of pools.
+    /// Prefix of the records of living nodes and of owners of pools.
     pub fn group_prefix(&self) -> String {
         format!("{}/group/", self.root)
     }
 
-    /// A node that is alive; goes with its lease.
+    /// Record of a living node; removed when its lease expires.
     pub fn member(&self, node: &str) -> String {
         format!("{}/group/member/{node}", self.root)
     }
 
-    /// The owner of a pool.
+    /// Record of the owner of a pool.
     pub fn owner(&self, pool: &str) -> String {
         format!("{}/group/owner/{pool}", self.root)
     }
 
-    /// Name of the node in the key of a member.
+    /// Name of the node in the key of a living node's record.
     pub fn member_of<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.root.as_str())?
             .strip_prefix("/group/member/")
     }
 
-    /// Name of the pool in the key of an owner.
+    /// Name of the pool in the key of an owner's record.
     pub fn owner_of<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.root.as_str())?
             .strip_prefix("/group/owner/")
     }
 
-    /// Head of a pool's journal, which each of its owner's writes changes.
+    /// Head record of a pool's journal; each write of the pool's owner changes it.
     pub fn journal_head(&self, pool: &str) -> String {
         format!("{}/head/{pool}", self.root)
     }
 
-    /// Pool of a job.
+    /// Location of a job: its pool, queue and team.
     pub fn location(&self, id: &str) -> String {
         format!("{}/id/{id}", self.root)
     }
 
-    /// What a pool's owner is told: submissions and cancels.
+    /// Prefix of the submissions and cancels for a pool's owner.
     pub fn inbox_prefix(&self, pool: &str) -> String {
         format!("{}/in/{pool}/", self.root)
     }
 
-    /// A submission.
+    /// Submission of a job.
     pub fn submission(&self, pool: &str, id: &str) -> String {
         format!("{}/in/{pool}/job-{id}", self.root)
     }
 
-    /// The cancel of a job.
+    /// Cancel of a job.
     pub fn cancel(&self, pool: &str, id: &str) -> String {
         format!("{}/in/{pool}/cancel-{id}", self.root)
     }
 
-    /// Progress of all jobs of a pool.
+    /// Prefix of the progress records of a pool's jobs.
     pub fn progress_prefix(&self, pool: &str) -> String {
         format!("{}/run/{pool}/", self.root)
     }
@@ -76,32 +78,32 @@
         format!("{}/run/{pool}/{id}", self.root)
     }
 
-    /// Counts of a pool's queues.
+    /// Numbers of waiting jobs in a pool's queues.
     pub fn counts(&self, pool: &str) -> String {
         format!("{}/count/{pool}", self.root)
     }
 
-    /// What all pools have and want.
+    /// Prefix of the VM balances of all pools.
     pub fn vm_balances_prefix(&self) -> String {
         format!("{}/share/", self.root)
     }
 
-    /// What a pool has and wants.
+    /// VM balance of a pool: the VMs that it has and wants.
     pub fn vm_balance(&self, pool: &str) -> String {
         format!("{}/share/{pool}", self.root)
     }
 
-    /// Parts of all teams' limits.
+    /// Prefix of the quota allocations of all teams.
     pub fn quotas_prefix(&self) -> String {
         format!("{}/quota/", self.root)
     }
 
-    /// Parts of a team's limit.
+    /// Quota allocations of a team's limit to pools.
     pub fn quota(&self, team: &str) -> String {
         format!("{}/quota/{team}", self.root)
     }
 
-    /// Name of the team in the key of its parts.
+    /// Name of the team in the key of its quota allocations.
     pub fn quota_of<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.root.as_str())?
             .strip_prefix("/quota/")
@@ -113,7 +115,7 @@
     }
 }
 
-/// What a key of a pool's inbox holds.
+/// Kind of a key in a pool's inbox.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum InboxKey<'a> {
     /// Submission of the job with this identifier.
@@ -123,7 +125,7 @@
 }
 
 impl<'a> InboxKey<'a> {
-    /// Reads a key; `prefix` is the inbox's.
+    /// Parses a key; `prefix` is that of the inbox.
     pub(crate) fn parse(prefix: &str, key: &'a str) -> Option<Self> {
         let rest = key.strip_prefix(prefix)?;
         if let Some(id) = rest.strip_prefix("job-") {
--- a/crates/hoisthitch-scheduler/src/lib.rs
+++ b/crates/hoisthitch-scheduler/src/lib.rs
@@ -1,12 +1,11 @@
 //! The job service of a node.
 //!
-//! Any node takes jobs in, and answers for their state; what it answers lies in
-//! the store. Each pool has one owner among the nodes, which places the pool's
-//! tasks, talks to its runners and takes its VMs through waves. Owners are
-//! elected under compare-and-swap; the revision of an owner's election is the
-//! fencing token of all its orders.
+//! Every node accepts jobs and answers queries for their state, which it reads from the store. Each
+//! pool has one owner among the nodes. The owner places the pool's tasks, sends orders to its
+//! runners and maintains its VMs in waves. Owners are elected by compare-and-swap; the revision of
+//! an owner's election is the fencing token of all its orders.
 //!
-//! The platform is met through the traits of [`platform`].
+//! The platform is accessed through the traits of [`platform`].
 
 mod clock;
 mod create;
--- a/crates/hoisthitch-scheduler/src/metrics.rs
+++ b/crates/hoisthitch-scheduler/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a node.
+//! Prometheus metrics of a node's job service.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
     Registry, //
 };
 
-/// Counters and histograms of the job service.
+/// Counters, histograms and gauges of the job service.
 #[derive(Clone, Debug)]
 pub struct NodeMetrics {
-    /// Registry that they are in.
+    /// Registry that contains them.
     pub registry: Registry,
     /// Calls of clients, by kind and outcome.
     pub calls: IntCounterVec,
     /// Orders to runners, by kind and outcome.
     pub orders: IntCounterVec,
-    /// Starts that were not sent when their turn came, by reason.
+    /// Starts that were not sent when they were due, by reason.
     pub starts_not_sent: IntCounterVec,
     /// Events of this node's pools, by kind.
     pub events: IntCounterVec,
@@ -32,17 +32,17 @@
     pub start_age: Histogram,
     /// Seconds since the list of runners was last confirmed, at the sending of a start.
     pub start_list_age: Histogram,
-    /// Longest time, in seconds, that a change of the list of runners was under way.
+    /// Upper bound, in seconds, of the time that a change of the list of runners took to arrive.
     pub runner_change_age: Histogram,
     /// Seconds that a write of an owner's journal took.
     pub journal: Histogram,
-    /// Seconds of a look of an owner's loop, by loop.
+    /// Seconds of a pass of an owner's loop, by loop.
     pub loop_seconds: HistogramVec,
     /// Calls to the platform and to runners, by purpose.
     pub platform_calls: IntCounterVec,
     /// Bytes of those calls' paths and bodies, by purpose and direction.
     pub platform_bytes: IntCounterVec,
-    /// Version of the configuration in force; zero before the first.
+    /// Version of the configuration in effect; zero before the first.
     pub policy_version: IntGauge,
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// A time in the unit of histograms.
+/// Converts a time to seconds, the unit of the histograms.
 pub(crate) fn seconds(time: Millis) -> f64 {
     Duration::from_millis(time).as_secs_f64()
 }
--- a/crates/hoisthitch-scheduler/src/platform.rs
+++ b/crates/hoisthitch-scheduler/src/platform.rs
@@ -1,4 +1,9 @@
-//! What the job service needs of the platform, besides its store.
+//! Traits that connect the job service to a platform: its runners, VMs, records and adviser. The
+//! trait of its store is [`StoreClient`].
+//!
+//! A platform implements [`Platform`] and what belongs to it; tests implement them for a simulated
+//! cluster. Orders carry the fencing token of the pool's owner, and an implementation must hand it
+//! on, since it is what stops an earlier owner from giving orders.
 
 use std::{
     net::SocketAddr,
@@ -32,71 +37,72 @@
     TeamTable, //
 };
 
-/// A runner and where it listens.
+/// A runner's record: its pool, its address and its state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RunnerRecord {
     /// Pool that it belongs to.
     pub pool: String,
-    /// Address for orders.
+    /// Address to which orders are sent.
     pub address: SocketAddr,
-    /// What matters for placement.
+    /// Properties of the runner that placement goes by.
     pub facts: RunnerFacts,
 }
 
-/// Address of one life of a runner.
+/// Address of one instance of a runner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RunnerAddress {
-    /// The life.
+    /// The instance.
     pub instance: RunnerInstance,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
 }
 
-/// Terms of an order.
+/// Fencing token and lease that an order to a runner carries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OrderLease {
     /// Fencing token of the owner.
     pub epoch: u64,
-    /// End of the lease that the order names, by the runner's clock.
+    /// End of the lease that the order grants, by the runner's clock, in milliseconds.
     pub lease_end_ms: u64,
 }
 
-/// Asks a runner what it holds, and renews the lease of what runs there.
+/// Heartbeat to a runner: asks what runs there and what has ended, acknowledges recorded ends, and
+/// renews the lease of the running tasks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeartbeatRequest {
     /// Fencing token of the owner.
     pub epoch: u64,
-    /// Last end that is recorded; the runner may forget it.
+    /// Number of the last end that is recorded; the runner may forget the ends up to it.
     pub acked_end: u64,
-    /// New end of the lease by the runner's clock; none to leave it.
+    /// New end of the lease by the runner's clock, in milliseconds; none to leave it unchanged.
     pub lease_end_ms: Option<u64>,
-    /// Time for which the runner may wait for an end.
+    /// Time for which the runner may wait for an end before it answers.
     pub wait: Duration,
 }
 
-/// Why a runner did not do what it was told.
+/// Why an order to a runner failed.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum RunnerError {
-    /// A later owner gives orders there.
-    #[error("a later owner gives orders to the runner")]
+    /// The runner has seen the fencing token of a later owner.
+    #[error("the runner has seen the fencing token of a later owner")]
     Fenced,
-    /// Another life of the runner answered.
-    #[error("another life of the runner answered")]
+    /// Another instance of the runner answered.
+    #[error("another instance of the runner answered")]
     WrongLife,
-    /// The runner refused.
+    /// The runner refused the order with this HTTP status.
     #[error("the runner refused with status {0}")]
     Refused(u16),
-    /// Nothing listens at the runner's address, so that nothing was sent.
+    /// Nothing listens at the runner's address, so the order was not sent.
     #[error("nothing listens at the runner's address")]
     NotListening,
-    /// There was no readable answer; the order may still be carried out.
+    /// There was no valid answer; the order may still be carried out.
     #[error("no answer from the runner: {0}")]
     NoAnswer(String),
 }
 
-/// Gives orders to runners.
+/// Sends orders to runners.
 pub trait RunnerControl: Clone + 'static {
-    /// Orders a start.
+    /// Orders the start of a task.
     fn start(
         &self,
         runner: &RunnerAddress,
@@ -104,7 +110,7 @@
         lease: OrderLease,
     ) -> impl Future<Output = StartOutcome>;
 
-    /// Orders a stop.
+    /// Orders the stop of a task.
     fn stop(
         &self,
         runner: &RunnerAddress,
@@ -112,14 +118,14 @@
         epoch: u64,
     ) -> impl Future<Output = Result<(), RunnerError>>;
 
-    /// Asks what the runner holds.
+    /// Sends a heartbeat and returns what runs on the runner and what has ended there.
     fn heartbeat(
         &self,
         runner: &RunnerAddress,
         request: HeartbeatRequest,
     ) -> impl Future<Output = Result<HeartbeatReport, RunnerError>>;
 
-    /// Sets the pace of a filler.
+    /// Sets the throttle of a best-effort task.
     fn pace(
         &self,
         runner: &RunnerAddress,
@@ -133,9 +139,9 @@
 pub enum VmCondition {
     /// It runs.
     Up,
-    /// It is in an upkeep.
+    /// It is in maintenance.
     Maintenance,
-    /// It is down, or moves between pools.
+    /// It is down, or being moved between pools.
     Unavailable,
 }
 
@@ -148,33 +154,34 @@
     pub pool: String,
     /// State.
     pub condition: VmCondition,
-    /// Its runner's life, if there is one.
+    /// Instance of its runner, if it has one.
     pub runner: Option<String>,
 }
 
-/// Why the platform did not do what it was told about a VM.
+/// Why an order about a VM failed.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum VmError {
-    /// The VM is not up, or leaves.
+    /// The VM is not up, or is leaving.
     #[error("the VM is busy")]
     Busy,
-    /// The VM is not of that wave, or there is no such VM.
-    #[error("the platform knows no such VM in the wave")]
+    /// The VM is not in the wave, or does not exist.
+    #[error("the VM is not in the wave, or does not exist")]
     NotListed,
-    /// A later owner gave orders for it.
-    #[error("a later owner gives orders for the VM")]
+    /// The platform has seen the fencing token of a later owner for the VM.
+    #[error("the platform has seen the fencing token of a later owner for the VM")]
     Fenced,
     /// There was no answer; the order may still be carried out.
     #[error("no answer from the platform: {0}")]
     NoAnswer(String),
 }
 
-/// Gives orders about VMs.
+/// Lists VMs, and sends orders about them to the platform.
 pub trait VmControl: Clone + 'static {
     /// Lists all VMs.
     fn list(&self) -> impl Future<Output = Result<Vec<VmStatus>, VmError>>;
 
-    /// Takes a VM into its upkeep; done at once if it was done already.
+    /// Starts the maintenance of a VM in a wave; succeeds at once if that was done already.
+    /// `holder` names who gives the order, and `token` is the fencing token.
     fn start_maintenance(
         &self,
         vm: &str,
@@ -183,7 +190,8 @@
         token: u64,
     ) -> impl Future<Output = Result<(), VmError>>;
 
-    /// Moves a VM to another pool; done at once if it was done already.
+    /// Moves a VM to another pool; succeeds at once if that was done already. `holder` names who
+    /// gives the order, and `token` is the fencing token.
     fn move_to_pool(
         &self,
         vm: &str,
@@ -193,87 +201,88 @@
     ) -> impl Future<Output = Result<(), VmError>>;
 }
 
-/// A wave that operators ask for.
+/// A maintenance wave that operators request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WaveRequest {
-    /// Number.
+    /// Number of the wave.
     pub wave: u64,
-    /// VMs that are due.
+    /// VMs to be maintained.
     pub vms: Vec<String>,
-    /// VMs that may be down at once.
+    /// Largest number of VMs that may be down at once, as requested.
     pub max_down: usize,
 }
 
 impl WaveRequest {
-    /// VMs that may be down at once; one at least, or the wave would never end.
+    /// Largest number of VMs that may be down at once: at least one, or the wave would never end.
     pub(crate) fn max_down(&self) -> usize {
         self.max_down.max(1)
     }
 }
 
-/// Reads what operators and runners write to the store.
+/// Parses the records that operators and runners write to the store, and encodes the status that
+/// operators read there.
 pub trait FleetCodec: Clone + 'static {
-    /// Start of the keys that operators write.
+    /// Prefix of the keys that operators write.
     fn operators_prefix(&self) -> String;
 
-    /// Start of the keys that runners write.
+    /// Prefix of the keys that runners write.
     fn runners_prefix(&self) -> String;
 
-    /// Reads the configuration, if the key is its key.
+    /// Parses the configuration, if the key is its key.
     fn parse_policy(&self, key: &str, value: &[u8]) -> Option<Result<FleetPolicy, String>>;
 
-    /// Reads a wave, if the key is a wave's.
+    /// Parses a wave, if the key is a wave's.
     fn parse_wave(&self, key: &str, value: &[u8]) -> Option<Result<WaveRequest, String>>;
 
-    /// Name of the life of a runner, if the key is a runner's.
+    /// Name of the runner's instance, if the key is a runner's.
     fn parse_runner_name<'a>(&self, key: &'a str) -> Option<&'a str>;
 
-    /// Reads a runner's record.
+    /// Parses a runner's record.
     fn parse_runner(&self, name: &str, value: &[u8]) -> Result<RunnerRecord, String>;
 
-    /// Key and value that tell operators whether a wave is completed.
+    /// Key and value of the record that shows operators whether a wave is completed.
     fn encode_wave_status(&self, wave: u64, completed: bool) -> (String, Vec<u8>);
 }
 
-/// What an adviser answered.
+/// Answer of an adviser.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AdviceResponse {
     /// Runners that may run the step, with their tickets.
     pub tickets: Vec<AdviceTicket>,
-    /// Time for which the tickets hold, from the answer on.
+    /// Time for which the tickets are valid, from the answer on.
     pub valid_for: Duration,
 }
 
-/// Asks which runners may run a step.
+/// Asks the adviser which runners may run a step.
 pub trait AdviceSource: Clone + 'static {
-    /// Asks for one step; the error says why there is no answer.
+    /// Asks for advice on one step. The error says why there is no answer.
     fn advise(
         &self,
         request: &AdviceRequest,
     ) -> impl Future<Output = Result<AdviceResponse, String>>;
 }
 
-/// Everything of the platform that a node uses.
+/// All parts of the platform that a node uses.
 pub trait Platform: Clone + 'static {
-    /// Its store.
+    /// Client of the store.
     type Store: StoreClient;
-    /// Its runners.
+    /// Control of the runners.
     type Runners: RunnerControl;
-    /// Its VMs.
+    /// Control of the VMs.
     type Vms: VmControl;
-    /// Its records.
+    /// Codec of operators' and runners' records.
     type Codec: FleetCodec;
-    /// Its adviser.
+    /// Source of advice.
     type Advice: AdviceSource;
 
-    /// The store.
+    /// Client of the store.
     fn store(&self) -> &Self::Store;
-    /// The runners.
+    /// Control of the runners.
     fn runners(&self) -> &Self::Runners;
-    /// The VMs.
+    /// Control of the VMs.
     fn vms(&self) -> &Self::Vms;
-    /// The records.
+    /// Codec of operators' and runners' records.
     fn codec(&self) -> &Self::Codec;
-    /// The adviser.
+    /// Source of advice.
     fn advice(&self) -> &Self::Advice;
 }
