--- a/crates/hoisthitch-scheduler/src/group.rs
+++ b/crates/hoisthitch-scheduler/src/group.rs
@@ -157,7 +157,7 @@
     /// Applies a change of the group's records.
     pub(crate) fn take(&mut self, keys: &JobKeys, change: FollowEvent, now: Millis) {
         self.apply_change(keys, change);
-        self.note_members(now);
+        self.record_members(now);
     }
 
     fn apply_change(&mut self, keys: &JobKeys, change: FollowEvent) {
@@ -202,7 +202,7 @@
     }
 
     /// Whether this instance of a node is a member.
-    pub(crate) fn lists(&self, identity: &NodeIdentity) -> bool {
+    pub(crate) fn has_instance(&self, identity: &NodeIdentity) -> bool {
         let member = self.members.get(&identity.node);
         member.is_some_and(|member| member.instance == identity.instance)
     }
@@ -214,15 +214,14 @@
         })
     }
 
-    /// Pools that this node should try to own now, with the revision of their last election.
-    /// `running` are the pools that it owns or campaigns for already, and `quiet_since` is the time of
-    /// the last store failure.
-    pub(crate) fn wanted(
+    /// Pools that this node should campaign for now, with the revision of their last election.
+    /// `running` are the pools that it owns or campaigns for already.
+    pub(crate) fn pools_to_own(
         &mut self,
         pools: &[String],
         identity: &NodeIdentity,
         running: &BTreeSet<String>,
-        quiet_since: Millis,
+        last_store_failure: Millis,
         now: Millis,
     ) -> Vec<(String, StoreRevision)> {
         let vacant: Vec<&String> = pools
@@ -235,31 +234,31 @@
             self.vacant_since.entry((*pool).clone()).or_insert(now);
         }
         let mut loads = self.loads(pools);
-        let mut wanted = Vec::new();
+        let mut to_own = Vec::new();
         for pool in vacant {
             let order = self.candidates(pool, &loads);
             if let Some(first) = order.first() {
                 *loads.entry(first.clone()).or_insert(0) += 1;
             }
-            let place = order.iter().position(|node| *node == identity.node);
-            let Some(place) = place.and_then(|place| Millis::try_from(place).ok()) else {
+            let rank = order.iter().position(|node| *node == identity.node);
+            let Some(rank) = rank.and_then(|rank| Millis::try_from(rank).ok()) else {
                 continue;
             };
             let since = self.vacant_since.get(pool).copied().unwrap_or(now);
-            let due = (since + place * ELECTION_STEP_MS).max(quiet_since + SETTLE_MS);
+            let due = (since + rank * ELECTION_STEP_MS).max(last_store_failure + SETTLE_MS);
             if now >= due {
                 let revision = self
                     .owners
                     .get(pool)
                     .map_or(StoreRevision::default(), |entry| entry.revision);
-                wanted.push((pool.clone(), revision));
+                to_own.push((pool.clone(), revision));
             }
         }
-        wanted
+        to_own
     }
 
     /// Records when the members last changed.
-    fn note_members(&mut self, now: Millis) {
+    fn record_members(&mut self, now: Millis) {
         let instances = self
             .members
             .iter()
@@ -316,8 +315,8 @@
         })
     }
 
-    /// Whether the pool's record names this instance of this node. If the node does not run the pool,
-    /// the answer to its election was lost.
+    /// Whether the record of the pool's owner names this instance of this node. If the node does
+    /// not run the pool, the answer to its election was lost.
     fn names_owner(&self, pool: &str, identity: &NodeIdentity) -> bool {
         self.owners.get(pool).is_some_and(|entry| {
             entry.record.node == identity.node && entry.record.instance == identity.instance
--- a/crates/hoisthitch-scheduler/src/node.rs
+++ b/crates/hoisthitch-scheduler/src/node.rs
@@ -144,13 +144,13 @@
             Some(change) = group_changes.recv() => {
                 group.take(&control.keys, change, control.shared.clock.now());
                 control.shared.store.note_nodes(group.members.len());
-                listed.send_replace(group.lists(&control.identity));
+                listed.send_replace(group.has_instance(&control.identity));
                 group_changed = true;
             }
             Some(pool) = ends.recv() => drop(control.running.remove(&pool)),
-            _ = check.tick() => control.relieve(&group),
+            _ = check.tick() => control.hand_over_pool(&group),
         }
-        control.elect(&mut group);
+        control.campaign(&mut group);
         if group_changed {
             let pools = control.fleet.borrow().pools.clone();
             is_standby = group.is_standby(&pools, &control.identity.node);
@@ -226,16 +226,16 @@
     }
 
     /// Starts a campaign for each pool that this node should try to own now.
-    fn elect(&mut self, group: &mut GroupView) {
+    fn campaign(&mut self, group: &mut GroupView) {
         let now = self.shared.clock.now();
         if !self.shared.store.is_usable(now) {
             return;
         }
         let pools = self.fleet.borrow().pools.clone();
-        let quiet_since = self.shared.store.last_failure();
+        let last_store_failure = self.shared.store.last_failure();
         let running = self.running.keys().cloned().collect();
-        let wanted = group.wanted(&pools, &self.identity, &running, quiet_since, now);
-        for (pool, revision) in wanted {
+        let to_own = group.pools_to_own(&pools, &self.identity, &running, last_store_failure, now);
+        for (pool, revision) in to_own {
             let (stop, stop_receiver) = watch::channel(false);
             self.running.insert(pool.clone(), stop);
             let context = OwnerContext {
@@ -259,7 +259,7 @@
 
 impl<P: Platform> NodeControl<P> {
     /// Hands over a pool for which another node has much more capacity.
-    fn relieve(&self, group: &GroupView) {
+    fn hand_over_pool(&self, group: &GroupView) {
         let now = self.shared.clock.now();
         let pools = &self.fleet.borrow().pools;
         let Some(handover) = group.pick_handover(pools, &self.identity, now) else {
