--- a/crates/hoisthitch-scheduler/src/create.rs
+++ b/crates/hoisthitch-scheduler/src/create.rs
@@ -83,7 +83,7 @@
         Self { queue }
     }
 
-    /// Creates a record; returns at about the request's deadline at the latest.
+    /// Creates a record. Returns by about the request's deadline.
     pub(crate) async fn create(&self, request: CreateRequest) -> CreateOutcome {
         let (reply, outcome) = oneshot::channel();
         if self.queue.try_send((request, reply)).is_err() {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Writes the requested creations in batches until the clients are gone.
+/// Writes the requested creations in batches until all [`CreateBatcher`]s are dropped.
 async fn run_writer<S: StoreClient>(
     store: S,
     shared: Arc<NodeShared>,
--- a/crates/hoisthitch-scheduler/src/fleet.rs
+++ b/crates/hoisthitch-scheduler/src/fleet.rs
@@ -44,8 +44,8 @@
     /// Whether the list of runners was read; only nodes that own pools, or are standbys, follow
     /// it.
     pub(crate) listed: bool,
-    /// Instances of runners that were listed since the list is followed, by address and by VM,
-    /// and when each was first listed.
+    /// Instances of runners that were listed since this node follows the list, by address and by
+    /// VM, and when each was first listed.
     instances: HashMap<String, BTreeMap<RunnerInstance, Millis>>,
 }
 
@@ -134,8 +134,8 @@
             draining = record.facts.draining,
             age_ms = age.map_or_else(|| "unknown".to_owned(), |age| age.to_string())
         );
-        for place in locations_of(&record) {
-            let instances = self.instances.entry(place).or_default();
+        for location in locations_of(&record) {
+            let instances = self.instances.entry(location).or_default();
             instances.entry(record.facts.instance()).or_insert(now);
         }
         self.runners.insert(name.to_owned(), record);
@@ -150,9 +150,9 @@
         let Some(record) = self.runners.get(name) else {
             return BTreeSet::new();
         };
-        let places = locations_of(record);
-        let instances = places
-            .filter_map(|place| self.instances.get(&place))
+        let locations = locations_of(record);
+        let instances = locations
+            .filter_map(|location| self.instances.get(&location))
             .flatten();
         let others = instances.filter(|(instance, _)| instance.name != name);
         others
@@ -173,8 +173,8 @@
         let mut others = instances
             .iter()
             .filter(|(other, _)| !other.may_be(&instance));
-        let renews = others.any(|(other, at)| other.name == name && *at < listed_at);
-        renews.then_some(listed_at)
+        let is_restart = others.any(|(other, at)| other.name == name && *at < listed_at);
+        is_restart.then_some(listed_at)
     }
 
     /// Whether a runner is draining or no longer listed.
@@ -203,6 +203,8 @@
 
 /// The address and the VM of a runner, as far as they are known.
 fn locations_of(record: &RunnerRecord) -> impl Iterator<Item = String> {
-    let places = [record.address.to_string(), record.facts.vm.clone()];
-    places.into_iter().filter(|place| !place.is_empty())
+    let locations = [record.address.to_string(), record.facts.vm.clone()];
+    locations
+        .into_iter()
+        .filter(|location| !location.is_empty())
 }
--- a/crates/hoisthitch-scheduler/src/follow.rs
+++ b/crates/hoisthitch-scheduler/src/follow.rs
@@ -119,29 +119,29 @@
 /// Follows the records below a prefix until the receiver of the events is closed.
 pub(crate) async fn follow_prefix<S: StoreClient>(
     store: S,
-    order: FollowOptions,
+    options: FollowOptions,
     shared: Arc<NodeShared>,
     events: mpsc::UnboundedSender<FollowEvent>,
 ) {
     let mut lost = None;
     while !events.is_closed() {
-        let ended = follow_once(&store, &order, &shared, &events, &mut lost).await;
+        let ended = follow_once(&store, &options, &shared, &events, &mut lost).await;
         if let Err(err) = ended {
-            wait_after_loss(&mut lost, &order, &shared, &err).await;
+            wait_after_loss(&mut lost, &options, &shared, &err).await;
         }
     }
 }
 
 async fn wait_after_loss(
     lost: &mut Option<FollowLoss>,
-    order: &FollowOptions,
+    options: &FollowOptions,
     shared: &NodeShared,
     err: &StoreError,
 ) {
     let now = shared.clock.now();
     shared.store.record_failure(now);
-    let failures = note_loss(lost, &order.prefix, err, now);
-    let wait = match order.retry {
+    let failures = count_failure(lost, &options.prefix, err, now);
+    let wait = match options.retry {
         FollowRetry::Short => RETRY_WAIT,
         FollowRetry::ByNodes => shared.store.retry_wait(failures),
     };
@@ -150,7 +150,12 @@
 
 /// Counts a failure and returns how many there were in a row. Logs the first, and further ones at
 /// most once per [`LOG_INTERVAL_MS`].
-fn note_loss(lost: &mut Option<FollowLoss>, prefix: &str, err: &StoreError, now: Millis) -> u32 {
+fn count_failure(
+    lost: &mut Option<FollowLoss>,
+    prefix: &str,
+    err: &StoreError,
+    now: Millis,
+) -> u32 {
     let Some(loss) = lost else {
         event!(Warn, "follow_lost", prefix = prefix, error = err);
         *lost = Some(FollowLoss {
@@ -178,7 +183,7 @@
 }
 
 /// Logs the end of the failures, if there were any.
-fn note_regained(lost: &mut Option<FollowLoss>, prefix: &str, change: &WatchEvent, now: Millis) {
+fn log_recovery(lost: &mut Option<FollowLoss>, prefix: &str, change: &WatchEvent, now: Millis) {
     if let Some(loss) = lost.take() {
         // A watch that was resumed has no list of all values.
         let values = match change {
@@ -209,24 +214,24 @@
 
 impl SuspendMeter {
     fn start(clock: &NodeClock) -> Self {
-        let slept = clock.suspended_ms();
+        let suspended = clock.suspended_ms();
         Self {
             call: None,
-            before_call: slept,
-            at_last: slept,
+            before_call: suspended,
+            at_last: suspended,
         }
     }
 
     /// Time, in milliseconds, for which the VM was suspended since the call that was sent at `at`,
     /// or since a little before it.
     fn suspended_since(&mut self, at: Instant, clock: &NodeClock) -> Millis {
-        let slept = clock.suspended_ms();
+        let suspended = clock.suspended_ms();
         if self.call != Some(at) {
             self.call = Some(at);
             self.before_call = self.at_last;
         }
-        self.at_last = slept;
-        slept - self.before_call
+        self.at_last = suspended;
+        suspended - self.before_call
     }
 }
 
@@ -242,18 +247,18 @@
 
 async fn follow_once<S: StoreClient>(
     store: &S,
-    order: &FollowOptions,
+    options: &FollowOptions,
     shared: &NodeShared,
     events: &mpsc::UnboundedSender<FollowEvent>,
     lost: &mut Option<FollowLoss>,
 ) -> Result<(), StoreError> {
-    let prefix = order.prefix.as_str();
+    let prefix = options.prefix.as_str();
     let mut suspends = SuspendMeter::start(&shared.clock);
     let mut watch = store.watch(prefix, StoreRevision::default()).await?;
-    while let Some(change) = next_change(&mut watch, order.confirms).await {
+    while let Some(change) = next_change(&mut watch, options.confirms).await {
         let change = match change {
             Err(err) if watch.can_resume_after(&err) => {
-                wait_after_loss(lost, order, shared, &err).await;
+                wait_after_loss(lost, options, shared, &err).await;
                 continue;
             }
             change => change?,
@@ -263,11 +268,11 @@
             WatchEvent::Created => WatchEvent::Snapshot(store.read_prefix(prefix).await?),
             change => change,
         };
-        note_regained(lost, prefix, &change, shared.clock.now());
+        log_recovery(lost, prefix, &change, shared.clock.now());
         let sent = match change {
             WatchEvent::Snapshot(all) => events.send(FollowEvent::Snapshot(all)),
             WatchEvent::Put(stored) => {
-                if order.confirms == FollowProgress::AfterChange {
+                if options.confirms == FollowProgress::AfterChange {
                     watch.shorten_next_wait();
                 }
                 events.send(FollowEvent::Put(stored))
@@ -278,7 +283,7 @@
         if sent.is_err() {
             break;
         }
-        if order.confirms != FollowProgress::Never
+        if options.confirms != FollowProgress::Never
             && watch.is_buffer_empty()
             && let Some(at) = watch.complete_as_of()
         {
@@ -288,7 +293,7 @@
             // A closed receiver is noticed at the next change.
             let _ = events.send(FollowEvent::Progress(at));
         }
-        let pause = order.pause.length(&shared.store);
+        let pause = options.pause.length(&shared.store);
         if !pause.is_zero() && watch.is_buffer_empty() && !watch.may_have_more() {
             tokio::time::sleep(pause).await;
         }
--- a/crates/hoisthitch-scheduler/src/group.rs
+++ b/crates/hoisthitch-scheduler/src/group.rs
@@ -155,7 +155,7 @@
 
 impl GroupView {
     /// Applies a change of the group's records.
-    pub(crate) fn take(&mut self, keys: &JobKeys, change: FollowEvent, now: Millis) {
+    pub(crate) fn apply(&mut self, keys: &JobKeys, change: FollowEvent, now: Millis) {
         self.apply_change(keys, change);
         self.record_members(now);
     }
@@ -233,12 +233,12 @@
         for pool in &vacant {
             self.vacant_since.entry((*pool).clone()).or_insert(now);
         }
-        let mut loads = self.loads(pools);
+        let mut pool_counts = self.pool_counts(pools);
         let mut to_own = Vec::new();
         for pool in vacant {
-            let order = self.candidates(pool, &loads);
+            let order = self.candidates(pool, &pool_counts);
             if let Some(first) = order.first() {
-                *loads.entry(first.clone()).or_insert(0) += 1;
+                *pool_counts.entry(first.clone()).or_insert(0) += 1;
             }
             let rank = order.iter().position(|node| *node == identity.node);
             let Some(rank) = rank.and_then(|rank| Millis::try_from(rank).ok()) else {
@@ -287,17 +287,18 @@
         if now < self.unchanged_since + STABLE_MS {
             return None;
         }
-        let loads = self.loads(pools);
-        let own = loads
+        let pool_counts = self.pool_counts(pools);
+        let own_pools = pool_counts
             .get(&identity.node)
             .copied()
-            .filter(|load| *load > 0)?;
-        let load = relative_load(own, identity.cpu_milli);
+            .filter(|count| *count > 0)?;
+        let load = relative_load(own_pools, identity.cpu_milli);
         let pool = pools.iter().find(|pool| self.names_owner(pool, identity))?;
-        let order = self.candidates(pool, &loads);
+        let order = self.candidates(pool, &pool_counts);
         let node = order.into_iter().find(|node| *node != identity.node)?;
         let cpu_milli = self.members.get(&node)?.cpu_milli;
-        let target_load = relative_load(loads.get(&node).copied().unwrap_or(0) + 1, cpu_milli);
+        let target_load =
+            relative_load(pool_counts.get(&node).copied().unwrap_or(0) + 1, cpu_milli);
         (load * 2 >= target_load * HANDOVER_RATIO_HALVES).then(|| PoolHandover {
             pool: pool.clone(),
             load,
@@ -308,9 +309,9 @@
 
     /// Whether this node is a standby of some pool.
     pub(crate) fn is_standby(&self, pools: &[String], node: &str) -> bool {
-        let loads = self.loads(pools);
+        let pool_counts = self.pool_counts(pools);
         pools.iter().any(|pool| {
-            let order = self.candidates(pool, &loads);
+            let order = self.candidates(pool, &pool_counts);
             order.iter().take(STANDBYS).any(|other| other == node)
         })
     }
@@ -324,32 +325,32 @@
     }
 
     /// Number of pools that each living node owns.
-    fn loads(&self, pools: &[String]) -> BTreeMap<String, usize> {
-        let mut loads: BTreeMap<String, usize> =
+    fn pool_counts(&self, pools: &[String]) -> BTreeMap<String, usize> {
+        let mut pool_counts: BTreeMap<String, usize> =
             self.members.keys().map(|node| (node.clone(), 0)).collect();
         for pool in pools.iter().filter(|pool| self.is_owned(pool)) {
             if let Some(entry) = self.owners.get(pool)
-                && let Some(load) = loads.get_mut(&entry.record.node)
+                && let Some(count) = pool_counts.get_mut(&entry.record.node)
             {
-                *load += 1;
+                *count += 1;
             }
         }
-        loads
+        pool_counts
     }
 
     /// Living nodes in the order in which they should campaign for a pool: by relative load with
-    /// the pool, and at equal load the node that started last first. In a rolling
-    /// restart, a node that was not restarted yet would hand the pool on again, which takes three
-    /// seconds where the store is slow.
-    fn candidates(&self, pool: &str, loads: &BTreeMap<String, usize>) -> Vec<String> {
+    /// the pool, and at equal load the node that started last first. In a rolling restart, a node
+    /// that was not restarted yet would hand the pool on again, which takes three seconds where
+    /// the store is slow.
+    fn candidates(&self, pool: &str, pool_counts: &BTreeMap<String, usize>) -> Vec<String> {
         let mut order: Vec<String> = self.members.keys().cloned().collect();
         order.sort_by_cached_key(|node| {
-            let load = loads.get(node).copied().unwrap_or(0);
+            let pools = pool_counts.get(node).copied().unwrap_or(0);
             let member = self.members.get(node);
             let cpu_milli = member.map_or(1, |member| member.cpu_milli);
             let started_ms = member.map_or(0, |member| member.started_ms);
             (
-                relative_load(load + 1, cpu_milli),
+                relative_load(pools + 1, cpu_milli),
                 Reverse(started_ms / START_WINDOW_MS),
                 hash_name(&format!("{pool}/{node}")),
             )
@@ -359,8 +360,8 @@
 }
 
 /// Number of pools of a node in relation to its processor time, scaled by [`LOAD_SCALE`].
-fn relative_load(load: usize, cpu_milli: u64) -> usize {
-    load * LOAD_SCALE / usize::try_from(cpu_milli.max(1)).unwrap_or(1)
+fn relative_load(pools: usize, cpu_milli: u64) -> usize {
+    pools * LOAD_SCALE / usize::try_from(cpu_milli.max(1)).unwrap_or(1)
 }
 
 /// Keeps the node's record alive until the node stops.
--- a/crates/hoisthitch-scheduler/src/http.rs
+++ b/crates/hoisthitch-scheduler/src/http.rs
@@ -86,8 +86,8 @@
         memory_limit: team.limit.memory_mb,
         gpu_limit: team.limit.gpus,
         cpu_held: held.as_ref().map(|held| {
-            let parts = held.get(&*team.name);
-            parts.map_or(0, |parts| parts.total().cpu_milli)
+            let allocations = held.get(&*team.name);
+            allocations.map_or(0, |allocations| allocations.total().cpu_milli)
         }),
         policy: policy.version,
     });
--- a/crates/hoisthitch-scheduler/src/keys.rs
+++ b/crates/hoisthitch-scheduler/src/keys.rs
@@ -9,7 +9,7 @@
 }
 
 impl JobKeys {
-    /// Keys below `root`.
+    /// Builds keys below `root`.
     pub fn new(root: &str) -> Self {
         Self {
             root: root.trim_end_matches('/').to_owned(),
@@ -21,12 +21,12 @@
         format!("{}/group/", self.root)
     }
 
-    /// Record of a living node; removed when its lease expires.
+    /// Key of a living node's record, which is removed when its lease expires.
     pub fn member(&self, node: &str) -> String {
         format!("{}/group/member/{node}", self.root)
     }
 
-    /// Record of the owner of a pool.
+    /// Key of the record of a pool's owner.
     pub fn owner(&self, pool: &str) -> String {
         format!("{}/group/owner/{pool}", self.root)
     }
@@ -43,12 +43,12 @@
             .strip_prefix("/group/owner/")
     }
 
-    /// Head record of a pool's journal; each write of the pool's owner changes it.
+    /// Key of the head of a pool's journal, which each write of the pool's owner changes.
     pub fn journal_head(&self, pool: &str) -> String {
         format!("{}/head/{pool}", self.root)
     }
 
-    /// Location of a job: its pool, queue and team.
+    /// Key of the location of a job: its pool, queue and team.
     pub fn location(&self, id: &str) -> String {
         format!("{}/id/{id}", self.root)
     }
@@ -58,12 +58,12 @@
         format!("{}/in/{pool}/", self.root)
     }
 
-    /// Submission of a job.
+    /// Key of the submission of a job.
     pub fn submission(&self, pool: &str, id: &str) -> String {
         format!("{}/in/{pool}/job-{id}", self.root)
     }
 
-    /// Cancel of a job.
+    /// Key of the cancel of a job.
     pub fn cancel(&self, pool: &str, id: &str) -> String {
         format!("{}/in/{pool}/cancel-{id}", self.root)
     }
@@ -73,12 +73,12 @@
         format!("{}/run/{pool}/", self.root)
     }
 
-    /// Progress of a job.
+    /// Key of the progress of a job.
     pub fn progress(&self, pool: &str, id: &str) -> String {
         format!("{}/run/{pool}/{id}", self.root)
     }
 
-    /// Numbers of waiting jobs in a pool's queues.
+    /// Key of the numbers of waiting jobs in a pool's queues.
     pub fn counts(&self, pool: &str) -> String {
         format!("{}/count/{pool}", self.root)
     }
@@ -88,7 +88,7 @@
         format!("{}/share/", self.root)
     }
 
-    /// VM balance of a pool: the VMs that it has and wants.
+    /// Key of the VM balance of a pool: the VMs that it has and wants.
     pub fn vm_balance(&self, pool: &str) -> String {
         format!("{}/share/{pool}", self.root)
     }
@@ -98,7 +98,7 @@
         format!("{}/quota/", self.root)
     }
 
-    /// Quota allocations of a team's limit to pools.
+    /// Key of the allocations of a team's limit to pools.
     pub fn quota(&self, team: &str) -> String {
         format!("{}/quota/{team}", self.root)
     }
@@ -109,7 +109,7 @@
             .strip_prefix("/quota/")
     }
 
-    /// State of a wave.
+    /// Key of the state of a wave.
     pub fn wave(&self, wave: u64) -> String {
         format!("{}/wave/{wave}", self.root)
     }
--- a/crates/hoisthitch-scheduler/src/location.rs
+++ b/crates/hoisthitch-scheduler/src/location.rs
@@ -58,8 +58,8 @@
             Self::All => true,
             Self::Caller { queue, team } => {
                 let own = || team.0.as_deref() == Some(job.team.as_str());
-                let open = || queue.anonymous && queue.name == job.queue;
-                job.team.is_empty() || own() || open()
+                let anonymous = || queue.anonymous && queue.name == job.queue;
+                job.team.is_empty() || own() || anonymous()
             }
         }
     }
--- a/crates/hoisthitch-scheduler/src/node.rs
+++ b/crates/hoisthitch-scheduler/src/node.rs
@@ -97,9 +97,9 @@
     let store = platform.store().clone();
     let codec = platform.codec().clone();
     let watched = shared.clone();
-    let follow = |order: FollowOptions| {
+    let follow = |options: FollowOptions| {
         let (sender, changes) = mpsc::unbounded_channel();
-        let follower = follow_prefix(store.clone(), order, watched.clone(), sender);
+        let follower = follow_prefix(store.clone(), options, watched.clone(), sender);
         actix_rt::spawn(follower);
         changes
     };
@@ -142,8 +142,8 @@
             Some(()) = operator_changes.recv() => group_changed = true,
             Some(change) = next_change(&mut runner_changes) => control.apply_runner_change(change),
             Some(change) = group_changes.recv() => {
-                group.take(&control.keys, change, control.shared.clock.now());
-                control.shared.store.note_nodes(group.members.len());
+                group.apply(&control.keys, change, control.shared.clock.now());
+                control.shared.store.record_node_count(group.members.len());
                 listed.send_replace(group.has_instance(&control.identity));
                 group_changed = true;
             }
--- a/crates/hoisthitch-scheduler/src/operators.rs
+++ b/crates/hoisthitch-scheduler/src/operators.rs
@@ -54,16 +54,16 @@
     changes: mpsc::UnboundedSender<FollowEvent>,
 ) {
     loop {
-        let order = FollowOptions {
+        let options = FollowOptions {
             prefix: prefix.clone(),
             pause: FollowPause::None,
             confirms: FollowProgress::AfterChange,
             retry: FollowRetry::ByNodes,
         };
-        let follow = follow_prefix(store.clone(), order, shared.clone(), changes.clone());
+        let follow = follow_prefix(store.clone(), options, shared.clone(), changes.clone());
         tokio::select! {
             () = follow => return,
-            version = shared.policy_refresh.raised() => event!(
+            version = shared.policy_refresh.requested() => event!(
                 Info,
                 "policy_sought",
                 version = version,
@@ -91,7 +91,7 @@
     where
         P: Platform<Codec = C>,
     {
-        let keeper = Self {
+        let watcher = Self {
             codec: platform.codec().clone(),
             shared: shared.clone(),
             fleet,
@@ -99,7 +99,7 @@
         let (sender, mut changes) = mpsc::unbounded_channel();
         actix_rt::spawn(follow_operators(
             platform.store().clone(),
-            keeper.codec.operators_prefix(),
+            watcher.codec.operators_prefix(),
             shared,
             sender,
         ));
@@ -107,7 +107,7 @@
         actix_rt::spawn(async move {
             while let Some(change) = changes.recv().await {
                 let is_change = !matches!(change, FollowEvent::Progress(_));
-                keeper.apply_change(change);
+                watcher.apply_change(change);
                 if is_change {
                     // The control loop may have ended; the configuration is still followed.
                     let _ = applied.send(());
@@ -141,11 +141,11 @@
             None => {}
         }
         match self.codec.parse_wave(&value.key, &value.value) {
-            Some(Ok(order)) => {
-                event!(Info, "wave_seen", wave = order.wave, vms = order.vms.len());
+            Some(Ok(wave)) => {
+                event!(Info, "wave_seen", wave = wave.wave, vms = wave.vms.len());
                 update_fleet(&self.fleet, |fleet| {
-                    let before = fleet.waves.insert(order.wave, order.clone());
-                    before.as_ref() != Some(&order)
+                    let before = fleet.waves.insert(wave.wave, wave.clone());
+                    before.as_ref() != Some(&wave)
                 });
             }
             Some(Err(err)) => event!(Error, "wave_unreadable", key = value.key, error = err),
--- a/crates/hoisthitch-scheduler/src/platform.rs
+++ b/crates/hoisthitch-scheduler/src/platform.rs
@@ -1,9 +1,9 @@
 //! Traits that connect the job service to a platform: its runners, VMs, records and adviser. The
 //! trait of its store is [`StoreClient`].
 //!
-//! A platform implements [`Platform`] and what belongs to it; tests implement them for a simulated
-//! cluster. Orders carry the fencing token of the pool's owner, and an implementation must hand it
-//! on, since it is what stops an earlier owner from giving orders.
+//! A platform implements [`Platform`] and the traits of its parts; tests implement them for a
+//! simulated cluster. Orders carry the fencing token of the pool's owner. An implementation must
+//! pass it on, since only the token keeps an earlier owner's orders from being carried out.
 
 use std::{
     net::SocketAddr,
--- a/crates/hoisthitch-scheduler/src/policy.rs
+++ b/crates/hoisthitch-scheduler/src/policy.rs
@@ -45,7 +45,7 @@
 pub struct PoolPolicy {
     /// Name.
     pub name: String,
-    /// Whether its VMs are off.
+    /// Whether it is a spare pool, whose VMs are off.
     pub spare: bool,
 }
 
@@ -122,8 +122,8 @@
 
     /// The queue that a request is for, and the rest of the path after the queue's prefix.
     pub fn find_queue<'a>(&self, host: &str, path: &'a str) -> Option<(&QueueRoute, &'a str)> {
-        let (place, rest) = self.index.find(host, path)?;
-        Some((self.queues.get(place)?, rest))
+        let (position, rest) = self.index.find(host, path)?;
+        Some((self.queues.get(position)?, rest))
     }
 
     /// Queue policies by name of the queue.
--- a/crates/hoisthitch-scheduler/src/service.rs
+++ b/crates/hoisthitch-scheduler/src/service.rs
@@ -82,7 +82,7 @@
     Unknown,
 }
 
-/// What never changes of a job, as read from the store or written there.
+/// Facts of a job that don't change once they are known.
 #[derive(Clone, Debug)]
 struct CachedJob {
     location: JobLocation,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Submits a job; answers at about the caller's deadline at the latest.
+    /// Submits a job. Returns by about the caller's deadline.
     pub async fn submit(
         &self,
         queue: &QueueRoute,
@@ -253,7 +253,7 @@
         Ok(Some(progress))
     }
 
-    /// Cancels a job; answers at about the caller's deadline at the latest.
+    /// Cancels a job. Returns by about the caller's deadline.
     pub async fn cancel(&self, scope: CallScope<'_>, id: &str, deadline: Millis) -> CancelAnswer {
         let started = self.shared.clock.now();
         let pool = match self.locate(id, scope).await {
@@ -321,12 +321,12 @@
     pub async fn quota_allocations(&self) -> Result<HashMap<String, QuotaAllocations>, StoreError> {
         let prefix = self.keys.quotas_prefix();
         let values = self.store.read_prefix(&prefix).await?;
-        let parts = values.iter().filter_map(|value| {
+        let allocations = values.iter().filter_map(|value| {
             let team = self.keys.quota_of(&value.key)?.to_owned();
             let read = serde_json::from_slice(&value.value);
-            Some(read.map(|parts| (team, parts)))
+            Some(read.map(|allocations| (team, allocations)))
         });
-        parts
+        allocations
             .collect::<Result<_, _>>()
             .map_err(|err| StoreError::Malformed {
                 call: "quota parts",
--- a/crates/hoisthitch-scheduler/src/shared.rs
+++ b/crates/hoisthitch-scheduler/src/shared.rs
@@ -77,7 +77,7 @@
     }
 
     /// Records how many nodes the group has.
-    pub(crate) fn note_nodes(&self, nodes: usize) {
+    pub(crate) fn record_node_count(&self, nodes: usize) {
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
         self.nodes.store(nodes, Ordering::Relaxed);
     }
@@ -195,13 +195,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct PolicyRefresh {
     version: AtomicU64,
-    raised: Notify,
+    requested: Notify,
 }
 
 impl PolicyRefresh {
     /// Waits until a version is requested that is newer than all before, and returns it.
-    pub(crate) async fn raised(&self) -> u64 {
-        self.raised.notified().await;
+    pub(crate) async fn requested(&self) -> u64 {
+        self.requested.notified().await;
         self.version.load(Ordering::Relaxed)
     }
 }
@@ -230,22 +230,26 @@
 }
 
 impl NodeShared {
-    /// State of a node that starts. `holds` says for how long it acts on its views of the store
+    /// State of a node that starts. `limits` says for how long it acts on its views of the store
     /// after they were last confirmed.
-    pub fn new(metrics: NodeMetrics, holds: StalenessLimits) -> Arc<Self> {
-        Self::with_clock(metrics, holds, NodeClock::start())
+    pub fn new(metrics: NodeMetrics, limits: StalenessLimits) -> Arc<Self> {
+        Self::with_clock(metrics, limits, NodeClock::start())
     }
 
     /// State of a node that starts, with a given clock.
-    pub fn with_clock(metrics: NodeMetrics, holds: StalenessLimits, clock: NodeClock) -> Arc<Self> {
+    pub fn with_clock(
+        metrics: NodeMetrics,
+        limits: StalenessLimits,
+        clock: NodeClock,
+    ) -> Arc<Self> {
         Arc::new(Self {
             clock,
             policy: ArcSwapOption::empty(),
             store: StoreHealth::default(),
             stopping: AtomicBool::new(false),
             metrics,
-            policy_lease: ViewLease::new(holds.policy),
-            runner_list_lease: ViewLease::new(holds.runners),
+            policy_lease: ViewLease::new(limits.policy),
+            runner_list_lease: ViewLease::new(limits.runners),
             policy_refresh: PolicyRefresh::default(),
             advice_permit: Semaphore::new(1),
         })
@@ -286,7 +290,7 @@
             .fetch_max(version, Ordering::Relaxed)
             < version
         {
-            self.policy_refresh.raised.notify_one();
+            self.policy_refresh.requested.notify_one();
         }
     }
 
--- a/crates/hoisthitch-scheduler/src/teams.rs
+++ b/crates/hoisthitch-scheduler/src/teams.rs
@@ -134,18 +134,18 @@
     /// Returns the first fault that is found.
     pub fn new(entries: Vec<TeamEntry>) -> Result<Self, TeamError> {
         let mut table = Self::default();
-        for (place, entry) in entries.into_iter().enumerate() {
-            table.add(place, entry)?;
+        for (index, entry) in entries.into_iter().enumerate() {
+            table.add(index, entry)?;
         }
         Ok(table)
     }
 
-    fn add(&mut self, place: usize, entry: TeamEntry) -> Result<(), TeamError> {
+    fn add(&mut self, index: usize, entry: TeamEntry) -> Result<(), TeamError> {
         let TeamEntry { mut policy, keys } = entry;
         policy.keys = keys.len();
         let name = policy.name.clone();
         if name.is_empty() {
-            return Err(TeamError::MissingName(place));
+            return Err(TeamError::MissingName(index));
         }
         if !policy.weight.is_finite() || policy.weight < 0.0 {
             return Err(TeamError::BadWeight(name.to_string()));
