--- a/crates/hoisthitch-jobs/src/job.rs
+++ b/crates/hoisthitch-jobs/src/job.rs
@@ -1,4 +1,7 @@
-//! Jobs of a pool in the owner's memory.
+//! Jobs of a pool, as the pool's owner keeps them in memory.
+//!
+//! A [`JobEntry`] holds what the caller submitted, the tasks of the rounds begun so far and
+//! their states. [`JobEntry::progress`] turns it into the record that outlasts the owner.
 
 use slotmap::new_key_type;
 
@@ -25,41 +28,41 @@
 };
 
 new_key_type! {
-    /// Key of a job in a pool's state.
+    /// Key of a job in the pool's state.
     pub struct JobKey;
 }
 
 /// A job and its tasks.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// Identifier that its caller chose.
+    /// Identifier, chosen by the caller.
     pub id: String,
-    /// Queue that took it.
+    /// Queue that accepted it.
     pub queue: String,
-    /// Policy of the queue.
+    /// Policy of that queue.
     pub policy: QueuePolicy,
-    /// Team that it is of; empty for none.
+    /// Team that it belongs to; empty for none.
     pub team: String,
-    /// What is to be run.
+    /// Steps and schedule to run.
     pub spec: JobSpec,
     /// When it was accepted.
     pub accepted_at: Millis,
-    /// State.
+    /// Phase that callers see.
     pub phase: JobPhase,
-    /// Whether the record is behind.
+    /// Whether the stored record is older than this state.
     pub dirty: bool,
-    /// When it ended.
+    /// When it ended; none while it goes on.
     pub ended_at: Option<Millis>,
-    /// Tasks of the rounds that have begun.
+    /// Tasks of the rounds that have begun, in order of round, step and index.
     pub tasks: Vec<TaskEntry>,
-    /// Where its time went.
+    /// How its time was spent.
     pub account: TimeAccount,
-    /// Tasks that are not done, by round and step.
+    /// Number of tasks that are not done, by round and step.
     open: Vec<u32>,
 }
 
 impl JobEntry {
-    /// A job of which nothing has run.
+    /// A job of which no round has begun.
     pub fn new(
         id: String,
         queue: String,
@@ -83,13 +86,13 @@
         }
     }
 
-    /// Rounds that have begun.
+    /// Number of rounds that have begun.
     pub fn rounds_begun(&self) -> u32 {
         let steps = self.spec.steps.len().max(1);
         u32::try_from(self.open.len() / steps).unwrap_or(u32::MAX)
     }
 
-    /// Begins the next round.
+    /// Begins the next round: adds its tasks, all of them waiting.
     pub fn begin_round(&mut self, now: Millis) {
         let round = self.rounds_begun();
         for (step, spec) in (0..).zip(&self.spec.steps) {
@@ -99,13 +102,13 @@
         }
     }
 
-    /// The step of a task.
+    /// Step of the task in a slot.
     pub fn step_of(&self, slot: usize) -> Option<&StepSpec> {
         let task = self.tasks.get(slot)?;
         self.spec.steps.get(usize::try_from(task.step).ok()?)
     }
 
-    /// Tasks of a step, with their numbers in the list.
+    /// Tasks of one step in one round, with their slots.
     pub(crate) fn tasks_of(
         &self,
         round: u32,
@@ -115,7 +118,7 @@
         tasks.filter(move |(_, task)| task.round == round && task.step == step)
     }
 
-    /// Number of a task in the list.
+    /// Slot of a task; none if the job has no such task yet.
     pub fn slot_of(&self, name: &TaskName) -> Option<usize> {
         let before: u32 = self
             .spec
@@ -133,7 +136,7 @@
         (slot < self.tasks.len()).then_some(slot)
     }
 
-    /// Name of a task.
+    /// Name of the task in a slot.
     pub fn name_of(&self, slot: usize) -> Option<TaskName> {
         let task = self.tasks.get(slot)?;
         Some(TaskName {
@@ -144,7 +147,7 @@
         })
     }
 
-    /// Whether all tasks that must come before the task are done.
+    /// Whether all steps that the task depends on are done.
     pub fn is_ready(&self, slot: usize) -> bool {
         let Some(task) = self.tasks.get(slot) else {
             return false;
@@ -157,13 +160,13 @@
             .all(|after| self.open_tasks(task.round, *after) == 0)
     }
 
-    /// Whether a task could run and has no runner.
+    /// Whether the task is ready and has no runner.
     pub(crate) fn waits_for_runner(&self, slot: usize) -> bool {
         let task = self.tasks.get(slot);
         task.is_some_and(|task| task.place == TaskPlace::Waiting) && self.is_ready(slot)
     }
 
-    /// Tasks of a step that are not done.
+    /// Number of tasks of a step that are not done.
     pub fn open_tasks(&self, round: u32, step: u32) -> u32 {
         self.open_index(round, step)
             .and_then(|index| self.open.get(index))
@@ -171,7 +174,7 @@
             .unwrap_or(0)
     }
 
-    /// Takes in that a task is done.
+    /// Records that a task of the step is done.
     pub fn note_done(&mut self, round: u32, step: u32) {
         if let Some(index) = self.open_index(round, step)
             && let Some(open) = self.open.get_mut(index)
@@ -185,12 +188,12 @@
         self.rounds_begun() >= self.spec.rounds() && self.open.iter().all(|open| *open == 0)
     }
 
-    /// Whether a task was ever ordered.
+    /// Whether any task was ever planned to run.
     pub fn has_begun(&self) -> bool {
         self.tasks.iter().any(|task| task.run > 0)
     }
 
-    /// The job's record; `instances` tells the runner's life that has a task.
+    /// The job's record; `instances` gives the runner instance of each task that has one.
     pub fn progress(
         &self,
         instances: impl Fn(&TaskEntry) -> Option<RunnerInstance>,
@@ -212,7 +215,7 @@
             started_at: instance.started_at,
             checkpoint: task.checkpoint.clone(),
         });
-        // An ended job needs no tasks any more, unless some may still run.
+        // An ended job's record needs no tasks, unless some of them may still run.
         let settled =
             self.phase.is_final() && self.tasks.iter().all(|task| task.runner().is_none());
         JobProgress {
@@ -227,7 +230,7 @@
     }
 }
 
-/// A time scaled by a factor of the table.
+/// A time multiplied by a factor of the operators' configuration.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
--- a/crates/hoisthitch-jobs/src/record.rs
+++ b/crates/hoisthitch-jobs/src/record.rs
@@ -1,8 +1,8 @@
-//! Records of jobs that outlast every process.
+//! Stored records of jobs, which outlast every process.
 //!
-//! A submission is written once, by the entry that accepts the job. Progress is
-//! written by the pool's owner alone: a task's place before it is ordered to
-//! start, a task's end before the runner is told to forget it.
+//! The entry that accepts a job writes its submission, once. Its progress is written by the
+//! pool's owner alone: the runner of a task before the task is ordered to start, and the end
+//! of a task before the runner is allowed to forget it.
 
 use serde::{
     Deserialize,
@@ -17,51 +17,51 @@
 /// A job as it was accepted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct JobSubmission {
-    /// Queue that took the job.
+    /// Queue that accepted the job.
     pub queue: String,
-    /// The queue's policy at that time.
+    /// The queue's policy at the time of acceptance.
     pub policy: QueuePolicy,
-    /// Team whose key it came with; empty where none was needed.
+    /// Team whose key authorized the submission; empty where no key was needed.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub team: String,
-    /// Version of the operators' configuration that it was taken by; zero where the
-    /// record does not tell.
+    /// Version of the operators' configuration that was in effect; zero where the record does
+    /// not have it.
     #[serde(default)]
     pub version: u64,
-    /// Time of day of the entry, in milliseconds since 1970.
+    /// When the entry accepted it, in milliseconds since 1970 by the entry's clock.
     pub accepted_ms: u64,
-    /// What is to be run.
+    /// Steps and schedule to run.
     pub spec: JobSpec,
 }
 
-/// What operators set for a queue.
+/// What operators configure for a queue.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct QueuePolicy {
-    /// Paid priority; zero goes first.
+    /// Paid priority; zero is served first.
     pub priority: u32,
-    /// Runs of a task that may fail before its job has failed.
+    /// Failed runs of one task after which its job fails.
     pub max_attempts: u32,
-    /// Factor on the longest chain of work in the objective.
+    /// Factor on the job's critical path in its objective.
     pub stretch: f64,
-    /// Fixed part of the objective, in milliseconds.
+    /// Constant part of the objective, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub target_latency_ms: u64,
-    /// Whether an adviser says which runners may run a step.
+    /// Whether an adviser decides which runners may run a step.
     #[serde(default)]
     pub advised: bool,
 }
 
-/// State of a job that callers see.
+/// State of a job, as callers see it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum JobPhase {
-    /// No task was started yet.
+    /// No task has started.
     #[default]
     Queued,
-    /// Tasks were started.
+    /// Tasks have started.
     Running,
     /// All tasks are done.
     Completed,
-    /// A task spent its attempts.
+    /// A task used up its attempts.
     Failed,
     /// The caller cancelled the job.
     Cancelled,
@@ -74,24 +74,24 @@
     }
 }
 
-/// How far a job has come.
+/// Progress of a job, as it is stored.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobProgress {
-    /// State of the job.
+    /// Phase of the job.
     pub phase: JobPhase,
     /// Tasks of the rounds begun so far, in order of round, step and index.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub tasks: Vec<TaskProgress>,
 }
 
-/// State of a task in the records.
+/// State of a task, as it is stored.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TaskPhase {
     /// The task runs nowhere.
     #[default]
     #[serde(rename = "w")]
     Waiting,
-    /// The task was ordered to run, or is about to be.
+    /// A start of the task was ordered, or is about to be.
     #[serde(rename = "o")]
     Ordered,
     /// The task is done.
@@ -99,29 +99,30 @@
     Done,
 }
 
-/// How far a task has come.
+/// Progress of a task, as it is stored.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct TaskProgress {
     /// State of the task.
     #[serde(rename = "p", skip_serializing_if = "is_default")]
     pub phase: TaskPhase,
-    /// Number of its last run.
+    /// Number of its last run, from 1; zero where there was none.
     #[serde(rename = "n", skip_serializing_if = "is_default")]
     pub run: u32,
-    /// Runs that failed.
+    /// Number of runs that failed.
     #[serde(rename = "f", skip_serializing_if = "is_default")]
     pub failed: u32,
-    /// What counts against it of the runners that were lost under it.
+    /// What the losses of runners that ran it say against the task.
     #[serde(rename = "x", skip_serializing_if = "is_default")]
     pub suspicion: TaskSuspicion,
-    /// Runner of the last run while the task is ordered.
+    /// Runner of the last run, while the task is ordered.
     #[serde(rename = "r", skip_serializing_if = "String::is_empty")]
     pub runner: String,
-    /// Birth of its life, where that is told.
+    /// Start time of that instance of the runner, in milliseconds since 1970; none where it is
+    /// not known.
     #[serde(rename = "b", skip_serializing_if = "is_default")]
     pub started_at: Option<u64>,
-    /// Last saved progress.
+    /// Last saved progress; empty for none.
     #[serde(rename = "c", skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
 }
--- a/crates/hoisthitch-jobs/src/report.rs
+++ b/crates/hoisthitch-jobs/src/report.rs
@@ -1,4 +1,4 @@
-//! What runners report.
+//! What runners report about their runs, and the outcomes of start orders.
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -7,17 +7,17 @@
     Done,
     /// The run failed.
     Failed,
-    /// It was told to stop.
+    /// It was ordered to stop.
     Stopped,
-    /// Its lease lapsed.
+    /// Its lease ran out.
     LeaseExpired,
     /// Another member of its gang ended.
     GangBroken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     GangIncomplete,
 }
 
-/// A task that a runner runs.
+/// A task that is running on a runner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RunningTask {
     /// Name of the task.
@@ -28,15 +28,15 @@
     pub checkpoint: String,
     /// Share of the work done, in percent.
     pub percent: u32,
-    /// Tail of answers in milliseconds for a serving task, else thousandths of
-    /// a core in use.
+    /// Tail latency in milliseconds for a serving task, else processor use in thousandths of a
+    /// core.
     pub load: u64,
 }
 
-/// A run that ended and that the runner has not been told to forget.
+/// A run that ended and that the runner was not yet allowed to forget.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndedTask {
-    /// Number of the end on its runner, rising from 1.
+    /// Number of the end on its runner, counted up from 1.
     pub number: u64,
     /// Name of the task.
     pub name: String,
@@ -48,41 +48,41 @@
     pub checkpoint: String,
 }
 
-/// What a runner holds.
+/// A runner's response to a heartbeat: what runs there and what has ended.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct HeartbeatReport {
-    /// Clock of the runner, in milliseconds.
+    /// The runner's clock, in milliseconds.
     pub clock_ms: u64,
-    /// When the life that answers started, as in [`crate::RunnerInstance`]; none where that
-    /// is not told.
+    /// When the instance that answers started, as in [`crate::RunnerInstance`]; none where the
+    /// runner does not report it.
     pub started_at: Option<u64>,
-    /// Tasks that run.
+    /// Tasks that are running.
     pub running: Vec<RunningTask>,
-    /// Runs that ended.
+    /// Runs that ended, and were not yet acknowledged as recorded.
     pub ended: Vec<EndedTask>,
 }
 
-/// What became of an order to start a task.
+/// What became of a start order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartOutcome {
     /// The runner has the run.
     Started,
-    /// The runner has no room; nothing was started.
+    /// The runner had no free capacity; nothing was started.
     NoRoom,
-    /// The runner is not well; nothing was started.
+    /// The runner reported trouble of its own; nothing was started.
     Refused,
-    /// The order came when the lease that it names was over; nothing was started.
+    /// The order arrived after the end of the lease that it names; nothing was started.
     Late,
-    /// It was not sent: it waited too long, or its lease was over.
+    /// It was not sent: it waited for too long, or its lease had ended.
     NotSent,
-    /// The adviser's leave is missing or over; nothing was started.
+    /// The adviser's ticket is missing or has expired; nothing was started.
     NoTicket,
-    /// The runner ended that run, or a later one, before.
+    /// The runner had already ended that run or a later one.
     Old,
-    /// A later owner gives orders there.
+    /// A later owner has taken control of the runner.
     Fenced,
-    /// Another life of the runner answered.
+    /// Another instance of the runner answered.
     WrongLife,
-    /// There was no answer; the start may still happen.
+    /// There was no answer; the start may still be carried out.
     Unclear,
 }
--- a/crates/hoisthitch-jobs/src/spec.rs
+++ b/crates/hoisthitch-jobs/src/spec.rs
@@ -1,4 +1,7 @@
-//! What a caller asks for: a job of steps of tasks.
+//! Job specifications: what a caller submits, and its validation.
+//!
+//! A job is a list of steps, a step a number of tasks that are alike. A step may depend on
+//! earlier steps only, so the steps are always in an order that can be executed.
 
 use std::collections::HashSet;
 
@@ -13,83 +16,84 @@
 /// Longest payload, in bytes; the platform's limit.
 pub const SPEC_LIMIT: usize = 4_000;
 
-/// Most tasks of a job; keeps one record under the store's largest value.
+/// Most tasks of a job over all its rounds. The record of a job with that many stays below the
+/// store's size limit for a value.
 const TASK_LIMIT: u64 = 4_000;
 
-/// A job as its caller described it.
+/// A job, as its caller submitted it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct JobSpec {
-    /// What the tasks are told to do.
+    /// Payload that is passed to each task.
     pub payload: String,
     /// Steps, in the caller's order.
     pub steps: Vec<StepSpec>,
-    /// Times at which all steps are run; once when absent.
+    /// When the steps run again; they run once if there is no schedule.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub schedule: Option<JobSchedule>,
 }
 
-/// Times of a repeated job.
+/// Schedule of a repeated job.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobSchedule {
-    /// First time, in milliseconds since 1970.
+    /// First round, in milliseconds since 1970.
     pub first_ms: u64,
-    /// Time between two runs, in milliseconds.
+    /// Time between the begins of two rounds, in milliseconds.
     pub interval_ms: u64,
-    /// Number of runs.
+    /// Number of rounds.
     pub repetitions: u32,
 }
 
-/// Tasks that are alike.
+/// A step: a number of tasks that are alike.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// Room of each task.
+    /// Resources of each task.
     pub need: ResourceAmounts,
-    /// The caller's guess of a task's time, in milliseconds.
+    /// The caller's estimate of a task's running time, in milliseconds.
     pub estimate_ms: u64,
-    /// Steps that must be done first.
+    /// Steps that must be done before, by number from 0.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<u32>,
-    /// Whether tasks save their progress.
+    /// Whether tasks save their progress and can resume from it.
     pub checkpoints: bool,
-    /// Whether tasks only work all together.
+    /// Whether the tasks only work when all of them run at the same time.
     pub gang: bool,
-    /// Whether tasks are slower on more than one rack.
+    /// Whether tasks run slower when they are spread over several racks.
     pub same_rack: bool,
-    /// Label that the runner must have.
+    /// Label that a runner must have.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
-    /// Rack of the data.
+    /// Rack where the tasks' data is.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_rack: Option<String>,
     /// Most tasks of the step on one runner; zero for no limit.
     #[serde(rename = "spread")]
     pub max_per_runner: u32,
-    /// Whether copies of a task may run side by side.
+    /// Whether several runs of one task may run at the same time.
     pub speculative: bool,
-    /// Whether tasks run until the job is cancelled.
+    /// Whether tasks run until the job is cancelled (a service).
     #[serde(rename = "lasting")]
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of one image behave alike.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub image: String,
-    /// Bound of the tail of a serving task's answers, in milliseconds; zero
-    /// when the task serves nobody.
+    /// Latency target of a serving task: a bound on the tail of its response times, in
+    /// milliseconds; zero where the task serves no requests.
     pub target_ms: u64,
-    /// Whether tasks only use processor time that others leave.
+    /// Whether the tasks are best-effort: they only use processor time that others leave idle.
     #[serde(rename = "filler")]
     pub best_effort: bool,
-    /// Lasting tasks that may be away at once through hoisthitch's doing.
+    /// Number of long-running tasks that hoisthitch may make unavailable at the same time.
     #[serde(rename = "may_miss")]
     pub max_unavailable: u32,
 }
 
 impl StepSpec {
-    /// Room that a task of the step takes on its runner; a filler takes no
-    /// processor.
+    /// Resources that a task of the step reserves on its runner; a best-effort task reserves
+    /// no processor.
     pub(crate) fn room(&self) -> ResourceAmounts {
         let cpu_milli = if self.best_effort {
             0
@@ -103,43 +107,43 @@
     }
 }
 
-/// Why a job can't be taken.
+/// Why a job is rejected.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum SpecError {
     /// The payload is too long.
     #[error("the payload has {0} bytes; {SPEC_LIMIT} are allowed")]
     PayloadTooLong(usize),
-    /// There is nothing to run.
+    /// The job has no steps.
     #[error("the job has no steps")]
     NoSteps,
     /// A step has no tasks.
     #[error("step {0} has no tasks; give a count of 1 or more")]
     NoTasks(usize),
-    /// There are too many tasks.
+    /// The job has too many tasks.
     #[error("the job has {0} tasks; {TASK_LIMIT} are allowed")]
     TooManyTasks(u64),
-    /// A step waits for one that is not before it.
+    /// A step depends on itself or on a later one.
     #[error("step {step} comes after step {after}, which is not an earlier step")]
     BadOrder {
         /// The step.
         step: usize,
-        /// The step it names.
+        /// The step that it depends on.
         after: u32,
     },
-    /// A step names another twice.
+    /// A step names the same dependency twice.
     #[error("step {0} names an earlier step twice")]
     DoubledOrder(usize),
-    /// A repeated job has no time between its runs.
+    /// A repeated job has no interval between its rounds.
     #[error("the job is repeated without an interval")]
     NoInterval,
 }
 
 impl JobSpec {
-    /// Checks what the caller asks for.
+    /// Validates the specification.
     ///
     /// # Errors
     ///
-    /// Says the first thing that is wrong.
+    /// Returns the first problem found.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.payload.len() > SPEC_LIMIT {
             return Err(SpecError::PayloadTooLong(self.payload.len()));
@@ -162,24 +166,24 @@
         }
     }
 
-    /// Tasks of all steps.
+    /// Number of tasks of one round, over all steps.
     pub fn tasks_per_round(&self) -> u32 {
         self.steps
             .iter()
             .fold(0, |sum: u32, step| sum.saturating_add(step.count))
     }
 
-    /// Times that all steps are run.
+    /// Number of rounds.
     pub fn rounds(&self) -> u32 {
         self.schedule.map_or(1, |times| times.repetitions.max(1))
     }
 
-    /// Whether any step lasts until the job is cancelled.
+    /// Whether any step is long-running: its tasks run until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// Longest chain of steps, in milliseconds, given the time of each.
+    /// Length of the critical path through the steps, given the time of each.
     pub fn critical_path(&self, time: impl Fn(u32) -> u64) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for (number, step) in (0..).zip(&self.steps) {
@@ -196,8 +200,8 @@
 }
 
 impl StepSpec {
-    /// Tasks of a lasting step that should be on one runner at most, so that
-    /// its VM can go down without more being away than may be.
+    /// Most tasks of a long-running step that should be placed on one runner, so that its VM
+    /// can go down without making more tasks unavailable than allowed.
     pub fn most_together(&self) -> u32 {
         let max_unavailable = self.max_unavailable.max(1);
         if self.max_per_runner == 0 {
