--- a/crates/hoisthitch-jobs/src/gang.rs
+++ b/crates/hoisthitch-jobs/src/gang.rs
@@ -1,8 +1,8 @@
-//! Gangs: tasks of a step that only work all together.
+//! Gangs: tasks of a step that only work when all of them run at the same time.
 //!
-//! All members are placed, recorded and ordered under one run number. When one
-//! of them is refused or ends other than done, the others are stopped, and the
-//! gang is started anew once none of them is left.
+//! All members are placed, recorded and ordered under one run number. When one of them is
+//! refused, or ends other than done, the others are stopped. The gang starts again once none
+//! of its members runs any more.
 
 use crate::{
     Millis,
@@ -15,14 +15,14 @@
 };
 
 impl PoolState {
-    /// Whether the task is of a gang.
+    /// Whether the task is a member of a gang.
     pub(crate) fn is_gang(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(task.job);
         job.and_then(|job| job.step_of(task.slot))
             .is_some_and(|step| step.gang)
     }
 
-    /// All tasks of the gang that the task is of.
+    /// All members of the task's gang.
     pub(crate) fn members(&self, task: TaskRef) -> Vec<TaskRef> {
         let Some(job) = self.jobs.get(task.job) else {
             return Vec::new();
@@ -38,7 +38,8 @@
             .collect()
     }
 
-    /// Places gangs of a job that are ready and whole; answers how many tasks.
+    /// Places gangs of a job that are ready and whose members all wait; returns how many
+    /// tasks.
     pub(crate) fn plan_gangs(&mut self, key: JobKey, now: Millis) -> usize {
         let Some(job) = self.jobs.get(key) else {
             return 0;
@@ -75,7 +76,8 @@
         }
         let entries = members.iter().filter_map(|task| self.task(*task));
         let run = entries.clone().map(|entry| entry.run).max().unwrap_or(0) + 1;
-        // Saved progress starts with its amount, so that the last is the most.
+        // A checkpoint begins with its amount of progress, so that the greatest text is the
+        // furthest.
         let checkpoint = entries.map(|entry| entry.checkpoint.clone()).max();
         for task in &members {
             if let Some(entry) = self.task_mut(*task) {
@@ -87,7 +89,7 @@
         members.len()
     }
 
-    /// Racks to try for a gang: each alone where that is faster, then all.
+    /// Racks to try for a gang: each rack by itself where that is faster, then all together.
     fn racks_for(&self, first: TaskRef) -> Vec<Option<String>> {
         let job = self.jobs.get(first.job);
         let together = job
@@ -104,7 +106,7 @@
         racks
     }
 
-    /// Places all members, or none.
+    /// Places all members, or none of them.
     fn place_members(&mut self, members: &[TaskRef], rack: Option<&str>, now: Millis) -> bool {
         for (placed, task) in members.iter().enumerate() {
             if let Some(runner) = self.choose_runner(*task, rack, now) {
@@ -119,7 +121,7 @@
         true
     }
 
-    /// Stops the other members of a gang of which one is gone.
+    /// Stops the other members of a task's gang after the task was lost or refused.
     pub(crate) fn break_gang(&mut self, task: TaskRef, now: Millis) {
         if !self.is_gang(task) {
             return;
--- a/crates/hoisthitch-jobs/src/place.rs
+++ b/crates/hoisthitch-jobs/src/place.rs
@@ -1,4 +1,4 @@
-//! Chooses the runner of a task.
+//! Chooses the runner of a task: the cheapest of the runners that fit it.
 
 use crate::{
     Millis,
@@ -11,27 +11,27 @@
     task::TaskRef, //
 };
 
-/// What a runner on another rack than the data costs, in shares of a runner's
-/// load: work there takes twice as long, which even an empty runner can't make
-/// up for.
+/// Cost of a runner on another rack than the data, in shares of a runner's load: work takes
+/// twice as long there, and even an empty runner does not make up for that.
 const FAR_COST: f64 = 2.0;
 
-/// What a lasting task costs on a runner that holds as many of its step as may
-/// be away at once: more than any load, so that it goes there last.
+/// Cost of placing a long-running task on a runner that already holds as many of its step as
+/// may be unavailable at the same time: more than any load, so that such a runner is the last
+/// choice.
 const TOGETHER_COST: f64 = 4.0;
 
-/// What a task costs on a runner without lasting ones: lasting tasks stay together,
-/// short ones go beside them, and other runners can leave the pool. The latter buys
-/// less than 1 in 100 of what is owed, within chance (80 plays, docs/decisions.md).
+/// Cost of placing a task on a runner without long-running tasks: long-running tasks stay
+/// together, short tasks are placed beside them, and the other runners can be moved out of the
+/// pool. The latter brings less than 1 percent of the attainable value, which is within chance
+/// (80 simulated days, docs/decisions.md).
 const APART_COST: f64 = 1.0;
 
-/// What each filler beside a serving task costs, in shares of a runner's load:
-/// enough to spread the two kinds over runners while there are any.
+/// Cost of each best-effort task beside a serving task, in shares of a runner's load: enough
+/// to keep the two kinds on different runners while there are any.
 const MIXED_COST: f64 = 0.5;
 
 impl PoolState {
-    /// The runner for a task, on the rack where one is named; none while none
-    /// has room.
+    /// The runner for a task, on the given rack if there is one; none if no runner fits.
     pub(crate) fn choose_runner(
         &self,
         task: TaskRef,
@@ -55,7 +55,7 @@
         best(failed_on).or_else(|| failed_on.and_then(|_| best(None)))
     }
 
-    /// Runners that could take a task now.
+    /// Number of runners that could take the task now.
     pub(crate) fn rooms(&self, task: TaskRef, now: Millis) -> usize {
         let step = self
             .jobs
@@ -92,7 +92,7 @@
         runner.could_hold(step) && has_label(runner, step) && self.is_advised(task, runner, now)
     }
 
-    /// Tasks of the same step on the runner.
+    /// Number of tasks of the same step on the runner.
     fn alike(&self, task: TaskRef, runner: &RunnerEntry) -> u32 {
         let Some(entry) = self.task(task) else {
             return 0;
@@ -113,9 +113,9 @@
             .as_ref()
             .is_some_and(|rack| *rack != runner.facts.rack);
         let load = runner.load_with(step);
-        // Short tasks are packed, so that other VMs are empty when a pool needs
-        // them: 1 to 4 in 100 more of what is owed is earned (70 plays before what
-        // else empties VMs, 40 after, docs/decisions.md).
+        // Short tasks are packed, so that other VMs are empty when a pool needs them: this
+        // earns 1 to 4 percent more of the attainable value (70 simulated days before the
+        // other rules that empty VMs, 40 after them, docs/decisions.md).
         let mut cost = if step.long_running { load } else { 1.0 - load };
         cost += self.suspect_cost(task, runner, now);
         if far {
@@ -130,7 +130,7 @@
         cost + MIXED_COST * f64::from(self.mixed_neighbours(runner, step))
     }
 
-    /// Tasks on the runner that would disturb the step's, or be disturbed.
+    /// Number of tasks on the runner that would slow the step's tasks or be slowed by them.
     fn mixed_neighbours(&self, runner: &RunnerEntry, step: &StepSpec) -> u32 {
         let serves = step.target_ms > 0;
         if !serves && !step.best_effort {
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -1,4 +1,10 @@
-//! Plans starts, and gathers what has to be recorded before they are ordered.
+//! Plans task starts, and collects the job records that must be written before a start may be
+//! ordered.
+//!
+//! [`PoolState::plan`] places ready tasks on runners. [`PoolState::begin_flush`] collects the
+//! records that changed, and [`PoolState::finish_flush`] returns the start orders once those
+//! records are written. No start is ordered before the record that names its runner is
+//! written.
 
 use std::collections::HashSet;
 
@@ -26,30 +32,31 @@
     }, //
 };
 
-/// Records that are written together, and what may be done once they are.
+/// Records that are written together, and what may be done after the write.
 #[derive(Clone, Debug, Default)]
 pub struct FlushPlan {
-    /// Records by identifier of the job.
+    /// Records, by job identifier.
     pub records: Vec<(String, JobProgress)>,
-    /// Ends that runners may forget, by number.
+    /// Last recorded end of each runner, by number; the runner may forget it and those before
+    /// it.
     pub acked_ends: Vec<(RunnerKey, u64)>,
     starts: Vec<(TaskRef, u32)>,
 }
 
-/// Records that were behind at a time, and the ends that runners had listed by then.
-/// Under load some records are always behind; without rounds runners would list the
-/// same ends again and again.
+/// Records that were behind at one time, and the ends that runners had reported by then. Under
+/// load some record is always behind; without batches no end would count as recorded, and
+/// runners would report the same ends again and again.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlushRound {
-    /// Jobs that are to be written yet.
+    /// Jobs whose record is still to be written.
     left: HashSet<JobKey>,
-    /// Last end taken in, by runner.
+    /// Number of the last end that was processed, by runner.
     acked_ends: Vec<(RunnerKey, u64)>,
 }
 
-/// Needs for which no runner has room. Room only shrinks while a plan is made, so
-/// that whatever needs as much finds none either, and under a backlog the
-/// runners need not be looked through for each task that waits.
+/// Requested resources for which no runner has free capacity. Free capacity only shrinks while
+/// a plan is made, so a task that requests at least as much fits nowhere either. Under a
+/// backlog this saves a search over all runners for each waiting task.
 #[derive(Default)]
 struct FullNeeds {
     needs: Vec<ResourceAmounts>,
@@ -62,13 +69,14 @@
     }
 }
 
-/// Whether any runner with room may run a task of the step.
+/// Whether any runner with enough free capacity may run the step's tasks: no label, no limit
+/// for each runner.
 fn is_unbound(step: &StepSpec) -> bool {
     step.label.is_none() && step.max_per_runner == 0
 }
 
 impl PoolState {
-    /// Begins rounds that are due by the time of day `unix_ms`.
+    /// Begins the rounds that are due at `unix_ms`, a time of day in milliseconds since 1970.
     pub fn begin_due_rounds(&mut self, now: Millis, unix_ms: u64) {
         for key in &self.active {
             let Some(job) = self.jobs.get_mut(*key) else {
@@ -92,12 +100,12 @@
         }
     }
 
-    /// Whether planning may change anything.
+    /// Whether a new plan may change anything.
     pub fn needs_plan(&self) -> bool {
         self.plan_needed
     }
 
-    /// Places tasks that are ready; answers how many.
+    /// Places ready tasks; returns how many.
     pub fn plan(&mut self, now: Millis) -> usize {
         self.plan_needed = false;
         let mut planned = 0;
@@ -158,7 +166,7 @@
                 continue;
             }
             let Some(runner) = self.choose_unless_full(task, full, now) else {
-                // What one task of a step finds no room for, none does.
+                // If one task of a step fits on no runner, the others don't either.
                 full_step = step;
                 continue;
             };
@@ -185,7 +193,7 @@
         self.mark_dirty(task.job);
     }
 
-    /// Places a suspect on a runner alone, or has one kept free for it; answers whether
+    /// Places a suspect on a runner of its own, or reserves a runner for it; returns whether
     /// it was placed.
     fn plan_trial(&mut self, task: TaskRef, now: Millis) -> bool {
         let Some(runner) = self.choose_runner(task, None, now) else {
@@ -196,7 +204,8 @@
         true
     }
 
-    /// Drops what was planned and not written: it will not be ordered.
+    /// Returns planned tasks whose records were not written to waiting: their starts will not
+    /// be ordered.
     pub fn cancel_planned_starts(&mut self, now: Millis) {
         let planned: Vec<TaskRef> = self
             .active_tasks()
@@ -226,14 +235,14 @@
         chosen
     }
 
-    /// Whether anything has to be written.
+    /// Whether any record has to be written.
     pub fn needs_flush(&self) -> bool {
         self.active
             .iter()
             .any(|key| self.jobs.get(*key).is_some_and(|job| job.dirty))
     }
 
-    /// Whether more has to be written than `limit` records.
+    /// Whether more than `limit` records have to be written.
     pub fn is_behind(&self, limit: usize) -> bool {
         let dirty = self.active.iter().filter(|key| self.is_dirty(**key));
         dirty.take(limit + 1).count() > limit
@@ -243,7 +252,8 @@
         self.jobs.get(key).is_some_and(|job| job.dirty)
     }
 
-    /// Gathers records to write, at most `limit`, the longest behind in front.
+    /// Collects at most `limit` records to write; those that have been behind the longest come
+    /// first.
     pub fn begin_flush(&mut self, limit: usize) -> FlushPlan {
         let dirty: Vec<JobKey> = self
             .active
@@ -259,7 +269,7 @@
             self.add_record(&mut plan, key);
             round.left.remove(&key);
         }
-        // Ends count as recorded once no record that they changed is behind any more.
+        // An end counts as recorded once every record that it changed is written.
         if round.left.is_empty() {
             plan.acked_ends = round.acked_ends;
         } else {
@@ -268,7 +278,8 @@
         plan
     }
 
-    /// The round of records that is under way, or a new one of all that are behind.
+    /// The records of the batch under way that are still behind, or a new batch of all that
+    /// are.
     fn begin_round_of(&mut self, dirty: &[JobKey]) -> FlushRound {
         let jobs = &self.jobs;
         if let Some(mut round) = self.flush_round.take() {
@@ -312,8 +323,8 @@
         }));
     }
 
-    /// Takes in that the records are written; answers with the starts that may
-    /// be ordered now.
+    /// Records that the plan's records are written; returns the starts that may be ordered
+    /// now.
     pub fn finish_flush(&mut self, plan: &FlushPlan, now: Millis) -> Vec<StartOrder> {
         let mut orders = Vec::new();
         for (task, run) in &plan.starts {
@@ -342,7 +353,7 @@
         orders
     }
 
-    /// Takes in that the records were not written.
+    /// Marks the plan's records as unwritten after a failed write.
     pub fn fail_flush(&mut self, plan: &FlushPlan) {
         for (id, _) in &plan.records {
             if let Some(key) = self.job_ids.get(id).copied() {
@@ -351,7 +362,7 @@
         }
     }
 
-    /// The next copy of the start of a task's last run.
+    /// The next copy of the start order for a task's last run.
     pub(crate) fn copy_start(&mut self, task: TaskRef, runner: RunnerKey) -> Option<StartOrder> {
         let ticket = self.ticket(task, runner).unwrap_or_default();
         let entry = self.task_mut(task)?;
--- a/crates/hoisthitch-jobs/src/rank.rs
+++ b/crates/hoisthitch-jobs/src/rank.rs
@@ -1,16 +1,16 @@
 //! The order in which a pool's jobs are served.
 //!
-//! Jobs go by paid priority, then lasting work, then what can still be in time,
-//! then by the time at which it has to start. What can't be in time earns little
-//! more, and goes last: otherwise all would be a little late when there is too
-//! much.
+//! Jobs are ordered by paid priority, then long-running jobs first, then jobs that can still
+//! meet their objective, then by latest start. A job that can't be in time any more earns
+//! little, and goes last: otherwise, when there is too much work, all jobs would be a little
+//! late.
 //!
-//! Under overload the order by latest start is the worst one: each job gets its
-//! turn when it has no time to spare, and any task that takes longer than the mean
-//! makes it late. So while jobs pass their latest start without having begun, those
-//! that have not begun are served newest first: they have time to spare, as many
-//! are in time as there is room for, and the others are late as they would have
-//! been. Jobs that have begun go before them, for their work is lost if they wait.
+//! Under overload the order by latest start is the worst one: each job gets its turn when it
+//! has no slack left, and any task that takes longer than the mean makes it late. So while
+//! jobs pass their latest start without having begun, jobs that have not begun are served
+//! newest first. The newest have slack, so that as many are in time as there is capacity for,
+//! and the others are late as they would have been anyway. Jobs that have begun go before
+//! them, because their work would be lost if they waited.
 
 use std::collections::{
     BTreeSet,
@@ -27,33 +27,33 @@
     quota::TeamUsage, //
 };
 
-/// Time of a job beside its tasks', in milliseconds: records, orders, reports
-/// and the caller's question.
+/// Time of a job besides that of its tasks, in milliseconds: records, orders, reports and the
+/// caller's query.
 const ANSWER_MS: Millis = 150;
 
-/// Time after a job passed its latest start without having begun for which its
-/// priority counts as overloaded, in milliseconds: rises last several seconds, and
-/// jobs come some tens in a second.
+/// Time after a job passed its latest start without having begun during which its priority
+/// class counts as overloaded, in milliseconds. Rises of demand last several seconds, and jobs
+/// arrive at some tens a second.
 const OVERLOAD_MS: Millis = 1_000;
 
-/// Place of a job; the least is served first.
+/// Sort key of a job; the smallest is served first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct JobRank {
     /// Paid priority.
     priority: u32,
-    /// Whether it ends by itself.
+    /// Whether the job ends by itself, that is, is not long-running.
     short: bool,
-    /// Whether it waits for its first task, and its team has more than its share.
+    /// Whether it has not begun, and its team uses more than its share.
     beyond_share: bool,
-    /// Whether it can't be in time.
+    /// Whether it can't meet its objective any more.
     late: bool,
-    /// Whether it waits for its first task under overload.
+    /// Whether it has not begun, and its priority class is overloaded: newest first.
     passed_over: bool,
     turn: Millis,
 }
 
 impl PoolState {
-    /// Jobs with work, the one to serve first in front.
+    /// Active jobs in the order in which they are to be served.
     pub(crate) fn plan_order(&self, uses: &HashMap<&str, TeamUsage>, now: Millis) -> Vec<JobKey> {
         let jobs: Vec<(JobKey, &JobEntry, Millis)> = self
             .active
@@ -80,8 +80,8 @@
         order.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// When what is left of a job has to start to be done in time, by the times
-    /// that its queue's tasks take.
+    /// When the remaining work of a job has to start for the job to be in time, given the mean
+    /// task time of its queue.
     pub(crate) fn latest_start(&self, job: &JobEntry) -> Millis {
         let time = self.task_time(&job.queue);
         let left = job.spec.critical_path(|step| {
@@ -95,12 +95,12 @@
         self.due_at(job).saturating_sub(left + ANSWER_MS)
     }
 
-    /// When a job has to be done to be in time.
+    /// When a job has to be done to meet its objective.
     fn due_at(&self, job: &JobEntry) -> Millis {
         job.accepted_at + job.objective(self.task_time(&job.queue))
     }
 
-    /// Whether a job that has not ended is not in time any more.
+    /// Whether a job that has not ended has passed its objective.
     pub(crate) fn is_missed(&self, job: &JobEntry, now: Millis) -> bool {
         self.due_at(job) < now
     }
