--- a/crates/hoisthitch-jobs/src/account.rs
+++ b/crates/hoisthitch-jobs/src/account.rs
@@ -1,9 +1,9 @@
-//! Where the time of a job went.
+//! Accounts for how the time of each job was spent.
 //!
-//! From its acceptance on, a job's time is put down to what held it up: until its
-//! owner had it, while a task that could run had no runner, while starts were
-//! recorded and ordered, and while its tasks ran. Whether a job was in time is
-//! judged as the order of jobs judges it, by the times that its queue's tasks take.
+//! From its acceptance on, a job's time is charged to what it waited for: until its owner had
+//! it, while a ready task had no runner, while starts were recorded and ordered, and while its
+//! tasks ran. Whether a job was in time is judged by the same objective that orders the jobs,
+//! using the mean task time of its queue.
 
 use crate::{
     Millis,
@@ -17,54 +17,53 @@
     task::TaskPlace, //
 };
 
-/// What held a job up.
+/// What a job's time is charged to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum TimeUse {
-    /// A task that could run has no runner.
+    /// A ready task has no runner.
     Waiting,
-    /// A start is being recorded or ordered, or its outcome is not known.
+    /// A start is being recorded or ordered, or it is not known whether a task runs.
     Ordering,
-    /// All tasks that can run do.
+    /// All ready tasks run.
     Running,
 }
 
-/// Time of a job by its use, in milliseconds.
+/// Time of a job by use, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TimeAccount {
     /// Until its owner had it.
     pub taking: Millis,
-    /// While a task that could run had no runner.
+    /// While a ready task had no runner.
     pub waiting: Millis,
-    /// While starts were recorded and ordered.
+    /// While starts were being recorded and ordered.
     pub ordering: Millis,
-    /// While all tasks that could run did.
+    /// While all ready tasks ran.
     pub running: Millis,
-    /// When the account was last kept; none before the owner had the job.
+    /// When the account was last updated; none before the owner had the job.
     kept_at: Option<Millis>,
 }
 
-/// A job that ended, and where its time went.
+/// A job that ended, and how its time was spent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndedJob {
     /// Identifier.
     pub id: String,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: String,
     /// How it ended.
     pub phase: JobPhase,
-    /// Time from its acceptance on, in milliseconds.
+    /// Time from its acceptance to its end, in milliseconds.
     pub took: Millis,
     /// Time within which it was to be done, in milliseconds.
     pub objective: Millis,
-    /// Where the time went.
+    /// How its time was spent.
     pub account: TimeAccount,
-    /// Runs beyond one for each task.
+    /// Number of runs beyond the first of each task.
     pub reruns: u32,
 }
 
 impl JobEntry {
-    /// Puts the time since the last change down to its use; called before a task
-    /// changes its place.
+    /// Charges the time since the last update; must be called before a task changes its place.
     pub(crate) fn keep_account(&mut self, now: Millis) {
         let Some(before) = self.account.kept_at else {
             self.account.taking = now.saturating_sub(self.accepted_at);
@@ -99,8 +98,8 @@
         held
     }
 
-    /// Time within which the job is to be done, in milliseconds, where its tasks
-    /// take `time`.
+    /// The job's objective in milliseconds after acceptance, if each of its tasks takes
+    /// `time`.
     pub(crate) fn objective(&self, time: Millis) -> Millis {
         let chain = self.spec.critical_path(|_| time);
         self.policy.target_latency_ms + scale(chain, self.policy.stretch)
@@ -108,7 +107,7 @@
 }
 
 impl PoolState {
-    /// Notes that a job ended.
+    /// Records the end of a job; long-running jobs are left out.
     pub(crate) fn note_ended(&mut self, key: JobKey, now: Millis) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -134,7 +133,7 @@
         self.ended_jobs.push(ended);
     }
 
-    /// Jobs that ended since they were last taken.
+    /// Returns the jobs that ended since the last call.
     pub fn take_ended_jobs(&mut self) -> Vec<EndedJob> {
         std::mem::take(&mut self.ended_jobs)
     }
--- a/crates/hoisthitch-jobs/src/fair.rs
+++ b/crates/hoisthitch-jobs/src/fair.rs
@@ -1,9 +1,11 @@
-//! Shares of a pool that is too small for all: each team by its weight.
+//! Fair sharing of a full pool between teams, by weight.
 //!
-//! A team that sends more than its share takes the room of the others, whose jobs are then
-//! late with its own. While a pool has no room for all, teams that have more of its processors
-//! than their weight gives them among the teams with work there wait behind the others with
-//! what has not begun. Nothing idles for a share: what others leave is theirs.
+//! A team that submits more than its share would take the capacity of the others, whose jobs
+//! would then be late together with its own. While a pool does not have enough capacity for
+//! all, a team is beyond its share if its part of the processors in use is above its weight's
+//! part among the teams with work there. Jobs of such a team that have not begun are served
+//! after those of the others. No capacity is kept idle for a share: what one team leaves, the
+//! others may use.
 
 use std::collections::{
     HashMap,
@@ -15,17 +17,17 @@
     quota::TeamUsage, //
 };
 
-/// What a team may have beyond its share before it waits, in hundredths: jobs come in sizes
-/// of a tenth of a pool.
+/// What a team may use before it counts as beyond its share, in percent of the share: single
+/// jobs need up to a tenth of a pool.
 const SLACK_PERCENT: f64 = 120.0;
 
 impl PoolState {
-    /// Sets the weights of teams; one that is not named has a weight of one.
+    /// Sets the weights of teams; a team without an entry has weight one.
     pub fn set_weights(&mut self, weights: HashMap<String, f64>) {
         self.weights = weights;
     }
 
-    /// Teams that have more of a full pool than their share.
+    /// Teams that use more of a full pool than their share.
     pub(crate) fn teams_beyond_share<'a>(
         &self,
         uses: &HashMap<&'a str, TeamUsage>,
--- a/crates/hoisthitch-jobs/src/pace.rs
+++ b/crates/hoisthitch-jobs/src/pace.rs
@@ -1,8 +1,9 @@
-//! Paces fillers beside serving tasks.
+//! Throttles best-effort tasks that run beside serving tasks.
 //!
-//! A filler uses what others leave, and slows those beside it. When the tail of
-//! a serving task comes near its target, the fillers of its runner are slowed
-//! at once; when it is far below, they are let on in small steps.
+//! A best-effort task (a filler) uses the processor time that others leave idle, and slows the
+//! tasks beside it. When the tail latency of a serving task comes near its target, the
+//! best-effort tasks on its runner are slowed at once; when it is far below the target, they
+//! are sped up in small steps.
 
 use crate::{
     Millis,
@@ -15,33 +16,32 @@
     }, //
 };
 
-/// Share of the target, in percent, above which fillers are slowed. The figures
-/// that runners give are rough, so that the bound lies well below the target.
+/// Tail latency, in percent of the target, from which best-effort tasks are slowed. The
+/// figures that runners report are rough, so the bound is well below the target.
 const HIGH_PERCENT: u64 = 85;
 
-/// Share of the target, in percent, below which fillers are let on.
+/// Tail latency, in percent of the target, below which best-effort tasks are sped up.
 const LOW_PERCENT: u64 = 60;
 
-/// Step by which fillers are let on, in percent.
+/// Step by which a best-effort task's share is raised, in percent.
 const RISE_PERCENT: u32 = 20;
 
-/// Stands for a share that is not known, since an order had no answer or an
-/// earlier owner set it; no decision comes out at it, so that the next one is
-/// ordered.
+/// Marks a share that is not known, because an order got no answer or an earlier owner set it.
+/// No decision ever equals this value, so the next decision is always ordered.
 pub(crate) const UNKNOWN_PACE: u32 = 101;
 
-/// Time after an order without an answer in which it may still be carried out,
-/// after newer ones, in milliseconds; the platform speaks of seconds. Until then
-/// the share is ordered anew with each report.
+/// Time after an order without an answer during which it may still be carried out, even after
+/// newer orders, in milliseconds; the platform's figure is some seconds. Until then the share
+/// is ordered again after each report.
 const LATE_MS: Millis = 10_000;
 
-/// Share at which a filler is set at least before it is set to nothing.
+/// Smallest share other than zero at which a best-effort task is run, in percent.
 const LEAST_PERCENT: u32 = 10;
 
-/// Sets the share at which a filler works.
+/// Order to set the share at which a best-effort task works.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PaceOrder {
-    /// Its runner.
+    /// Runner of the task.
     pub runner: RunnerKey,
     /// The task.
     pub task: TaskRef,
@@ -49,12 +49,13 @@
     pub name: TaskName,
     /// Number of the run.
     pub run: u32,
-    /// The share, in percent.
+    /// Share of full speed, in percent.
     pub percent: u32,
 }
 
 impl PoolState {
-    /// Decides the pace of a runner's fillers, after a fresh report of it.
+    /// Decides the shares of a runner's best-effort tasks after a new report from it; returns
+    /// the orders for those that change.
     pub fn pace(&mut self, key: RunnerKey, now: Millis) -> Vec<PaceOrder> {
         let Some(runner) = self.runners.get(key) else {
             return Vec::new();
@@ -79,7 +80,7 @@
         orders
     }
 
-    /// Tail of a serving task, in percent of its target.
+    /// Tail latency of a serving task, in percent of its target; none for other tasks.
     fn strain(&self, task: TaskRef) -> Option<u64> {
         let step = self.jobs.get(task.job)?.step_of(task.slot)?;
         let entry = self.task(task)?;
@@ -109,7 +110,7 @@
         })
     }
 
-    /// Takes in that a pace was not set, so that it is decided anew.
+    /// Records that an order failed, so that the share is decided again.
     pub fn record_pace_failure(&mut self, order: &PaceOrder, now: Millis) {
         if let Some(entry) = self.task_mut(order.task)
             && entry.run == order.run
@@ -120,12 +121,13 @@
     }
 }
 
-/// The pace after a report, given the strain of the serving tasks in percent.
+/// The next share of a best-effort task, given the highest tail latency of the serving tasks
+/// beside it in percent of their target.
 fn next_pace(pace: u32, strain: Option<u64>) -> u32 {
     match strain {
         None => 100,
         Some(strain) if strain >= 100 => 0,
-        // Half of an unknown share may be more than it is.
+        // Half of an unknown share may be more than the best-effort task has now.
         Some(strain) if strain >= HIGH_PERCENT && pace == UNKNOWN_PACE => 0,
         Some(strain) if strain >= HIGH_PERCENT => {
             let half = pace / 2;
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -1,9 +1,10 @@
-//! Limits of what teams may have running, over all pools.
+//! Team quotas: limits on what a team may have running over all pools.
 //!
-//! A limit is cut into parts, one for each pool that runs work of the team. The parts lie in
-//! one record of the team, which owners change by compare-and-swap, so that their sum never
-//! passes the limit whoever owns the pools. An owner starts work within its pool's part
-//! alone; it takes more of what is free ahead of need, and gives back what it does not use.
+//! A limit is divided into parts, one for each pool that runs work of the team. The parts are
+//! stored in one record of the team, which pool owners change by compare-and-swap, so that
+//! their sum never exceeds the limit whoever owns the pools. An owner only starts work that
+//! fits its pool's part. It takes more of what is free before that is needed, and releases
+//! what it does not use.
 
 use std::collections::{
     BTreeMap,
@@ -25,19 +26,20 @@
     task::TaskPlace, //
 };
 
-/// Part of the need that is taken beside it, so that what comes next need not wait for a
-/// write: one in this many.
+/// Extra part taken beyond the current need, so that the next task need not wait for a write
+/// of the record: the need divided by this number.
 const AHEAD_PART: u64 = 4;
 
-/// Part of the limit that a pool with any work of the team takes at least: one in this many.
+/// Least extra part that a pool with any work of the team takes: the limit divided by this
+/// number.
 const LEAST_PART: u64 = 64;
 
-/// What a pool has of a team's work.
+/// Resources of a pool that a team uses or waits for.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TeamUsage {
-    /// Taken by tasks that run, or may.
+    /// Reserved by tasks that run or may run.
     pub used: ResourceAmounts,
-    /// Asked for by tasks that could start.
+    /// Requested by ready tasks that wait.
     pub waiting: ResourceAmounts,
 }
 
@@ -49,12 +51,12 @@
 }
 
 impl QuotaAllocations {
-    /// The part of a pool.
+    /// The pool's part.
     pub fn allocation(&self, pool: &str) -> ResourceAmounts {
         self.parts.get(pool).copied().unwrap_or_default()
     }
 
-    /// Changes the part of a pool.
+    /// Sets the pool's part.
     pub fn set(&mut self, pool: &str, part: ResourceAmounts) {
         if part == ResourceAmounts::default() {
             self.parts.remove(pool);
@@ -74,7 +76,8 @@
         others.fold(ResourceAmounts::default(), |sum, (_, part)| sum.plus(*part))
     }
 
-    /// The part that a pool should have now.
+    /// The part that the pool should have now. An amount whose limit is zero is not limited,
+    /// and its part is zero.
     pub fn next_allocation(
         &self,
         pool: &str,
@@ -92,8 +95,8 @@
         })
     }
 
-    /// What a pool may have running by its part. Where a limit was lowered below the sum of
-    /// the parts, each is lowered alike until the parts follow.
+    /// What the team may have running in the pool. After the limit was lowered below the sum
+    /// of the parts, every part is scaled down in proportion until the stored parts follow.
     pub fn allowed(&self, pool: &str, limit: ResourceAmounts) -> ResourceAmounts {
         let limits = limit.amounts();
         let parts = self.allocation(pool).amounts();
@@ -109,9 +112,9 @@
     }
 }
 
-/// The amount of a limit that a pool should have: what it needs and some ahead, as far as
-/// others leave it, and never less than it uses; the same as before where that is near
-/// enough. Without a limit, where that is zero, nothing is taken.
+/// The part of one amount that a pool should have: its need and some extra, as far as the
+/// other pools leave that much, and never less than it uses. A part that is close enough stays
+/// as it is. Without a limit (zero) the part is zero.
 fn next_amount(limit: u64, part: u64, free: u64, used: u64, need: u64) -> u64 {
     if limit == 0 || need == 0 {
         return 0;
@@ -122,14 +125,14 @@
     if near { part } else { wanted }
 }
 
-/// What teams may have started yet, while a plan is made.
+/// What limited teams may still start while a plan is made.
 #[derive(Default)]
 pub(crate) struct QuotaBudget {
     places: HashMap<String, usize>,
     left: Vec<ResourceAmounts>,
 }
 
-/// A team in a budget; none has no limit.
+/// A team in a [`QuotaBudget`]; `None` is a team without a limit.
 #[derive(Clone, Copy)]
 pub(crate) struct BudgetKey(Option<usize>);
 
@@ -141,18 +144,18 @@
 }
 
 impl QuotaBudget {
-    /// The key of a team.
+    /// Looks up a team.
     pub(crate) fn find(&self, team: &str) -> BudgetKey {
         BudgetKey(self.places.get(team).copied())
     }
 
-    /// Whether a job's team may start so much more.
+    /// Whether the team may start tasks with this much need.
     pub(crate) fn allows(&self, team: BudgetKey, need: ResourceAmounts) -> bool {
         let left = team.0.and_then(|place| self.left.get(place));
         left.is_none_or(|left| left.covers(need))
     }
 
-    /// Takes in that it was started.
+    /// Deducts the need of planned tasks.
     pub(crate) fn take(&mut self, team: BudgetKey, need: ResourceAmounts) {
         if let Some(left) = team.0.and_then(|place| self.left.get_mut(place)) {
             *left = left.minus(need);
@@ -161,18 +164,18 @@
 }
 
 impl PoolState {
-    /// Limits what a team may have running in this pool.
+    /// Sets what a team may have running in this pool.
     pub fn set_quota_allocation(&mut self, team: &str, allowed: ResourceAmounts) {
         let before = self.allowances.insert(team.to_owned(), allowed);
         self.plan_needed |= before != Some(allowed);
     }
 
-    /// Limits no team but those.
+    /// Drops the limits of all teams but those for which `limited` is true.
     pub fn retain_quota_allocations(&mut self, limited: impl Fn(&str) -> bool) {
         self.allowances.retain(|team, _| limited(team));
     }
 
-    /// What the pool has of each team's work.
+    /// Resources that each team uses or waits for in this pool.
     pub fn team_usage(&self) -> HashMap<&str, TeamUsage> {
         let mut uses: HashMap<&str, TeamUsage> = HashMap::new();
         let active = self.active.iter().filter_map(|key| self.jobs.get(*key));
@@ -191,13 +194,13 @@
         uses
     }
 
-    /// Work that limits held back when starts were last planned, in tasks by team.
+    /// Number of tasks, by team, that a quota kept from starting when starts were last
+    /// planned.
     pub fn tasks_over_quota(&self) -> &HashMap<String, u32> {
         &self.tasks_over_quota
     }
 
-    /// What a plan has to know of teams' work: nothing where neither limits nor shares
-    /// are to be looked at.
+    /// Uses of teams that a plan needs: none where no quota is set and the pool was not full.
     pub(crate) fn uses_for_plan(&self) -> HashMap<&str, TeamUsage> {
         if self.allowances.is_empty() && !self.was_full {
             return HashMap::new();
@@ -205,7 +208,7 @@
         self.team_usage()
     }
 
-    /// What teams may have started by now, besides what they have.
+    /// What each limited team may start beyond what it uses already.
     pub(crate) fn quota_budget(&self, uses: &HashMap<&str, TeamUsage>) -> QuotaBudget {
         let mut budget = QuotaBudget::default();
         for (team, allowed) in &self.allowances {
@@ -216,7 +219,7 @@
         budget
     }
 
-    /// Notes that a limit held a task back.
+    /// Counts a task that a quota kept from starting.
     pub(crate) fn hold_back(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
@@ -226,12 +229,12 @@
     }
 }
 
-/// What a job's gangs would take that wait.
+/// Resources that the waiting members of a job's gangs need.
 pub(crate) fn gangs_waiting(job: &JobEntry) -> ResourceAmounts {
     gang_needs(job, |place| *place == TaskPlace::Waiting)
 }
 
-/// What a job's gangs take that are placed and not ordered yet.
+/// Resources that the members of a job's gangs need which are planned and not ordered yet.
 pub(crate) fn gangs_planned(job: &JobEntry) -> ResourceAmounts {
     gang_needs(job, |place| matches!(place, TaskPlace::Planned(_)))
 }
--- a/crates/hoisthitch-jobs/src/resources.rs
+++ b/crates/hoisthitch-jobs/src/resources.rs
@@ -1,15 +1,15 @@
-//! Amounts of processors, memory and accelerators.
+//! Amounts of resources: processors, memory and accelerators.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Room that a task takes on its runner.
+/// Resources of a task, a runner, a pool or a limit.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct ResourceAmounts {
-    /// Thousandths of a core.
+    /// Processors, in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory, in MB.
     pub memory_mb: u64,
@@ -30,32 +30,32 @@
         }
     }
 
-    /// The sum of both, in each amount.
+    /// The sum of both, amount by amount.
     pub fn plus(self, other: Self) -> Self {
         let (one, two) = (self.amounts(), other.amounts());
         Self::each(|place| one[place].saturating_add(two[place]))
     }
 
-    /// What is left of this beside the other, in each amount.
+    /// The difference to the other, amount by amount; zero where the other is larger.
     pub(crate) fn minus(self, other: Self) -> Self {
         let (one, two) = (self.amounts(), other.amounts());
         Self::each(|place| one[place].saturating_sub(two[place]))
     }
 
-    /// The lesser of both, in each amount.
+    /// The minimum of both, amount by amount.
     pub fn least(self, other: Self) -> Self {
         let (one, two) = (self.amounts(), other.amounts());
         Self::each(|place| one[place].min(two[place]))
     }
 
-    /// Whether so much is enough for what is asked, where only what has a limit counts.
+    /// Whether this is enough for `asked`; only amounts that have a limit are compared.
     pub fn is_enough(self, limit: Self, asked: Self) -> bool {
         let has = self.amounts().into_iter().zip(limit.amounts());
         let mut each = has.zip(asked.amounts());
         each.all(|((has, limit), asked)| limit == 0 || asked <= has)
     }
 
-    /// Whether there is so much of each amount.
+    /// Whether every amount is at least that of the other.
     pub(crate) fn covers(self, other: Self) -> bool {
         let (one, two) = (self.amounts(), other.amounts());
         one.into_iter().zip(two).all(|(has, asked)| asked <= has)
