--- a/crates/hoisthitch-jobs/src/arrivals.rs
+++ b/crates/hoisthitch-jobs/src/arrivals.rs
@@ -1,44 +1,45 @@
-//! How much work comes in, told from the jobs that came of late.
+//! Estimates the rate of arriving work from the jobs that arrived lately.
 //!
-//! A rise shows in short windows as far as chance does not explain their jobs, a fall where
-//! fewer jobs came than chance explains.
+//! A rise is detected over short windows, as far as chance does not explain the number of
+//! their jobs. A fall is detected when fewer jobs arrived than chance explains.
 
 use crate::Millis;
 
-/// Short times over which the work that comes in is averaged, in milliseconds. They
-/// count as far as chance does not explain their jobs, so that the begin of a turn shows
-/// after some of them: 2 in 100 more of what is owed where demand goes from pool to pool
-/// (40 plays, docs/decisions.md).
+/// Short windows over which arriving work is averaged, in milliseconds. A window counts as far
+/// as chance does not explain the number of its jobs, so that a rise of demand is seen after a
+/// few jobs. This brings 2 percent more of the attainable value where demand goes from pool to
+/// pool (40 simulated days, docs/decisions.md).
 const WINDOWS_MS: [Millis; 4] = [250, 500, 1_000, 2_000];
 
-/// The longest time over which it is averaged, which counts in full.
+/// The longest window over which arriving work is averaged, in milliseconds; it counts in
+/// full.
 const LONGEST_MS: Millis = 4_000;
 
-/// Time over which a fall of the work that comes in is looked at, in milliseconds.
+/// Window over which a fall of demand is detected, in milliseconds.
 const FALL_MS: Millis = 1_000;
 
-/// Standard deviations of the number of jobs within which a smaller number may be
-/// chance.
+/// Number of standard deviations by which the number of jobs may be below the mean by chance.
 const FALL_SPREADS: u64 = 2;
 
-/// Jobs whose mean is taken as it is: that of as many is off by a third or so.
+/// Number of jobs from which their mean rate is taken as it is: at this number it is off by
+/// about a third.
 const TREND_JOBS: u64 = 10;
 
-/// A job that came in.
+/// A job that arrived.
 #[derive(Clone, Copy, Debug)]
 struct JobArrival {
     accepted_at: Millis,
-    /// Its work, in thousandths of a core times milliseconds.
+    /// Work of the job, in thousandths of a core times milliseconds.
     work: u64,
 }
 
-/// Jobs that came in of late.
+/// Jobs that arrived within the longest window.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ArrivalLog {
     arrivals: Vec<JobArrival>,
 }
 
-/// Jobs and work of a window.
+/// Number of jobs and their work in a window.
 #[derive(Clone, Copy, Default)]
 struct WindowSum {
     jobs: u64,
@@ -46,7 +47,7 @@
 }
 
 impl ArrivalLog {
-    /// Notes a job that was accepted at `accepted_at`, with its work in thousandths of a
+    /// Records a job that was accepted at `accepted_at`, with its work in thousandths of a
     /// core times milliseconds.
     pub(crate) fn note(&mut self, accepted_at: Millis, work: u64, now: Millis) {
         self.arrivals
@@ -54,7 +55,7 @@
         self.arrivals.push(JobArrival { accepted_at, work });
     }
 
-    /// Work that comes in, in thousandths of a core.
+    /// Rate of arriving work, in thousandths of a core.
     pub(crate) fn rate(&self, now: Millis) -> u64 {
         let longest = self.sum(LONGEST_MS, now);
         let rises = WINDOWS_MS.map(|window| certain_rate(self.sum(window, now), window));
@@ -64,7 +65,7 @@
             .map_or(risen, |fallen| fallen.min(risen))
     }
 
-    /// Jobs that were accepted in the time before now.
+    /// Jobs that were accepted within the window before `now`.
     fn sum(&self, window: Millis, now: Millis) -> WindowSum {
         let mut sum = WindowSum::default();
         for arrival in &self.arrivals {
@@ -76,8 +77,8 @@
         sum
     }
 
-    /// The rate of work after a fall, if fewer jobs came lately than chance explains.
-    /// The longest window alone shows it only seconds after the end of a turn.
+    /// The rate of work after a fall, if fewer jobs arrived lately than chance explains. The
+    /// longest window alone would show the fall only seconds later.
     fn fallen(&self, longest: WindowSum, now: Millis) -> Option<u64> {
         let lately = self.sum(FALL_MS, now).jobs;
         let likely_most = lately + FALL_SPREADS * lately.isqrt().max(1);
@@ -86,8 +87,8 @@
     }
 }
 
-/// The rate of work that chance alone does not explain: that of as many jobs less
-/// one standard deviation.
+/// The rate of work that chance alone does not explain: for a small number of jobs, that
+/// number less one standard deviation.
 fn certain_rate(sum: WindowSum, window: Millis) -> u64 {
     let rate = sum.work / window;
     if sum.jobs >= TREND_JOBS {
--- a/crates/hoisthitch-jobs/src/balance.rs
+++ b/crates/hoisthitch-jobs/src/balance.rs
@@ -1,12 +1,11 @@
 //! Moves VMs from pools that have too many to pools that have too few.
 //!
-//! Each pool's owner publishes what the pool has and wants. All of them work
-//! out the same moves from the same figures, and each carries out those of its
-//! own VMs.
+//! The owner of each pool publishes what the pool has and needs. All owners compute the same
+//! moves from the same figures, and each carries out the moves of its own pool's VMs.
 //!
-//! What no pool needs is shared evenly, and nothing is turned off: a VM that is off can't
-//! be ordered back for 3.2 s and costs two moves. Against turning off what is beyond 95
-//! percent of an even share that buys 1 to 2 in 100 of what is owed (80 plays,
+//! VMs that no pool needs are shared evenly and stay on: a VM that is off can't be ordered
+//! back for 3.2 s and costs two moves. Compared to turning off the VMs beyond 95 percent of an
+//! even share, this brings 1 to 2 percent of the attainable value (80 simulated days,
 //! docs/decisions.md).
 
 use std::collections::{
@@ -19,76 +18,77 @@
     Serialize, //
 };
 
-/// What a pool has and wants.
+/// VMs that a pool has and needs.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmBalance {
-    /// VMs wanted now.
+    /// VMs needed now.
     pub want: u32,
-    /// VMs wanted for what comes in all the time; what is above it can go to a
-    /// pool that lacks VMs.
+    /// VMs needed for the work that arrives and runs all the time; VMs beyond this number may
+    /// go to a pool that lacks VMs.
     pub keep: u32,
-    /// VMs of the pool.
+    /// VMs that are in the pool.
     pub vms: Vec<String>,
-    /// VMs on their way to other pools.
+    /// VMs of the pool that are on their way to another pool, and that pool.
     pub sent: BTreeMap<String, String>,
-    /// Whether the pool's VMs are off.
+    /// Whether the VMs of this pool are turned off.
     pub spare: bool,
 }
 
 impl VmBalance {
-    /// VMs of the pool that were not sent away.
+    /// Number of VMs that stay in the pool.
     pub fn staying(&self) -> usize {
         let sent = |vm: &&String| self.sent.contains_key(*vm);
         self.vms.len() - self.vms.iter().filter(sent).count()
     }
 }
 
-/// VMs that go from one pool to another.
+/// An order to move VMs from one pool to another.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmMove {
-    /// Pool that gives.
+    /// Pool that gives VMs.
     pub from: String,
-    /// Pool that gets.
+    /// Pool that gets them.
     pub to: String,
     /// Number of VMs.
     pub count: usize,
 }
 
-/// Part of an even share of all VMs that a pool keeps though others lack VMs, in
-/// percent: work comes sooner than a VM can be moved.
+/// Part of an even share of all VMs that a pool keeps even if other pools lack VMs, in
+/// percent: work arrives faster than a VM can be moved.
 const GIVE_FLOOR_PERCENT: usize = 50;
 
-/// How much more of its want a pool has to lack than one that gives it VMs though
-/// it lacks some itself, in thousandths: VMs must not go to and fro. Such gifts buy
-/// half of 1 in 100 of what is owed (40 plays, docs/decisions.md).
+/// How much larger the lack of a pool must be than that of a pool that gives it VMs while
+/// lacking some itself, in thousandths of what each needs: VMs must not be moved back and
+/// forth. Such moves bring half a percent of the attainable value (40 simulated days,
+/// docs/decisions.md).
 const LACK_MARGIN: usize = 250;
 
-/// A pool while moves are worked out.
+/// State of a pool while moves are planned.
 struct PoolLevel<'a> {
     name: &'a String,
     share: &'a VmBalance,
-    /// VMs that stay in it and may be given.
+    /// VMs in the pool that may still be given.
     staying: usize,
-    /// VMs that it has or gets.
+    /// VMs that the pool has or will get.
     have: usize,
     /// Whether it gives VMs; such a pool gets none.
     gives: bool,
 }
 
 impl PoolLevel<'_> {
-    /// VMs that it needs for its work.
+    /// VMs that it needs for its own work.
     fn needed(&self) -> usize {
         to_usize(self.share.keep.max(self.share.want))
     }
 
-    /// Part of what it wants that it lacks, in thousandths.
+    /// Part of `wanted` that it lacks, in thousandths.
     fn missing_part(&self, wanted: usize) -> usize {
         wanted.saturating_sub(self.have) * 1_000 / wanted.max(1)
     }
 }
 
-/// Works out the moves that are due: first to pools that lack VMs for their work,
-/// then to those below an even share.
+/// Plans the moves that are due: first to pools that lack VMs for their work, then to pools
+/// below an even share.
 pub fn plan_moves(pools: &BTreeMap<String, VmBalance>) -> Vec<VmMove> {
     let mut levels: Vec<PoolLevel<'_>> = pools
         .iter()
@@ -122,10 +122,10 @@
     moves
 }
 
-/// Gives one VM after the other to the pool that has the smallest part of what is
-/// wanted, so that none takes all. VMs that are off are given first, then those
-/// of the pool with the most to spare, then, where `least` tells what a pool keeps then,
-/// those of pools that lack far less than the taker.
+/// Gives VMs one by one to the pool that has the smallest part of what it wants, so that no
+/// pool takes all. VMs that are off are given first, then those of the pool with the largest
+/// surplus. If `least` is given, pools that lack far less than the taker give VMs last, down
+/// to `least`.
 fn fill(
     levels: &mut [PoolLevel<'_>],
     moves: &mut Vec<VmMove>,
@@ -159,7 +159,7 @@
         .map(|(place, _)| place)
 }
 
-/// The pool with the most VMs beyond what it keeps; one whose VMs are off first.
+/// The pool with the most VMs beyond those it keeps; a pool whose VMs are off comes first.
 fn most_spare(levels: &[PoolLevel<'_>], kept: impl Fn(&PoolLevel<'_>) -> usize) -> Option<usize> {
     let surplus = |pool: &PoolLevel<'_>| {
         let kept = if pool.share.spare { 0 } else { kept(pool) };
@@ -172,8 +172,8 @@
         .map(|(place, _)| place)
 }
 
-/// The pool that lacks least, where it has VMs beyond its steady work and lacks far
-/// less than the taker.
+/// The pool that lacks the smallest part of what it wants, among those that have VMs beyond
+/// their steady work and lack far less than the taker.
 fn least_lacking(
     levels: &[PoolLevel<'_>],
     taker: usize,
@@ -206,7 +206,7 @@
     });
 }
 
-/// VMs that are in a pool or on their way to it.
+/// Number of VMs that are in a pool or on their way to it.
 fn count_vms(pools: &BTreeMap<String, VmBalance>, pool: &str) -> usize {
     let Some(share) = pools.get(pool) else {
         return 0;
--- a/crates/hoisthitch-jobs/src/demand.rs
+++ b/crates/hoisthitch-jobs/src/demand.rs
@@ -1,4 +1,4 @@
-//! How many VMs a pool needs, and which of its runners it can spare.
+//! Estimates how many VMs a pool needs, and names the runners that it can spare.
 
 use crate::{
     Millis,
@@ -7,42 +7,40 @@
     runner::RunnerKey, //
 };
 
-/// Room wanted for each core of work that comes in, in percent: a VM-second
-/// costs a twentieth of what its cores earn when they are busy, and work that
-/// waits for a VM is late.
+/// Capacity wanted for each core of arriving work, in percent. A VM-second costs a twentieth
+/// of what its cores earn when busy, and work that waits for a VM is late.
 const HEADROOM_PERCENT: u64 = 130;
 
-/// Time beside the work itself within which work that waits is to be done, in
-/// milliseconds; objectives leave about as much.
+/// Time beyond the work itself within which waiting work is to be done, in milliseconds;
+/// objectives leave about as much.
 const BACKLOG_MS: Millis = 1_500;
 
-/// The same for jobs that can't be in time any more, and for what runs of those that
-/// were not, in milliseconds: VMs go to pools whose jobs can, which earn some fourteen
-/// times as much. With the falls that [`crate::arrivals`] sees it buys 2 in 100 of what is
-/// owed, and 10 where pools have two hundred VMs; each of the two stands in for the
-/// other (50 plays, docs/decisions.md).
+/// The same for jobs that can't be in time any more, and for running tasks of jobs that have
+/// passed their objective, in milliseconds. VMs go to pools whose jobs can be in time, which
+/// earn some fourteen times as much. Together with the falls that [`crate::arrivals`] detects
+/// this brings 2 percent of the attainable value, and 10 percent where pools have two hundred
+/// VMs; either of the two rules can replace the other (50 simulated days, docs/decisions.md).
 const LATE_BACKLOG_MS: Millis = 10_000;
 
-/// Time of a task of a queue that none is known of, in milliseconds.
+/// Time assumed for a task of a queue of which no task was done yet, in milliseconds.
 const USUAL_TASK_MS: Millis = 1_000;
 
-/// Part of a new figure in a learned mean: one in this many.
+/// Weight of a new value in a running mean: one part in this many.
 const LEARN_PART: u64 = 8;
 
-/// Capacity of a VM while none of the pool's is known, in thousandths of a
-/// core.
+/// Capacity assumed for a VM while the pool has no runner, in thousandths of a core.
 const USUAL_CAPACITY: u64 = 32_000;
 
-/// Time for which a runner stays in its pool at least, in milliseconds: two
-/// owners may not order about one VM within the platform's three seconds.
+/// Least time that a runner stays in its pool, in milliseconds: two owners may not order about
+/// the same VM within the platform's three seconds.
 const STAY_MS: Millis = 3_300;
 
-/// VMs that a pool needs.
+/// Number of VMs that a pool needs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WantedVms {
-    /// For what comes in all the time.
+    /// For the work that arrives and runs all the time.
     pub steady: u32,
-    /// With what waits now.
+    /// Also counting the work that waits now.
     pub now: u32,
 }
 
@@ -52,13 +50,13 @@
     running: u64,
     lasting: u64,
     backlog: u64,
-    /// VMs over which lasting tasks are spread.
+    /// Number of VMs needed to spread long-running tasks.
     spread: u32,
 }
 
 impl PoolState {
-    /// VMs that the pool needs: for lasting work, for the short work that
-    /// comes in, and for what waits.
+    /// Number of VMs that the pool needs for long-running work, for the short work that
+    /// arrives, and for the work that waits.
     pub fn wanted_vms(&self, now: Millis) -> WantedVms {
         let mut sums = DemandSums::default();
         for key in &self.active {
@@ -114,19 +112,19 @@
         }
     }
 
-    /// Mean time of a queue's tasks, as seen so far.
+    /// Mean time of a queue's tasks so far, in milliseconds.
     pub(crate) fn task_time(&self, queue: &str) -> Millis {
         self.task_times.get(queue).copied().unwrap_or(USUAL_TASK_MS)
     }
 
-    /// Time that a task of the job is expected to take: the longer of what its
-    /// caller guessed and what the queue's tasks took.
+    /// Expected time of a task of the job, in milliseconds: the greater of the caller's
+    /// estimate and the queue's mean.
     pub(crate) fn expected_time(&self, job: &JobEntry) -> Millis {
         let guess = job.spec.steps.iter().map(|step| step.estimate_ms).max();
         guess.unwrap_or(0).max(self.task_time(&job.queue))
     }
 
-    /// Learns from a task that is done.
+    /// Updates a queue's mean with the time of a task that is done.
     pub(crate) fn learn_time(&mut self, queue: &str, time: Millis) {
         let mean = self
             .task_times
@@ -135,7 +133,7 @@
         *mean = (*mean * (LEARN_PART - 1) + time) / LEARN_PART;
     }
 
-    /// Notes the work of a job that came in at `at`.
+    /// Records the work of a job that arrived at `at`.
     pub(crate) fn note_arrival(&mut self, job: &JobEntry, at: Millis, now: Millis) {
         let time = self.task_time(&job.queue);
         let steps = job.spec.steps.iter().filter(|step| !step.long_running);
@@ -143,14 +141,14 @@
         self.arrivals.note(at, work.sum(), now);
     }
 
-    /// VMs of the pool's runners.
+    /// VMs of the pool's runners, without those that are about to leave.
     pub fn vms(&self) -> Vec<String> {
         let runners = self.runners.values();
         let staying = runners.filter(|runner| !runner.is_departing());
         staying.map(|runner| runner.facts.vm.clone()).collect()
     }
 
-    /// Runners without lasting tasks, those that are missed least in front.
+    /// At most `limit` runners without long-running tasks, the easiest to spare first.
     pub fn spare_runners(&self, now: Millis, limit: usize) -> Vec<RunnerKey> {
         let mut spare: Vec<(bool, u64, RunnerKey)> = self
             .runners
--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -1,11 +1,11 @@
-//! Empties a runner sooner than its tasks end, when another pool needs its VM.
+//! Evicts resumable tasks from a runner when another pool needs its VM, instead of waiting for
+//! their ends.
 //!
-//! A task that saves its progress is stopped and goes on elsewhere from where it
-//! was. That costs its job the stop and a start, and brings the VM the time that
-//! the task would have run on: 1 in 100 more of what is owed where demand goes from
-//! pool to pool (40 plays, docs/decisions.md). Tasks for which no room is free
-//! elsewhere stay, unless their job is late anyway, and so do those that would begin
-//! anew.
+//! A task that saves its progress is stopped and resumes on another runner. This costs its job
+//! a stop and a start, and frees the VM earlier by the time that the task would have run on;
+//! it brings 1 percent more of the attainable value where demand goes from pool to pool (40
+//! simulated days, docs/decisions.md). Tasks that would have to begin from the start stay, and
+//! so do tasks for which no other runner has free capacity, unless their job is late anyway.
 
 use crate::{
     Millis,
@@ -18,15 +18,15 @@
     }, //
 };
 
-/// Time that a task has to run on for at least to be moved, in milliseconds: a stop
-/// takes up to nine tenths of a second.
+/// Least remaining time of a task that is moved, in milliseconds: a stop takes up to nine
+/// tenths of a second.
 const LEFT_MS: Millis = 700;
 
-/// Share of a task's work from which on the time left is judged by it, in percent.
+/// Progress from which a task's remaining time is extrapolated from it, in percent.
 const TOLD_PERCENT: u32 = 10;
 
 impl PoolState {
-    /// Stops tasks of a leaving runner that can go on elsewhere.
+    /// Stops tasks of an evacuating runner that can resume elsewhere.
     pub fn evict_resumable(&mut self, key: RunnerKey, now: Millis) {
         let Some(runner) = self.runners.get(key) else {
             return;
@@ -41,7 +41,8 @@
             .filter_map(|task| {
                 let job = self.jobs.get(task.job)?;
                 let step = job.step_of(task.slot)?;
-                // What is late waits for room elsewhere; other pools' work must not.
+                // Tasks of a late job may wait for capacity elsewhere; the other pool's work
+                // must not wait.
                 let late = self.is_missed(job, now);
                 Some((*task, if late { 0 } else { step.need.cpu_milli }))
             })
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Whether the task keeps its work when it is stopped, and runs on for long.
+    /// Whether the task keeps its progress when it is stopped, and has enough time left to be
+    /// worth moving.
     fn can_go_on(&self, task: TaskRef, now: Millis) -> bool {
         let Some(job) = self.jobs.get(task.job).filter(|job| !job.phase.is_final()) else {
             return false;
@@ -74,8 +76,8 @@
             && time_left(entry, self.expected_time(job), now) > LEFT_MS
     }
 
-    /// Processor time that runners have free, beyond what waits for it, in
-    /// thousandths of a core.
+    /// Free processors of runners that take tasks, less those that waiting and stopping tasks
+    /// need, in thousandths of a core.
     fn free_cpu(&self, now: Millis) -> u64 {
         let takers = self
             .runners
@@ -103,7 +105,8 @@
     }
 }
 
-/// Time that a task runs on, by the share of its work that is done.
+/// Remaining time of a task: extrapolated from its progress, or the expected time less the
+/// time it ran.
 fn time_left(entry: &TaskEntry, expected: Millis, now: Millis) -> Millis {
     let ran = now.saturating_sub(entry.began_at);
     if entry.percent < TOLD_PERCENT {
--- a/crates/hoisthitch-jobs/src/forecast.rs
+++ b/crates/hoisthitch-jobs/src/forecast.rs
@@ -1,34 +1,34 @@
-//! How many VMs a pool will want when a move that is ordered now is made.
+//! Forecasts how many VMs a pool will need when a move that is ordered now is finished.
 
 use crate::{
     Millis,
     demand::WantedVms, //
 };
 
-/// Time over which a rise of what is wanted is looked at, in milliseconds.
+/// Window over which a rise of the need is measured, in milliseconds.
 const TREND_MS: Millis = 1_000;
 
-/// How far a rise is carried on: a move takes about twice the time over which
-/// the rise is looked at, from the decision to the first task.
+/// Factor by which a measured rise is extrapolated: from the decision to the first task a move
+/// takes about twice the window.
 const RISE_FACTOR: u32 = 2;
 
-/// What a pool wants of VMs, now and in a moment.
+/// VMs that a pool needs, now and when a move is finished.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct VmForecast {
-    /// VMs wanted when a move ordered now is made.
+    /// VMs needed when a move that is ordered now is finished.
     pub want: u32,
-    /// VMs wanted for what comes in all the time.
+    /// VMs needed for the work that arrives and runs all the time.
     pub keep: u32,
 }
 
-/// What a pool wanted in the last second.
+/// What a pool needed within the last second.
 #[derive(Clone, Debug, Default)]
 pub struct DemandHistory {
     steady: Vec<(Millis, u32)>,
 }
 
 impl DemandHistory {
-    /// Takes in what is wanted now; answers with what will be.
+    /// Records what is needed now; returns the forecast.
     pub fn forecast(&mut self, want: WantedVms, now: Millis) -> VmForecast {
         self.steady.retain(|(at, _)| at + TREND_MS > now);
         self.steady.push((now, want.steady));
@@ -38,7 +38,8 @@
         }
     }
 
-    /// VMs that will be wanted beyond those of now, if the want goes on rising.
+    /// VMs that will be needed beyond those of now, if the need goes on rising at the measured
+    /// rate.
     fn rise(&self, steady: u32) -> u32 {
         let before = self.steady.first().map_or(steady, |(_, before)| *before);
         steady.saturating_sub(before) * RISE_FACTOR
--- a/crates/hoisthitch-jobs/src/wave.rs
+++ b/crates/hoisthitch-jobs/src/wave.rs
@@ -1,9 +1,9 @@
-//! How far a wave is, and what an owner changes of that.
+//! Progress of a wave of maintenance, and the changes that pool owners make to it.
 //!
-//! All pools count into one record, for the VMs that may be down at once are counted
-//! over all of them. Each owner gathers its changes and writes them together; where
-//! another owner wrote first, the same changes are put on what that one left. So no
-//! change is lost, and the number of writes does not grow with the number of VMs.
+//! All pools share one record for each wave, because the limit on VMs that are down at the
+//! same time applies over all of them. Each owner collects its changes and writes them
+//! together. If another owner wrote first, the same changes are applied to the newer record,
+//! so that no change is lost and the number of writes does not grow with the number of VMs.
 
 use std::collections::{
     BTreeMap,
@@ -15,40 +15,40 @@
     Serialize, //
 };
 
-/// How far a wave is.
+/// Progress of a wave.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaveProgress {
-    /// VMs that are down or about to be, with the life of their runner before.
+    /// VMs that are down or about to go down, with the instance that their runner had before.
     pub down: BTreeMap<String, String>,
-    /// Those of them whose upkeep the platform has confirmed. A VM that is up
-    /// with a new life without that had a crash.
+    /// Those of them whose maintenance the platform has confirmed. A VM that is up again with
+    /// a new instance of its runner, and is not in this set, has crashed.
     #[serde(default)]
     pub begun: BTreeSet<String>,
-    /// VMs that had their upkeep.
+    /// VMs whose maintenance is done.
     pub done: BTreeSet<String>,
 }
 
-/// What an owner has to say of a wave.
+/// Changes that an owner wants to make to a wave's progress.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WaveChange {
-    /// VMs that it wants to take down, with the life of their runner.
+    /// VMs that it wants to take down, with the instance of their runner.
     pub down: BTreeMap<String, String>,
-    /// VMs whose upkeep the platform has confirmed.
+    /// VMs whose maintenance the platform has confirmed.
     pub begun: BTreeSet<String>,
-    /// VMs that are back from their upkeep, or are no more.
+    /// VMs that are back from their maintenance, or no longer exist.
     pub done: BTreeSet<String>,
 }
 
 impl WaveChange {
-    /// Whether there is nothing to say.
+    /// Whether there is nothing to change.
     pub fn is_empty(&self) -> bool {
         self.down.is_empty() && self.begun.is_empty() && self.done.is_empty()
     }
 }
 
 impl WaveProgress {
-    /// The record with a change, in which at most `max_down` VMs are down; one beyond
-    /// that is left out.
+    /// The progress with a change applied. At most `max_down` VMs are down; further ones are
+    /// left out.
     pub fn with(&self, change: &WaveChange, max_down: usize) -> Self {
         let mut next = self.clone();
         for vm in &change.done {
@@ -73,7 +73,7 @@
         !self.done.contains(vm) && !self.down.contains_key(vm)
     }
 
-    /// Whether all these VMs had their upkeep.
+    /// Whether the maintenance of all these VMs is done.
     pub fn is_completed(&self, vms: &[String]) -> bool {
         vms.iter().all(|vm| self.done.contains(vm))
     }
