--- a/crates/hoisthitch-jobs/src/lib.rs
+++ b/crates/hoisthitch-jobs/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decisions about jobs: which task runs where, and what is known of it.
+//! Scheduling decisions for the jobs of a pool: which task runs where, and what is known about
+//! it.
 //!
-//! A job is a set of steps, a step a set of tasks. One process owns a pool and
-//! keeps its [`PoolState`]: it plans starts, takes in what runners report, and
-//! tells which records have to be written before anything is ordered or
-//! acknowledged. Nothing here does input or output; times are milliseconds of
-//! the owner's steady clock.
+//! A job is a set of steps, and a step is a number of equal tasks. One process owns a pool and
+//! keeps its [`PoolState`]. The state plans starts, applies what runners report, and returns
+//! the records that must be written before anything is ordered or acknowledged. This crate
+//! does no input or output; all times are milliseconds of the owner's monotonic clock, unless
+//! their names or docs say otherwise.
 
 mod account;
 mod admission;
@@ -127,5 +128,5 @@
     WaveProgress, //
 };
 
-/// Milliseconds of the owner's steady clock.
+/// Milliseconds of the owner's monotonic clock.
 pub type Millis = u64;
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -1,4 +1,9 @@
-//! Takes in what runners report and answer.
+//! Applies what runners report: responses to heartbeats, ends of runs, and answers to start
+//! and stop orders.
+//!
+//! A response to a heartbeat lists all runs of a runner, so a run that is missing from it is
+//! not there. It only tells about orders that were answered before the heartbeat was sent; the
+//! others may still be carried out.
 
 use std::collections::HashSet;
 
@@ -26,17 +31,17 @@
     }, //
 };
 
-/// Time for which a runner that refused a start gets no tasks, in
-/// milliseconds; about the time of a short task, after which room is free.
+/// Backoff of a runner that refused a start, in milliseconds; about the time of a short task,
+/// after which resources are free again.
 const REFUSED_SHUN_MS: Millis = 300;
 
-/// Time for which a runner that did not answer a start gets no tasks, in
-/// milliseconds; two holds are answered meanwhile if it is well.
+/// Backoff of a runner that did not answer a start, in milliseconds; a healthy one answers two
+/// heartbeats meanwhile.
 const UNCLEAR_SHUN_MS: Millis = 1_500;
 
 impl PoolState {
-    /// Takes in a runner's answer to a hold that was sent at `asked_at`;
-    /// answers with the starts to send again.
+    /// Records a runner's response to the heartbeat that was sent at `asked_at`; returns the
+    /// starts to send again.
     pub fn record_heartbeat(
         &mut self,
         key: RunnerKey,
@@ -68,7 +73,7 @@
         self.take_absent(key, &present, asked_at, now)
     }
 
-    /// Takes in that the runner has a lease of this owner.
+    /// Records that the runner has a lease of this owner.
     pub fn mark_runner_ready(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
             self.plan_needed |= !runner.ready;
@@ -76,15 +81,15 @@
         }
     }
 
-    /// Takes in until when the runner has a lease of this owner for certain.
+    /// Records the time until which the runner has a lease of this owner for certain.
     pub fn confirm_runner_lease(&mut self, key: RunnerKey, until: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.lease_confirmed_until = Some(until);
         }
     }
 
-    /// Takes in that a hold got no answer.
-    /// `reset`, at once, since nothing listens there any more.
+    /// Records that a heartbeat got no response; `reset` if this was known at once, because
+    /// nothing listens there any more.
     pub fn record_missed_heartbeat(&mut self, key: RunnerKey, reset: bool, now: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.ready = false;
@@ -95,14 +100,14 @@
         }
     }
 
-    /// Takes a runner as one that may be down, until it answers again.
+    /// Treats a runner as one that may be down, until it responds again.
     pub fn mark_runner_unreachable(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.ready = false;
         }
     }
 
-    /// Notes until when the runner may run what it was told to.
+    /// Extends the time until which the runner may run what it was ordered to.
     pub fn extend_lease(&mut self, key: RunnerKey, until: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.lease_until = runner.lease_until.max(until);
@@ -116,8 +121,8 @@
         Some(TaskRef { job, slot })
     }
 
-    /// Takes in a run that goes on; answers with its task if it is the one
-    /// that the owner wants there.
+    /// Records a run that is running; returns its task if the run is the one that the owner
+    /// expects there.
     fn take_running(&mut self, key: RunnerKey, row: &RunningTask, now: Millis) -> Option<TaskRef> {
         let Some(task) = self.locate(&row.name) else {
             self.stop_stray(key, &row.name, row.run);
@@ -171,9 +176,10 @@
         }
     }
 
-    /// Whether no other run of a task begins while a runner has an earlier one, whose start
-    /// was carried out late: it is waited for, as one that stops, where no start is under
-    /// way, and one that may not have begun is withdrawn for it.
+    /// Whether a task yields to an earlier run of it that a runner has, because that run's
+    /// start was carried out late. No other run may begin meanwhile. If no start of the task
+    /// is under way, the task waits for the earlier run to stop. If a start is under way that
+    /// may not have begun, it is withdrawn first.
     fn gives_way(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) -> bool {
         let name = self.runners.get(key).map(|runner| &runner.facts.name);
         let Some(entry) = self.task(task) else {
@@ -193,7 +199,7 @@
         true
     }
 
-    /// Stops an earlier run of a task, and starts no other before it is gone.
+    /// Stops an earlier run of a task; no other run starts before it has ended.
     fn await_stray(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) {
         self.set_place(task, TaskPlace::Stopping(key), now);
         if let Some(entry) = self.task_mut(task) {
@@ -227,7 +233,7 @@
                 if !current {
                     self.stop_other_run(task, row.run);
                 }
-                // One member that is done stands for its whole gang.
+                // If one member is done, the whole gang is.
                 let whole = if self.is_gang(task) {
                     self.members(task)
                 } else {
@@ -253,8 +259,8 @@
         Some(task)
     }
 
-    /// Stops the run of a task that another run has done. It may not have begun yet: a
-    /// runner that was told to stop a run does not begin it.
+    /// Stops the current run of a task after another run of it was done. The current run may
+    /// not have begun yet: a runner that was ordered to stop a run does not begin it.
     fn stop_other_run(&mut self, task: TaskRef, done: u32) {
         let entry = self.task(task).filter(|entry| entry.placed_run() != done);
         let Some(entry) = entry else {
@@ -338,8 +344,8 @@
         self.plan_needed = true;
     }
 
-    /// Lets go of runs that an earlier owner ordered on this runner, which has
-    /// answered and does not know them: it takes no orders of that owner now.
+    /// Returns tasks to waiting that an earlier owner ordered on this runner and that it did
+    /// not report. It accepts no orders of that owner any more.
     fn settle_located(&mut self, key: RunnerKey, now: Millis) {
         let Some(name) = self
             .runners
@@ -353,8 +359,8 @@
         self.give_up(now);
     }
 
-    /// Looks at tasks that should be on the runner and are not: starts that got no answer are
-    /// sent again, with the same run, while they may be.
+    /// Handles tasks that should be on the runner but are missing from its report. Starts
+    /// without an answer are sent again, under the same run number, if they may still be sent.
     fn take_absent(
         &mut self,
         key: RunnerKey,
@@ -385,9 +391,8 @@
                     self.set_place(task, TaskPlace::Waiting, now);
                     self.mark_dirty(task.job);
                 }
-                // A stop was answered before the hold was sent, so that the
-                // run can't begin any more; it may never have begun, and then
-                // no end of it is listed.
+                // The stop was acknowledged before the heartbeat was sent, so the run can't
+                // begin any more. It may never have begun, and then no end of it is reported.
                 TaskPlace::Stopping(_) if entry.stopped_at.is_some_and(|at| at < asked_at) => {
                     self.set_place(task, TaskPlace::Waiting, now);
                     self.mark_dirty(task.job);
@@ -398,8 +403,8 @@
         again
     }
 
-    /// The start of a task again, of which no copy was answered and whose run its runner does
-    /// not have, where it may be sent.
+    /// Sends the start of a task again, after no copy of it was answered and the runner does
+    /// not report the run; none if it may not be sent.
     fn repeat_start(&mut self, task: TaskRef, key: RunnerKey, now: Millis) -> Option<StartOrder> {
         match self.admit_start(task, key, now) {
             StartAdmission::Send => {
@@ -417,7 +422,7 @@
         }
     }
 
-    /// Takes in that a runner answered a stop: the run does not begin any more.
+    /// Records that a runner acknowledged a stop: the run does not begin any more.
     pub fn record_stop_ack(&mut self, order: &StopOrder, now: Millis) {
         let task = self.locate(&order.name.to_string());
         if let Some(entry) = task.and_then(|task| self.task_mut(task))
@@ -428,7 +433,7 @@
         }
     }
 
-    /// Takes in what became of an order to start a task.
+    /// Records the outcome of a start order.
     pub fn record_start_outcome(&mut self, order: &StartOrder, outcome: StartOutcome, now: Millis) {
         let task = order.task;
         let Some(entry) = self.task_mut(task) else {
@@ -448,11 +453,11 @@
                 self.set_place(task, TaskPlace::Running(order.runner), now);
                 self.begin_job(task.job);
             }
-            // Nothing is known that was not known before: the next hold tells of an earlier
-            // copy, and what stays absent is sent again. To stop it would end a lasting task
-            // that has come to work meanwhile.
+            // This outcome adds nothing: an earlier copy shows in the next heartbeat, and a
+            // missing run is sent again. Stopping the run would end a long-running task that
+            // has become available meanwhile.
             StartOutcome::NotSent if ordered && unanswered => entry.unclear = true,
-            // An earlier copy may still be carried out, until a stop is answered.
+            // An earlier copy may still be carried out, until a stop is acknowledged.
             StartOutcome::NoRoom
             | StartOutcome::Refused
             | StartOutcome::Late
@@ -491,8 +496,8 @@
         let Some(runner) = self.runners.get_mut(key) else {
             return;
         };
-        // Want of room is over with the next end, and a late order is the owner's
-        // slowness: neither is a sickness of the runner.
+        // A lack of resources ends with the next end of a run, and a late order is due to the
+        // owner's slowness: neither is a fault of the runner.
         if outcome == StartOutcome::Refused {
             runner.note_refused(now);
         }
--- a/crates/hoisthitch-jobs/src/pool.rs
+++ b/crates/hoisthitch-jobs/src/pool.rs
@@ -1,4 +1,8 @@
-//! State of a pool: its jobs, its runners, and what runs where.
+//! State of a pool: its jobs, its runners, and which task runs where.
+//!
+//! [`PoolState`] belongs to the pool's owner. A task in it changes its state by
+//! [`PoolState::set_place`] alone, which also keeps the resources that are reserved on
+//! runners.
 
 use std::collections::{
     HashMap,
@@ -49,20 +53,20 @@
     }, //
 };
 
-/// A job that the owner takes over from the records.
+/// A job that the owner loads from its records.
 #[derive(Clone, Debug)]
 pub struct NewJob {
     /// Identifier.
     pub id: String,
     /// The submission.
     pub submission: JobSubmission,
-    /// Progress, where any is recorded.
+    /// Recorded progress, if there is any.
     pub progress: Option<JobProgress>,
     /// When it was accepted.
     pub accepted_at: Millis,
 }
 
-/// What the owner of a pool knows.
+/// What the owner of a pool knows of its jobs and runners.
 #[derive(Debug, Default)]
 pub struct PoolState {
     pub(crate) jobs: SlotMap<JobKey, JobEntry>,
@@ -72,43 +76,44 @@
     /// Jobs that have not ended, or of which something may still run.
     pub(crate) active: Vec<JobKey>,
     pub(crate) stops: Vec<StopOrder>,
-    /// Whether a job without records was taken in, or a task became free.
+    /// Whether a new plan may change anything, because a job was added or resources became
+    /// free.
     pub(crate) plan_needed: bool,
-    /// Tasks of which it is not known whether they run, and where.
+    /// Number of tasks that may run on a runner which has not confirmed it.
     unlocated: usize,
-    /// What earlier owners ordered, as far as they left word of it.
+    /// What earlier owners ordered, as far as they published it.
     inherited: InheritedRuns,
     /// Mean time of a task, by queue, in milliseconds.
     pub(crate) task_times: HashMap<String, Millis>,
-    /// Leave of the advisers, by job, round and step.
+    /// Tickets of the advisers, by job, round and step.
     pub(crate) advice: HashMap<(JobKey, u32, u32), StepAdvice>,
-    /// Jobs that ended and were not taken yet.
+    /// Jobs that ended since they were last read.
     pub(crate) ended_jobs: Vec<EndedJob>,
-    /// Runs that were lost with their runners and were not taken yet.
+    /// Runs that were lost with their runners since they were last read.
     pub(crate) lost_runs: Vec<LostRun>,
-    /// Runners that were lost of late.
+    /// Runners that were lost lately.
     pub(crate) recent_losses: Vec<RecentLoss>,
-    /// Since when runners are heard; none before the first.
+    /// Since when runners have responded to this owner; none before the first response.
     pub(crate) heard_since: Option<Millis>,
-    /// Tasks that something counts against.
+    /// Tasks that losses of runners count against.
     pub(crate) suspects: HashSet<TaskRef>,
-    /// Steps that several runners were lost under right after their begin.
+    /// Steps of which several runners were lost right after they had begun a task of it.
     pub(crate) doubtful_steps: HashSet<RoundStep>,
-    /// Tasks that are to be given up.
+    /// Tasks whose jobs are to be failed, because they crash their runners.
     pub(crate) condemned: Vec<TaskRef>,
-    /// Tasks that were given up and were not taken yet.
+    /// Tasks that were failed as the cause of crashes since they were last read.
     pub(crate) given_up: Vec<CrashingTask>,
-    /// Work that came in of late.
+    /// Work that arrived lately.
     pub(crate) arrivals: ArrivalLog,
-    /// What teams with a limit may have running here, by name.
+    /// Quota allocations of this pool, by team; a team without one is not limited.
     pub(crate) allowances: HashMap<String, ResourceAmounts>,
-    /// Whether some task found no room when starts were last planned.
+    /// Whether some task found no runner when starts were last planned.
     pub(crate) was_full: bool,
     /// Weights of teams, by name.
     pub(crate) weights: HashMap<String, f64>,
-    /// Tasks that limits held back when starts were last planned, by team.
+    /// Number of tasks that a quota kept from starting when starts were last planned, by team.
     pub(crate) tasks_over_quota: HashMap<String, u32>,
-    /// Records that are being written, where one write does not take them all.
+    /// Batch of records that is being written, where one write does not take them all.
     pub(crate) flush_round: Option<FlushRound>,
 }
 
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Takes a job in; answers whether it is new.
+    /// Adds a job; returns whether it is new.
     pub fn add_job(&mut self, new: NewJob, now: Millis) -> bool {
         if self.job_ids.contains_key(&new.id) {
             return false;
@@ -148,7 +153,7 @@
             job.ended_at = Some(now);
         }
         if !settled {
-            // What a new owner finds came in before it.
+            // Jobs that a new owner finds arrived before it took over.
             self.note_arrival(&job, accepted_at.min(now), now);
         }
         job.keep_account(now);
@@ -201,8 +206,8 @@
         }
     }
 
-    /// Takes a runner in, or what changed of it; another life of one that is known comes
-    /// in by [`Self::replace_restarted_runner`].
+    /// Adds a runner, or updates its facts. A new instance of a known runner is added by
+    /// [`Self::replace_restarted_runner`].
     pub fn set_runner(&mut self, facts: RunnerFacts, now: Millis) -> RunnerKey {
         self.plan_needed = true;
         if let Some(key) = self.runner_names.get(&facts.name).copied()
@@ -223,14 +228,14 @@
         key
     }
 
-    /// Gives a runner no more tasks; it is listed no more.
+    /// Marks a runner that is no longer listed; it gets no more tasks.
     pub fn unlist_runner(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.unlisted = true;
         }
     }
 
-    /// Forgets a runner that was lost, whose runs have all ended.
+    /// Removes a lost runner whose runs have all ended.
     pub fn remove_runner(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
         self.release_runner(key, loss, now);
         if let Some(runner) = self.runners.remove(key) {
@@ -238,7 +243,7 @@
         }
     }
 
-    /// Takes in that everything on the runner has ended, for it was lost.
+    /// Records that everything on a runner has ended because it was lost.
     pub fn release_runner(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
         self.note_loss(key, loss, now);
         let Some(runner) = self.runners.get_mut(key) else {
@@ -258,14 +263,15 @@
         self.give_up(now);
     }
 
-    /// Takes in that a life of a runner that is not in the list has ended.
+    /// Records that an instance of a runner that is not listed has ended.
     pub fn record_unlisted_loss(&mut self, name: &str, now: Millis) {
         self.note_unknown_loss(name, RunnerLoss::Crashed, now);
         self.settle_unlocated(|runner, _| runner == name, now);
         self.give_up(now);
     }
 
-    /// Lets go of runs that have ended for certain by now.
+    /// Returns tasks to waiting whose runs have ended for certain by now, because the leases
+    /// of their runners ended; returns those runners.
     pub fn expire_leases(&mut self, now: Millis) -> Vec<RunnerKey> {
         self.note_expired(now);
         self.settle_unlocated(|_, until| until <= now, now);
@@ -318,7 +324,7 @@
         }
     }
 
-    /// A task.
+    /// A task's entry.
     pub fn task(&self, task: TaskRef) -> Option<&TaskEntry> {
         self.jobs.get(task.job)?.tasks.get(task.slot)
     }
@@ -332,7 +338,7 @@
         self.jobs.get_mut(task.job)?.tasks.get_mut(task.slot)
     }
 
-    /// Moves a task, with the room that it takes.
+    /// Changes the state of a task, and the resources that are reserved for it.
     pub(crate) fn set_place(&mut self, task: TaskRef, place: TaskPlace, now: Millis) {
         let suspect = self.is_suspect(task);
         let Some(job) = self.jobs.get_mut(task.job) else {
@@ -387,7 +393,7 @@
         }
     }
 
-    /// Whether it is not known of some task whether it runs.
+    /// Whether any task may run on a runner which has not confirmed it.
     pub(crate) fn has_unlocated(&self) -> bool {
         self.unlocated > 0
     }
@@ -402,23 +408,23 @@
         self.runners.get(key)
     }
 
-    /// A runner by its name.
+    /// Key of a runner, by its name.
     pub fn runner_key(&self, name: &str) -> Option<RunnerKey> {
         self.runner_names.get(name).copied()
     }
 
-    /// The life that is known of a runner.
+    /// The known instance of a runner.
     pub fn instance_of(&self, key: RunnerKey) -> Option<RunnerInstance> {
         self.runner(key).map(|runner| runner.facts.instance())
     }
 
-    /// The life that is known under a name; one without a birth where none is.
+    /// The known instance of a runner, by its name; without a start time where none is known.
     pub fn instance_by_name(&self, name: &str) -> RunnerInstance {
         let known = self.runner_key(name).and_then(|key| self.instance_of(key));
         known.unwrap_or_else(|| RunnerInstance::without_start_time(name))
     }
 
-    /// Key of a runner whose life is that one, as far as births tell.
+    /// Key of the runner whose known instance may be the given one.
     pub fn key_of_instance(&self, instance: &RunnerInstance) -> Option<RunnerKey> {
         let key = self.runner_key(&instance.name)?;
         let is_same = self
@@ -432,8 +438,8 @@
         self.runners.iter()
     }
 
-    /// Jobs of which nothing is known to have begun, by queue: a start that got no answer
-    /// may be carried out seconds later.
+    /// Number of jobs of which nothing is known to have begun, by queue. A start without an
+    /// answer may be carried out seconds later.
     pub fn waiting_jobs(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         for job in self.active.iter().filter_map(|key| self.jobs.get(*key)) {
@@ -444,7 +450,7 @@
         counts
     }
 
-    /// Puts the policies in force on the jobs of their queues.
+    /// Updates the policies of jobs from those of their queues that are in effect.
     pub fn set_policies(&mut self, policies: &HashMap<String, QueuePolicy>) {
         for job in self.jobs.values_mut() {
             if let Some(policy) = policies.get(&job.queue) {
@@ -453,7 +459,7 @@
         }
     }
 
-    /// Drops jobs from the active ones that have ended everywhere.
+    /// Drops jobs from the active ones that have ended and of which nothing runs.
     pub(crate) fn drop_settled(&mut self) {
         let jobs = &self.jobs;
         self.active.retain(|key| {
@@ -464,7 +470,8 @@
         });
     }
 
-    /// Jobs that ended before `time`, to be forgotten.
+    /// Identifiers of jobs that ended before `time` and whose records are written, to be
+    /// forgotten.
     pub fn ended_before(&self, time: Millis) -> Vec<String> {
         self.jobs
             .values()
@@ -473,7 +480,7 @@
             .collect()
     }
 
-    /// Forgets a job.
+    /// Drops a job from memory.
     pub fn forget_job(&mut self, id: &str) {
         if let Some(key) = self.job_ids.remove(id) {
             if let Some(job) = self.jobs.remove(key) {
@@ -485,7 +492,7 @@
     }
 }
 
-/// Tasks of a job that something counts against.
+/// Slots of a job's tasks that losses of runners count against.
 fn suspects_of(job: &JobEntry) -> impl Iterator<Item = usize> {
     let tasks = job.tasks.iter().enumerate();
     let suspects = tasks.filter(|(_, task)| task.suspicion.is_suspect());
--- a/crates/hoisthitch-jobs/src/task.rs
+++ b/crates/hoisthitch-jobs/src/task.rs
@@ -1,4 +1,7 @@
-//! Tasks, their names and the orders about them.
+//! Tasks, their names and states, and the orders that start and stop them.
+//!
+//! Each start of a task is a run with a number of its own, counted up from 1. The owner knows
+//! the state of a task's last run only from what it ordered and from what the runner reported.
 
 use std::fmt::{
     self,
@@ -12,16 +15,16 @@
     suspicion::TaskSuspicion, //
 };
 
-/// Place of a task in the owner's memory.
+/// Reference to a task in the owner's memory.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct TaskRef {
-    /// Its job.
+    /// Job of the task.
     pub job: JobKey,
-    /// Its number in the job's list of tasks.
+    /// Index in the job's list of tasks.
     pub slot: usize,
 }
 
-/// Name of a task towards runners.
+/// Name of a task, as runners see it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct TaskName {
     /// Identifier of the job.
@@ -45,7 +48,7 @@
 }
 
 impl TaskName {
-    /// Reads a name; `None` when it is none.
+    /// Parses a name; `None` if the text is not a task's name.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('.');
         let name = Self {
@@ -58,27 +61,29 @@
     }
 }
 
-/// Where a task is, as far as its owner knows.
+/// State of a task, as far as its owner knows.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TaskPlace {
-    /// It runs nowhere.
+    /// It runs nowhere, and no start is planned.
     Waiting,
-    /// A start is decided, and not recorded yet.
+    /// A start is planned, and not recorded yet.
     Planned(RunnerKey),
     /// A start is recorded; it was sent, or is about to be.
     Ordered(RunnerKey),
-    /// The runner said that it runs.
+    /// The runner reported that it runs.
     Running(RunnerKey),
-    /// It was told to stop.
+    /// It was ordered to stop.
     Stopping(RunnerKey),
-    /// An earlier owner ordered it on a runner that has not been heard since, or this
-    /// one did on a life of it that is over and may not have been the one that heard.
+    /// It may run on a runner that has not responded since it was ordered. Either an earlier
+    /// owner ordered it, or this owner sent the start to an instance of the runner that has
+    /// ended, and it may have reached another one.
     Unlocated {
         /// Name of the runner.
         runner: String,
-        /// Birth of its life that was told to run it; none where that is not known.
+        /// Start time of the instance that was ordered to run it; none where that is not
+        /// known.
         started_at: Option<u64>,
-        /// When the run has certainly ended.
+        /// Time by which the run has ended for certain.
         until: Millis,
     },
     /// It is done.
@@ -94,79 +99,80 @@
     pub step: u32,
     /// Number within the step.
     pub index: u32,
-    /// Where the task is.
+    /// State of the task.
     pub place: TaskPlace,
-    /// Number of the last run.
+    /// Number of the last run; zero before the first.
     pub run: u32,
-    /// Number of an earlier run, whose start was carried out late and which is being
-    /// stopped; none where the last run is what its runner has.
+    /// Number of an earlier run whose start was carried out late and which is being stopped;
+    /// none where the runner has the last run.
     pub stray_run: Option<u32>,
-    /// Runs that failed.
+    /// Number of runs that failed.
     pub failed: u32,
-    /// What counts against it of the runners that were lost under it.
+    /// What the losses of runners that ran it say against it.
     pub suspicion: TaskSuspicion,
-    /// Last saved progress.
+    /// Last saved progress; empty for none.
     pub checkpoint: String,
-    /// Share of the work done, as the runner last said.
+    /// Progress that the runner reported last, in percent.
     pub percent: u32,
-    /// When the place or the share of the work last changed.
+    /// When the state or the progress last changed.
     pub moved_at: Millis,
-    /// When the last run was first seen to run.
+    /// When the last run was first reported as running.
     pub began_at: Millis,
-    /// Tail of answers in milliseconds, or thousandths of a core in use.
+    /// Tail latency in milliseconds for a serving task, else processor use in thousandths of a
+    /// core.
     pub load: u64,
-    /// Share at which a filler may work.
+    /// Share of full speed at which a best-effort task may run, in percent.
     pub pace: u32,
-    /// Until when an earlier order about that share may still be carried out.
+    /// Time until which an earlier order about that share may still be carried out.
     pub pace_doubt_until: Millis,
-    /// When a start or stop was last sent.
+    /// When the last start or stop was sent.
     pub ordered_at: Millis,
-    /// When the last run was decided on: its record was written then.
+    /// When the last run was decided on, that is, when its record was written.
     pub decided_at: Millis,
-    /// Copies of the last run's start that were sent, or are about to be.
+    /// Number of copies of the last run's start that were sent, or are about to be.
     pub copies: u32,
-    /// When the runner answered a stop; none while it did not.
+    /// When the runner acknowledged a stop; none before.
     pub stopped_at: Option<Millis>,
-    /// Whether its runner's last answer showed the run.
+    /// Whether the runner's last report contains the run.
     pub shown: bool,
-    /// Whether a start was sent whose answer is not known.
+    /// Whether the last copy of the start got no answer, so that it may have to be sent again.
     pub unclear: bool,
-    /// Whether some copy of the run's start was not answered: it may be carried
-    /// out late, whatever became of later copies.
+    /// Whether any copy of the run's start got no answer: it may be carried out late, whatever
+    /// became of later copies.
     pub unanswered: bool,
-    /// Runner on which the last run failed.
+    /// Runner on which the last failed run was.
     pub failed_on: Option<RunnerKey>,
-    /// Since when the task is away; none while it is at work.
+    /// Since when the task is unavailable; none while it is available.
     pub away_since: Option<Millis>,
 }
 
-/// Tells a runner to start a task.
+/// Order to start a task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StartOrder {
-    /// The task.
+    /// Task to start.
     pub task: TaskRef,
-    /// Its runner.
+    /// Runner of the task.
     pub runner: RunnerKey,
     /// Name of the task.
     pub name: TaskName,
     /// Number of the run.
     pub run: u32,
-    /// What the task is to do.
+    /// Payload of the job.
     pub payload: String,
-    /// Progress to resume from; empty for none.
+    /// Saved progress to resume from; empty for none.
     pub checkpoint: String,
-    /// Leave of the queue's adviser; empty where none is needed.
+    /// The adviser's ticket for this runner; empty where none is needed.
     pub ticket: String,
     /// When the run was decided on.
     pub decided_at: Millis,
-    /// Which copy of the run's start it is, from 1.
+    /// Number of this copy of the run's start, from 1.
     pub copy: u32,
 }
 
-/// Tells a runner to stop a task.
+/// Order to stop a task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StopOrder {
-    /// Its runner.
+    /// Runner of the task.
     pub runner: RunnerKey,
     /// Name of the task.
     pub name: TaskName,
@@ -175,7 +181,7 @@
 }
 
 impl TaskEntry {
-    /// A task that waits.
+    /// A waiting task that has never run.
     pub fn new(round: u32, step: u32, index: u32, now: Millis) -> Self {
         Self {
             round,
@@ -205,7 +211,7 @@
         }
     }
 
-    /// Runner that the task takes room on.
+    /// Runner on which the task has resources reserved.
     pub fn runner(&self) -> Option<RunnerKey> {
         match self.place {
             TaskPlace::Planned(runner)
@@ -221,7 +227,7 @@
         self.stray_run.unwrap_or(self.run)
     }
 
-    /// Whether its runner said that it runs.
+    /// Whether its runner reported that it runs.
     pub(crate) fn is_running(&self) -> bool {
         matches!(self.place, TaskPlace::Running(_))
     }
