--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -1,8 +1,8 @@
 //! Runs that were lost with their runners.
 //!
-//! A runner that ends takes along whatever it runs, and tells no end of it. What is known
-//! of such a run is gathered here, for the log and for what it says against the task: how
-//! long it had run, what ran beside it, how the runner was lost, and whether others were
+//! A runner that crashes loses all its runs, and no end of them is reported. For each lost run
+//! this module collects what is known, for the log and as evidence against the task: how long
+//! it had run, what ran beside it, how the runner was lost, and whether other runners were
 //! lost at the same moment.
 
 use std::{
@@ -40,33 +40,39 @@
     }, //
 };
 
-/// Time between two losses that are of one moment, in milliseconds: where both show by
-/// connections that are reset, and where one shows by a hold that gets no answer.
-const MOMENT_MS: Millis = 60;
-const SILENCE_MOMENT_MS: Millis = 1_500;
+/// Greatest time between two losses that count as simultaneous if both show by reset
+/// connections, in milliseconds.
+const SIMULTANEOUS_RESET_MS: Millis = 60;
 
-/// Time within which losses tell how often runners of the pool are lost, in milliseconds; so
-/// long are they kept. An owner that has not heard runners for long goes by this much.
-const RATE_MS: Millis = 60_000;
-const RATE_LEAST_MS: Millis = 5_000;
+/// The same if one of them shows by a heartbeat without a response, in milliseconds.
+const SIMULTANEOUS_SILENCE_MS: Millis = 1_500;
 
-/// Time of a run up to which a loss counts as one of its step, where other tasks of the step
-/// that had run as shortly were lost elsewhere, in milliseconds.
-const YOUNG_MS: Millis = 1_500;
+/// Window over which the rate of runner losses in the pool is estimated, in milliseconds;
+/// losses are kept for as long.
+const RATE_WINDOW_MS: Millis = 60_000;
 
-/// Age of an order without an answer up to which its run may have begun with it, in
-/// milliseconds.
-const UNANSWERED_MS: Millis = 300;
+/// Shortest window for that rate, in milliseconds: used by an owner whose runners have
+/// responded for less than this.
+const RATE_WINDOW_MIN_MS: Millis = 5_000;
 
-/// Losses that are added to those that were seen: none was seen where one may have been.
-const LOSSES_UNSEEN: f64 = 0.5;
+/// Running time up to which a loss may be due to the run's step, if other tasks of the step
+/// that had run as briefly were lost on other runners, in milliseconds.
+const YOUNG_RUN_MS: Millis = 1_500;
 
-/// How a runner was lost, with what it ran.
+/// Age up to which a start order without an answer counts as a run that began when it was
+/// ordered, in milliseconds.
+const UNANSWERED_START_MS: Millis = 300;
+
+/// Added to the number of observed losses, because there may have been one where none was
+/// observed.
+const UNSEEN_LOSSES: f64 = 0.5;
+
+/// How a runner was lost, with all that it ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunnerLoss {
-    /// It ended without notice.
+    /// Its process ended without notice.
     Crashed,
-    /// Nothing was heard of it until its leases were over.
+    /// It did not respond until its leases had ended.
     Silent,
     /// It went down as ordered or announced.
     Planned,
@@ -89,58 +95,58 @@
     pub task: TaskName,
     /// Number of the run.
     pub run: u32,
-    /// The runner's life, as far as it is known.
+    /// Instance of the runner, as far as it is known.
     pub runner: RunnerInstance,
     /// How the runner was lost.
     pub loss: RunnerLoss,
-    /// How long the run had gone on when the runner was lost, in milliseconds; zero where
-    /// its start was not answered, none where that is not known.
+    /// How long the run had been running when the runner was lost, in milliseconds. For a
+    /// start without an answer it is the time since the order, if that was short; none if
+    /// nothing is known.
     pub ran: Option<Millis>,
-    /// Other runs that were lost with it.
+    /// Number of other runs that were lost with it.
     pub other_runs: usize,
-    /// Whether other runners were lost at that moment.
+    /// Whether other runners were lost at the same moment.
     pub concurrent_loss: bool,
     /// What counts against the task now.
     pub suspicion: TaskSuspicion,
 }
 
-/// A step of a job in one round.
+/// A step of a job in one round: job, round, step.
 pub(crate) type RoundStep = (JobKey, u32, u32);
 
 /// When a runner was lost.
 #[derive(Clone, Copy, Debug)]
 struct LossMoment {
     at: Millis,
-    /// Whether its connections were reset.
+    /// Whether the runner's connections were reset.
     reset: bool,
-    /// Whether this owner had heard it before, and so knows when.
+    /// Whether the runner had responded to this owner before, so that the time is known.
     known: bool,
 }
 
-/// A runner that was lost of late.
+/// A runner that was lost within the window of the loss rate.
 #[derive(Clone, Debug)]
 pub(crate) struct RecentLoss {
     moment: LossMoment,
-    /// What it may have run, and steps that it ran something of.
+    /// Tasks that it may have run, and their steps.
     tasks: HashSet<TaskRef>,
     steps: HashSet<RoundStep>,
-    /// Those of them of which it had just begun something.
+    /// Those of the steps of which it had just begun a task.
     young_steps: HashSet<RoundStep>,
 }
 
-/// A runner that was lost, and what it may have run.
+/// A runner that was lost, with the tasks that it may have run.
 struct LostRunner {
     instance: RunnerInstance,
     loss: RunnerLoss,
     moment: LossMoment,
-    /// When its runs ended, as far as that is known: between its last answer and the first
-    /// that did not come.
+    /// Estimated end of its runs: between its last response and the first that did not come.
     ended_at: Millis,
     tasks: Vec<TaskRef>,
 }
 
 impl LostRunner {
-    /// One of which this owner heard nothing, and so knows not when it was lost.
+    /// A runner that never responded to this owner, so that the time of its loss is not known.
     fn unknown(name: String, loss: RunnerLoss, tasks: Vec<TaskRef>, now: Millis) -> Self {
         Self {
             instance: RunnerInstance::without_start_time(&name),
@@ -157,19 +163,20 @@
 }
 
 impl LossMoment {
-    /// Whether both may be of one moment, as far as that can be told.
-    fn may_be(self, other: Self) -> bool {
+    /// Whether both losses may have happened at the same moment, as far as that can be told.
+    fn may_coincide(self, other: Self) -> bool {
         let limit = if self.reset && other.reset {
-            MOMENT_MS
+            SIMULTANEOUS_RESET_MS
         } else {
-            SILENCE_MOMENT_MS
+            SIMULTANEOUS_SILENCE_MS
         };
         self.known && other.known && self.at.abs_diff(other.at) <= limit
     }
 }
 
 impl PoolState {
-    /// Takes in that a runner was lost with what it ran; before its tasks leave it.
+    /// Records that a runner was lost with all that it ran; must be called before its tasks
+    /// are moved off it.
     pub(crate) fn note_loss(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
         let Some(runner) = self.runners.get(key) else {
             return;
@@ -181,7 +188,7 @@
         };
         let loss = match loss {
             _ if runner.facts.draining || runner.evacuating => RunnerLoss::Planned,
-            // Nothing listened there any more.
+            // Reset connections show that no process listened there any more.
             RunnerLoss::Silent if moment.reset => RunnerLoss::Crashed,
             loss => loss,
         };
@@ -193,56 +200,58 @@
             ended_at: heard_at.map_or(moment.at, |at| at.midpoint(moment.at)),
             tasks: self.tasks_lost(runner, moment),
         };
-        let noted = runner.loss_noted;
-        self.note_lost_runs(&lost, Some(key));
-        if !noted {
-            self.keep_loss(&lost);
+        let was_recorded = runner.loss_noted;
+        self.record_lost_runs(&lost, Some(key));
+        if !was_recorded {
+            self.store_loss(&lost);
         }
         if let Some(runner) = self.runners.get_mut(key) {
             runner.loss_noted = true;
         }
     }
 
-    /// Tasks that a runner may have run when it was lost: not those whose start was sent to
-    /// it when it was gone.
+    /// Tasks that a runner may have run when it was lost, without those whose start was sent
+    /// after that.
     fn tasks_lost(&self, runner: &RunnerEntry, moment: LossMoment) -> Vec<TaskRef> {
-        let was_there = |task: &&TaskRef| {
+        let may_have_run = |task: &&TaskRef| {
             self.task(**task).is_some_and(|entry| match entry.place {
                 TaskPlace::Planned(_) => false,
-                TaskPlace::Ordered(_) => !moment.reset || entry.ordered_at <= moment.at + MOMENT_MS,
+                TaskPlace::Ordered(_) => {
+                    !moment.reset || entry.ordered_at <= moment.at + SIMULTANEOUS_RESET_MS
+                }
                 _ => true,
             })
         };
-        let tasks = runner.tasks.iter().filter(was_there).copied();
+        let tasks = runner.tasks.iter().filter(may_have_run).copied();
         let mut tasks: Vec<TaskRef> = tasks.collect();
         tasks.extend(self.tasks_unlocated_on(&runner.facts.name));
         tasks
     }
 
-    /// Tasks that an earlier owner ordered on a runner that was not heard since.
+    /// Tasks that an earlier owner ordered on a runner that has not responded since.
     fn tasks_unlocated_on(&self, name: &str) -> Vec<TaskRef> {
         if !self.has_unlocated() {
             return Vec::new();
         }
-        let is_there = |entry: &TaskEntry| matches!(&entry.place, TaskPlace::Unlocated { runner, .. } if runner == name);
-        let tasks = self.active_tasks().filter(|(_, entry)| is_there(entry));
+        let is_on_runner = |entry: &TaskEntry| matches!(&entry.place, TaskPlace::Unlocated { runner, .. } if runner == name);
+        let tasks = self.active_tasks().filter(|(_, entry)| is_on_runner(entry));
         tasks.map(|(task, _)| task).collect()
     }
 
-    /// Takes in that a life of a runner that is not known was lost.
+    /// Records the loss of a runner that is not listed.
     pub(crate) fn note_unknown_loss(&mut self, name: &str, loss: RunnerLoss, now: Millis) {
         let tasks = self.tasks_unlocated_on(name);
         let lost = LostRunner::unknown(name.to_owned(), loss, tasks, now);
-        self.note_lost_runs(&lost, None);
+        self.record_lost_runs(&lost, None);
     }
 
-    /// Takes in that a runner answers with a life: runs that an earlier owner ordered of one
-    /// before were lost with that.
+    /// Records a runner's first response: runs that an earlier owner ordered on a previous
+    /// instance of it were lost with that instance.
     pub(crate) fn note_earlier_life(&mut self, key: RunnerKey, now: Millis) {
         let Some(instance) = self.instance_of(key) else {
             return;
         };
-        let was_before = |entry: &TaskEntry| match &entry.place {
+        let was_on_earlier_instance = |entry: &TaskEntry| match &entry.place {
             TaskPlace::Unlocated {
                 started_at: Some(started_at),
                 ..
@@ -252,13 +261,13 @@
             _ => false,
         };
         let mut tasks = self.tasks_unlocated_on(&instance.name);
-        tasks.retain(|task| self.task(*task).is_some_and(was_before));
+        tasks.retain(|task| self.task(*task).is_some_and(was_on_earlier_instance));
         let lost = LostRunner::unknown(instance.name, RunnerLoss::Crashed, tasks, now);
-        self.note_lost_runs(&lost, None);
+        self.record_lost_runs(&lost, None);
     }
 
-    /// Takes in that runs which earlier owners ordered on runners that were not heard since
-    /// have ended by now.
+    /// Records that the runs have ended by now which earlier owners ordered on runners that
+    /// have not responded since.
     pub(crate) fn note_expired(&mut self, now: Millis) {
         if !self.has_unlocated() {
             return;
@@ -275,27 +284,30 @@
         }
     }
 
-    fn note_lost_runs(&mut self, lost: &LostRunner, key: Option<RunnerKey>) {
-        let youth = |task: &TaskRef| {
-            let ran = self.task(*task).map(|entry| entry.ran_at(lost.ended_at));
+    fn record_lost_runs(&mut self, lost: &LostRunner, key: Option<RunnerKey>) {
+        let share_of = |task: &TaskRef| {
+            let ran = self
+                .task(*task)
+                .map(|entry| entry.running_time_at(lost.ended_at));
             seconds(time_of(ran.flatten(), self.lasts(*task))).recip()
         };
-        // Tasks of a step may be alike, and one of them the cause.
+        // Tasks of a step may be alike, and any of them the cause; so their step shares the
+        // blame as a whole.
         let mut by_step: HashMap<RoundStep, f64> = HashMap::new();
         for task in &lost.tasks {
             if let Some(step) = self.round_step(*task) {
-                *by_step.entry(step).or_default() += youth(task);
+                *by_step.entry(step).or_default() += share_of(task);
             }
         }
         let all: f64 = by_step.values().sum();
         for task in &lost.tasks {
             let step = self.round_step(*task);
             let share = step.and_then(|step| by_step.get(&step)).copied();
-            self.note_lost_run(*task, share.unwrap_or(all) / all, lost, key);
+            self.record_lost_run(*task, share.unwrap_or(all) / all, lost, key);
         }
     }
 
-    fn note_lost_run(
+    fn record_lost_run(
         &mut self,
         task: TaskRef,
         share: f64,
@@ -310,27 +322,27 @@
         if entry.suspicion.is_noted(entry.placed_run()) {
             return;
         }
-        let (run, ran) = (entry.placed_run(), entry.ran_at(lost.ended_at));
+        let (run, ran) = (entry.placed_run(), entry.running_time_at(lost.ended_at));
         let evidence = LossEvidence {
             run,
             loss: lost.loss,
             ran,
             timed: lost.moment.known,
             lasts: self.lasts(task),
-            // A gang's members that were there are one suspect.
+            // Members of a gang on the same runner count as one suspect.
             share: if alone { 1.0 } else { share },
             silent: lost.moment.known && !lost.moment.reset,
             alone,
-            concurrent_loss: self.has_company(task, lost.moment, key),
+            concurrent_loss: self.has_concurrent_loss(task, lost.moment, key),
             rate: self.loss_rate(task, ran, lost.moment.at, key),
         };
         let other_runs = others.count();
         self.suspect(task, evidence);
 
-        self.tell_lost_run(task, lost, evidence, other_runs);
+        self.report_lost_run(task, lost, evidence, other_runs);
     }
 
-    fn tell_lost_run(
+    fn report_lost_run(
         &mut self,
         task: TaskRef,
         lost: &LostRunner,
@@ -340,7 +352,7 @@
         let Some((name, entry)) = self.name_of(task).zip(self.task(task)) else {
             return;
         };
-        let told = LostRun {
+        let lost_run = LostRun {
             task: name,
             run: evidence.run,
             runner: lost.instance.clone(),
@@ -350,26 +362,31 @@
             concurrent_loss: evidence.concurrent_loss,
             suspicion: entry.suspicion,
         };
-        self.lost_runs.push(told);
+        self.lost_runs.push(lost_run);
     }
 
     /// Whether a runner that ran nothing of the task's step was lost at the same moment.
-    fn has_company(&self, task: TaskRef, moment: LossMoment, key: Option<RunnerKey>) -> bool {
+    fn has_concurrent_loss(
+        &self,
+        task: TaskRef,
+        moment: LossMoment,
+        key: Option<RunnerKey>,
+    ) -> bool {
         let Some(step) = self.round_step(task) else {
             return false;
         };
-        let mut lately = self.recent_losses.iter();
+        let mut recent = self.recent_losses.iter();
         let runs_step = |runner: &RunnerEntry| {
             let mut tasks = runner.tasks.iter();
             tasks.any(|task| self.round_step(*task) == Some(step))
         };
-        lately.any(|loss| loss.moment.may_be(moment) && !loss.steps.contains(&step))
+        recent.any(|loss| loss.moment.may_coincide(moment) && !loss.steps.contains(&step))
             || self
                 .silent_others(key)
-                .any(|(at, runner)| at.may_be(moment) && !runs_step(runner))
+                .any(|(at, runner)| at.may_coincide(moment) && !runs_step(runner))
     }
 
-    /// Other runners that were heard and are silent now, and since when.
+    /// Other runners that responded before and are unresponsive now, and since when.
     fn silent_others(
         &self,
         key: Option<RunnerKey>,
@@ -389,8 +406,8 @@
         })
     }
 
-    /// How often a runner of the pool is lost without the task, a second, by what was seen
-    /// of late.
+    /// Rate at which a runner of the pool is lost for reasons other than the task, per second,
+    /// by the losses observed lately.
     #[expect(
         clippy::cast_precision_loss,
         reason = "runners are some thousands at most"
@@ -404,21 +421,21 @@
     ) -> f64 {
         let young = ran.is_some_and(is_young);
         let step = self.round_step(task).filter(|_| young);
-        let lately = self.recent_losses.iter().filter(|loss| {
+        let recent = self.recent_losses.iter().filter(|loss| {
             let alike = step.is_some_and(|step| loss.young_steps.contains(&step));
-            let lately = loss.moment.at + RATE_MS > at;
+            let is_recent = loss.moment.at + RATE_WINDOW_MS > at;
             let own = young && loss.tasks.contains(&task);
-            lately && !alike && !own && !self.is_explained(loss)
+            is_recent && !alike && !own && !self.has_likely_cause(loss)
         });
-        let others = lately.count() + self.silent_others(key).count();
+        let others = recent.count() + self.silent_others(key).count();
         let heard = at.saturating_sub(self.heard_since.unwrap_or(at));
-        let heard = seconds(heard.clamp(RATE_LEAST_MS, RATE_MS));
+        let heard = seconds(heard.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
         let runners = self.runners.len().max(1) as f64;
-        (others as f64 + LOSSES_UNSEEN) / (runners * heard)
+        (others as f64 + UNSEEN_LOSSES) / (runners * heard)
     }
 
-    /// Whether a task that was there is likely to be what the runner was lost to.
-    fn is_explained(&self, loss: &RecentLoss) -> bool {
+    /// Whether one of the tasks on the lost runner is likely to be the cause of the loss.
+    fn has_likely_cause(&self, loss: &RecentLoss) -> bool {
         let is_cause = |task: &TaskRef| {
             let entry = self.task(*task);
             entry.is_some_and(|entry| entry.suspicion.is_likely())
@@ -426,10 +443,10 @@
         loss.tasks.iter().any(is_cause)
     }
 
-    /// Whether another runner was lost right after it had begun something of the step.
+    /// Whether another runner was lost right after it had begun a task of the step.
     pub(crate) fn was_lost_elsewhere(&self, step: RoundStep) -> bool {
-        let mut lately = self.recent_losses.iter();
-        lately.any(|loss| loss.young_steps.contains(&step))
+        let mut recent = self.recent_losses.iter();
+        recent.any(|loss| loss.young_steps.contains(&step))
     }
 
     pub(crate) fn round_step(&self, task: TaskRef) -> Option<RoundStep> {
@@ -437,7 +454,7 @@
         Some((task.job, entry.round, entry.step))
     }
 
-    fn keep_loss(&mut self, lost: &LostRunner) {
+    fn store_loss(&mut self, lost: &LostRunner) {
         if lost.loss == RunnerLoss::Planned || !lost.moment.known {
             return;
         }
@@ -445,42 +462,43 @@
         let young = lost.tasks.iter().filter(|task| {
             let ran = self
                 .task(**task)
-                .and_then(|entry| entry.ran_at(lost.ended_at));
+                .and_then(|entry| entry.running_time_at(lost.ended_at));
             ran.is_some_and(is_young)
         });
         let young_steps = young.filter_map(|task| self.round_step(*task));
-        let kept = RecentLoss {
+        let recent_loss = RecentLoss {
             moment: lost.moment,
             tasks: lost.tasks.iter().copied().collect(),
             steps: steps.collect(),
             young_steps: young_steps.collect(),
         };
-        let since = lost.moment.at.saturating_sub(RATE_MS);
+        let since = lost.moment.at.saturating_sub(RATE_WINDOW_MS);
         self.recent_losses.retain(|loss| loss.moment.at >= since);
-        self.recent_losses.push(kept);
+        self.recent_losses.push(recent_loss);
     }
 
-    /// Runs that were lost since they were last taken.
+    /// Returns the runs that were lost since the last call.
     pub fn take_lost_runs(&mut self) -> Vec<LostRun> {
         std::mem::take(&mut self.lost_runs)
     }
 }
 
 fn is_young(ran: Millis) -> bool {
-    ran <= YOUNG_MS
+    ran <= YOUNG_RUN_MS
 }
 
 impl TaskEntry {
-    /// How long the last run had gone on at a time, in milliseconds, as in [`LostRun`].
-    fn ran_at(&self, time: Millis) -> Option<Millis> {
+    /// How long the last run had been running at a time, in milliseconds, as in [`LostRun`].
+    fn running_time_at(&self, time: Millis) -> Option<Millis> {
         match self.place {
             TaskPlace::Running(_) | TaskPlace::Stopping(_) => {
                 Some(time.saturating_sub(self.began_at))
             }
-            // Whether and when it began is not known; a call that is lost may be carried out.
+            // It is not known whether and when the run began; an order without an answer may
+            // still have been carried out.
             TaskPlace::Ordered(_) => {
                 let age = time.saturating_sub(self.moved_at);
-                Some(age).filter(|age| *age <= UNANSWERED_MS)
+                Some(age).filter(|age| *age <= UNANSWERED_START_MS)
             }
             TaskPlace::Unlocated { .. } => None,
             _ => Some(0),
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -1,13 +1,13 @@
-//! Tasks under which runners were lost, and which of them are the cause.
+//! Finds tasks that crash their runners, and fails their jobs.
 //!
-//! A task may crash each runner that starts it, and takes along whatever runs beside it.
-//! Nothing but the crash tells of it, and most runners that are lost are lost for other
-//! reasons, so that each loss is weighed ([`TaskSuspicion`]).
+//! A task may crash each runner that starts it, together with all other runs there. Nothing
+//! but the crash shows it, and most runners are lost for other reasons, so each loss is
+//! weighed ([`TaskSuspicion`]).
 //!
-//! A suspect of some weight is tried alone, on a runner that is kept free for it. That
-//! clears those that only ran beside the cause: whoever runs on for longer than it took to
-//! crash is cleared. One that goes on crashing its runners, alone, is given up with its job.
-//! What counts against a task is in its job's record before its next start.
+//! A suspect with enough weight is run in isolation, on a runner that is kept free for it.
+//! This clears tasks that only ran beside the cause: a task that runs for longer than it took
+//! to crash is cleared. A task that keeps crashing its runners in isolation is failed together
+//! with its job. The evidence against a task is in its job's record before its next start.
 
 use std::hash::{
     DefaultHasher,
@@ -37,54 +37,62 @@
     }, //
 };
 
-/// Weight of all tasks of a step under which runners were lost while they were alone, at
-/// which the last of them is given up, in tenths of a bit: a step of a hundred such tasks
-/// costs a few runners.
-const STEP_PROOF_WEIGHT: i32 = 300;
+/// Weight of all tasks of a step that crashed a runner in isolation, from which the last of
+/// them is failed, in tenths of a bit. So a step of a hundred tasks that all crash their
+/// runners costs only a few runners.
+const STEP_LIMIT: i32 = 300;
 
-/// Time for which a suspect waits for a free runner, in milliseconds; then it goes beside
-/// others rather than not at all. A lasting task may be away for less.
-const TRIAL_WAIT_MS: Millis = 6_000;
-const LASTING_TRIAL_WAIT_MS: Millis = 1_500;
+/// Longest time that a suspect waits for a free runner, in milliseconds; then it is placed
+/// beside other tasks rather than not at all.
+const ISOLATION_WAIT_MS: Millis = 6_000;
 
-/// Time for which a runner is kept free for a suspect, in milliseconds: some short tasks.
+/// The same for a long-running task, which may be unavailable for less time.
+const LONG_RUNNING_ISOLATION_WAIT_MS: Millis = 1_500;
+
+/// Time for which a runner is reserved for a suspect, in milliseconds: some short tasks.
 const RESERVE_MS: Millis = 3_000;
 
-/// Suspects of a step that are tried at once: one of which none is the cause is not held up
-/// for long.
-const TRIALS_OF_STEP: usize = 2;
+/// Number of suspects of a step that are isolated at the same time: a step of which no task is
+/// the cause must not be held up for long.
+const ISOLATED_PER_STEP: usize = 2;
+
+/// Number of isolated runs at the same time that is always allowed.
+const ISOLATED_MIN: usize = 2;
 
-/// Trials at once, at least, and the parts of the pool's runners that they may take, and that
-/// may be kept free for them: one in this many.
-const TRIALS_LEAST: usize = 2;
-const TRIALS_PART: usize = 2;
-const RESERVED_PART: usize = 4;
+/// Part of the pool's runners that isolated runs may take: one in this many.
+const ISOLATED_DIVISOR: usize = 2;
 
-/// Age up to which a runner counts as young, in milliseconds, and what a suspect costs on
-/// one, in shares of a runner's load: some go down and up by turns of a second or two.
+/// Part of the pool's runners that may be reserved for suspects: one in this many.
+const RESERVED_DIVISOR: usize = 4;
+
+/// Age up to which a runner counts as young, in milliseconds: some runners go down and come up
+/// again every second or two.
 const YOUNG_RUNNER_MS: Millis = 3_000;
-const YOUNG_COST: f64 = 2.0;
 
-/// What chance adds at most to the cost of a trial, in shares of a runner's load: free
-/// runners are alike, and one that goes down by its own turn must not be met each time.
-const CHANCE_COST: f64 = 0.1;
+/// Cost of placing a suspect on a young runner, in shares of a runner's load.
+const YOUNG_RUNNER_COST: f64 = 2.0;
+
+/// Greatest random part of the cost of a runner for a suspect, in shares of a runner's load.
+/// Free runners cost the same, and one that goes down periodically must not be chosen each
+/// time.
+const RANDOM_COST: f64 = 0.1;
 
-/// What a suspect costs beside lasting tasks, in shares of a runner's load.
-const BESIDE_LASTING_COST: f64 = 3.0;
+/// Cost of placing a suspect beside long-running tasks, in shares of a runner's load.
+const BESIDE_LONG_RUNNING_COST: f64 = 3.0;
 
-/// A task that was given up, and its job with it.
+/// A task that was failed as the cause of crashes, together with its job.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashingTask {
     /// Name of the task.
     pub task: TaskName,
     /// Number of its last run.
     pub run: u32,
-    /// What counted against it.
+    /// The evidence against it.
     pub suspicion: TaskSuspicion,
 }
 
 impl PoolState {
-    /// Takes in what a lost runner says against a task that was there.
+    /// Records what the loss of a runner says against a task that was on it.
     pub(crate) fn suspect(&mut self, task: TaskRef, evidence: LossEvidence) {
         let told = evidence.loss != RunnerLoss::Planned;
         let Some(entry) = self.task_mut(task).filter(|_| told) else {
@@ -95,7 +103,7 @@
         if entry.suspicion.is_suspect() {
             self.suspects.insert(task);
         }
-        condemned |= evidence.alone && self.step_weight(task) >= STEP_PROOF_WEIGHT;
+        condemned |= evidence.alone && self.step_weight(task) >= STEP_LIMIT;
         let step = self.round_step(task).filter(|_| needs_trial);
         if let Some(step) = step.filter(|step| self.was_lost_elsewhere(*step)) {
             self.doubtful_steps.insert(step);
@@ -106,8 +114,8 @@
         self.mark_dirty(task.job);
     }
 
-    /// What counts against tasks of a step that runners were lost under while they were
-    /// alone; nothing where one of its tasks is done, or where the crashes are not alike.
+    /// Weight of all tasks of a step that crashed a runner in isolation; zero if one of the
+    /// step's tasks is done, or if the crashes are not alike.
     fn step_weight(&self, task: TaskRef) -> i32 {
         let job = self.jobs.get(task.job);
         let Some((job, entry)) = job.zip(self.task(task)) else {
@@ -130,7 +138,7 @@
         }
     }
 
-    /// Ends the jobs of tasks that are to be given up.
+    /// Fails the jobs of tasks that were found to crash their runners.
     pub(crate) fn give_up(&mut self, now: Millis) {
         for task in std::mem::take(&mut self.condemned) {
             let job = self.jobs.get(task.job);
@@ -148,12 +156,12 @@
         }
     }
 
-    /// Tasks that were given up since they were last taken.
+    /// Returns the tasks that were failed as the cause of crashes since the last call.
     pub fn take_crashing_tasks(&mut self) -> Vec<CrashingTask> {
         std::mem::take(&mut self.given_up)
     }
 
-    /// Clears suspects that have run for long enough, and has those that wait planned.
+    /// Clears suspects that have run for long enough, and plans those that wait.
     pub fn clear_suspects(&mut self, now: Millis) {
         let suspects: Vec<TaskRef> = self.suspects.iter().copied().collect();
         for task in suspects {
@@ -173,7 +181,7 @@
     }
 
     fn clear_running(&mut self, task: TaskRef, runner: RunnerKey, now: Millis) {
-        // What it ran since the runner was last heard is not known.
+        // It is not known what the task did since the runner's last response.
         let heard_at = self.runners.get(runner).and_then(|runner| runner.heard_at);
         let Some((entry, heard_at)) = self.task_mut(task).zip(heard_at) else {
             return;
@@ -195,7 +203,7 @@
         }
     }
 
-    /// Takes in that a task is not the cause, and that its step therefore has others.
+    /// Removes a suspect that is not the cause, and with it the doubt about its step.
     fn drop_suspect(&mut self, task: TaskRef) {
         self.suspects.remove(&task);
         if let Some(step) = self.round_step(task) {
@@ -203,16 +211,16 @@
         }
     }
 
-    /// Whether several runners were lost right after they had begun something of the step.
+    /// Whether several runners were lost right after they had begun a task of the step.
     fn is_doubtful_step(&self, task: TaskRef) -> bool {
         let step = || self.round_step(task);
         !self.doubtful_steps.is_empty()
             && step().is_some_and(|step| self.doubtful_steps.contains(&step))
     }
 
-    /// Whether a task is to be tried alone.
+    /// Whether a task is to be run in isolation.
     pub(crate) fn is_suspect(&self, task: TaskRef) -> bool {
-        // Asked for each task that is placed, and there is hardly ever one.
+        // This is called for each task that is placed, and there is hardly ever a suspect.
         if self.suspects.is_empty() {
             return false;
         }
@@ -220,22 +228,23 @@
         entry.is_some_and(|entry| entry.suspicion.needs_trial()) || self.is_doubtful_step(task)
     }
 
-    /// Whether a task gets a runner alone. One that has waited for long goes beside others.
+    /// Whether a task is placed on a runner of its own. One that has waited for too long is
+    /// placed beside others.
     pub(crate) fn is_on_trial(&self, task: TaskRef, now: Millis) -> bool {
         let Some(entry) = self.task(task) else {
             return false;
         };
         let wait = if self.lasts(task) {
-            LASTING_TRIAL_WAIT_MS
+            LONG_RUNNING_ISOLATION_WAIT_MS
         } else {
-            TRIAL_WAIT_MS
+            ISOLATION_WAIT_MS
         };
         let waited = || entry.place == TaskPlace::Waiting && entry.moved_at + wait <= now;
-        // Nothing goes beside what others of its step say is a cause.
+        // If other tasks of the step point to a cause, nothing is placed beside it.
         self.is_suspect(task) && (self.step_weight(task) > 0 || !waited())
     }
 
-    /// Whether another suspect may be tried now.
+    /// Whether another suspect may be isolated now.
     pub(crate) fn may_try(&self, task: TaskRef) -> bool {
         let step = |task: TaskRef| {
             let entry = self.task(task);
@@ -243,16 +252,17 @@
         };
         let trials = || self.runners.values().filter_map(|runner| runner.trial);
         let alike = trials().filter(|other| step(*other) == step(task)).count();
-        // A gang runs whole or not at all.
-        let step_is_free = alike < TRIALS_OF_STEP || self.is_gang(task);
-        step_is_free && trials().count() < self.most_trials(TRIALS_PART)
+        // A gang starts with all its members or not at all.
+        let step_is_free = alike < ISOLATED_PER_STEP || self.is_gang(task);
+        step_is_free && trials().count() < self.max_isolated(ISOLATED_DIVISOR)
     }
 
-    fn most_trials(&self, part: usize) -> usize {
-        TRIALS_LEAST.max(self.runners.len() / part)
+    fn max_isolated(&self, part: usize) -> usize {
+        ISOLATED_MIN.max(self.runners.len() / part)
     }
 
-    /// Whether a runner takes the task, as far as suspects there are kept apart.
+    /// Whether the isolation of suspects allows the task on the runner; `trial` is whether the
+    /// task itself is to be isolated.
     pub(crate) fn is_apart(
         &self,
         task: TaskRef,
@@ -277,7 +287,7 @@
                 .is_some_and(|(one, other)| one.step == other.step && one.round == other.round)
     }
 
-    /// What a suspect costs on a runner, beside its load.
+    /// Cost of a runner for a suspect, in addition to its load.
     pub(crate) fn suspect_cost(&self, task: TaskRef, runner: &RunnerEntry, now: Millis) -> f64 {
         let is_suspect = |entry: &TaskEntry| entry.suspicion.is_suspect();
         if self.suspects.is_empty() || !self.task(task).is_some_and(is_suspect) {
@@ -285,23 +295,23 @@
         }
         let mut cost = 0.0;
         if runner.holds_lasting() {
-            cost += BESIDE_LASTING_COST;
+            cost += BESIDE_LONG_RUNNING_COST;
         }
         if runner.known_since + YOUNG_RUNNER_MS > now {
-            cost += YOUNG_COST;
+            cost += YOUNG_RUNNER_COST;
         }
         let run = self.task(task).map_or(0, |entry| entry.run);
-        cost + CHANCE_COST * chance(&(&runner.facts.name, run))
+        cost + RANDOM_COST * pseudo_random(&(&runner.facts.name, run))
     }
 
-    /// Keeps a runner free for a suspect that found none: the one with the least to do
-    /// that could take it.
+    /// Reserves a runner for a suspect that found none: the one with the least reserved that
+    /// could run the task.
     pub(crate) fn reserve_runner(&mut self, task: TaskRef, now: Millis) {
         let taken = self
             .runners
             .values()
             .filter(|runner| runner.trial.is_some() || runner.reserved_until > now);
-        if taken.count() >= self.most_trials(RESERVED_PART) || !self.may_try(task) {
+        if taken.count() >= self.max_isolated(RESERVED_DIVISOR) || !self.may_try(task) {
             return;
         }
         let candidates = self.runners.iter().filter(|(_, runner)| {
@@ -322,7 +332,7 @@
 }
 
 /// A number from zero to one that depends on nothing but the seed.
-fn chance(seed: &impl Hash) -> f64 {
+fn pseudo_random(seed: &impl Hash) -> f64 {
     let mut hasher = DefaultHasher::new();
     seed.hash(&mut hasher);
     let bits = u32::try_from(hasher.finish() >> 32).unwrap_or(0);
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -1,10 +1,10 @@
-//! What counts against a task of the runners that were lost under it.
+//! Evidence that a task crashes its runners.
 //!
-//! Each loss is weighed, in bits: how much likelier it is if the task crashes its runners
-//! within the longest time that it ran on one, than if runners of the pool go on being lost
-//! as they are. A crash right after a start says much, one after a long run little, and one
-//! where runners are lost all the time hardly anything. Tasks that were there together share
-//! what it says, the youngest most of it.
+//! Each loss of a runner is weighed in bits: how much likelier it is if the task crashes its
+//! runners within the longest time that it ran on one, than if runners of the pool are lost at
+//! their usual rate. A crash right after a start says much, one after a long run little, and
+//! one where runners are lost all the time hardly anything. Tasks that ran on the same runner
+//! share the weight, and the most recently started one gets most of it.
 
 use serde::{
     Deserialize,
@@ -17,99 +17,126 @@
     record::is_default, //
 };
 
-/// Shortest time of a run that is told apart, in milliseconds, and the times taken for one
-/// that is not known: short tasks take about as long, and lasting ones mostly ran for longer.
-const SHORTEST_MS: Millis = 20;
-const UNKNOWN_MS: Millis = 1_000;
-const LASTING_UNKNOWN_MS: Millis = 10_000;
-
-/// Weight from which a task is tried alone, in tenths of a bit: a crash right after its
-/// start in a calm pool. It is after so many losses, whatever they say.
-const TRIAL_WEIGHT: i32 = 70;
-const TRIAL_LOSSES: u32 = 2;
-
-/// Time for which a suspect that runs has its runner alone at most, in milliseconds, and
-/// for which one has whose losses say little: a lasting task would otherwise keep a runner
-/// for ten seconds each time that runners crash by themselves.
-const ALONE_MOST_MS: Millis = 10_000;
-const ALONE_BRIEFLY_MS: Millis = 2_000;
-
-/// Weights at which a task is given up, in tenths of a bit: alone under a crash, alone on a
-/// runner of which nothing is heard any more, and never alone, for want of a free runner.
-const PROOF_WEIGHT: i32 = 300;
-const SILENT_PROOF_WEIGHT: i32 = 380;
-const HEAVY_WEIGHT: i32 = 280;
-
-/// What each crash under which the task was alone takes off these limits, down to the least
-/// one, in tenths of a bit: each was on another runner that was kept free for it.
-const ALONE_WEIGHT: i32 = 50;
-const LEAST_WEIGHT: i32 = 100;
-
-/// Losses, the last of them alone, from which this weight is enough: a cause may be started
-/// twice after three crashes, and no more. A lasting task is there under most crashes, and
-/// losses of a storm add up against it.
+/// Shortest running time that is told apart, in milliseconds.
+const RUN_TIME_MIN_MS: Millis = 20;
+
+/// Running time that is assumed where it is not known, in milliseconds: short tasks take about
+/// as long.
+const UNKNOWN_RUN_TIME_MS: Millis = 1_000;
+
+/// The same for long-running tasks, which mostly ran for longer.
+const LONG_RUNNING_UNKNOWN_MS: Millis = 10_000;
+
+/// Weight from which a task is run in isolation, in tenths of a bit: a crash right after its
+/// start in a calm pool.
+const ISOLATION_WEIGHT: i32 = 70;
+
+/// Number of losses from which a task is run in isolation, whatever their weight.
+const ISOLATION_LOSSES: u32 = 2;
+
+/// Longest time for which a suspect that runs keeps its runner to itself, in milliseconds.
+const ISOLATION_MAX_MS: Millis = 10_000;
+
+/// The same for a suspect whose losses say little: a long-running task would otherwise keep a
+/// runner to itself for ten seconds each time that runners crash by themselves.
+const ISOLATION_SHORT_MS: Millis = 2_000;
+
+/// Weight from which a task is failed after a crash while it ran in isolation, in tenths of a
+/// bit.
+const ISOLATED_CRASH_LIMIT: i32 = 300;
+
+/// The same after its runner became unresponsive while the task ran in isolation.
+const ISOLATED_SILENCE_LIMIT: i32 = 380;
+
+/// The same after a loss with other tasks on the runner: a task may never run in isolation,
+/// for want of a free runner.
+const SHARED_LOSS_LIMIT: i32 = 280;
+
+/// Reduction of these limits for each crash while the task ran in isolation, in tenths of a
+/// bit: each was on another runner that was kept free for it.
+const LIMIT_REDUCTION: i32 = 50;
+
+/// Least limit that remains after these reductions, in tenths of a bit.
+const LIMIT_MIN: i32 = 100;
+
+/// Number of losses from which the deciding limit applies if the last one was in isolation: a
+/// task that crashes its runners may be started twice after three crashes, and no more.
 const DECIDING_LOSSES: u32 = 5;
-const DECIDING_WEIGHT: i32 = 80;
-const LASTING_DECIDING_WEIGHT: i32 = 160;
 
-/// Difference between the shortest and the longest run until a crash up to which they count
-/// as alike, in milliseconds, and as a part of the shortest: one in this many.
+/// Deciding limit, in tenths of a bit.
+const DECIDING_LIMIT: i32 = 80;
+
+/// The same for a long-running task: it is running during most crashes, and the losses of a
+/// storm of crashes add up against it.
+const LONG_RUNNING_DECIDING_LIMIT: i32 = 160;
+
+/// Difference between the shortest and the longest running time before a crash up to which
+/// they count as alike, in milliseconds.
 const ALIKE_MS: Millis = 60;
-const ALIKE_PART: Millis = 4;
 
-/// Least weights at which a task is given up whose crashes are not known to be alike, in
-/// tenths of a bit: where orders and silence blur the times, one may still be the cause.
-const SCATTERED_WEIGHT: i32 = 110;
-const LASTING_SCATTERED_WEIGHT: i32 = 250;
+/// The same as a part of the shortest running time: one in this many.
+const ALIKE_DIVISOR: Millis = 4;
 
-/// What silence says less than connections that are reset, in tenths of a bit: a task ends
-/// its runner's process, and most runners that fall silent lose their VM or are cut off.
-const SILENCE_LESS: i32 = 30;
+/// Least limit for a task whose crashes are not known to be alike, in tenths of a bit: delays
+/// of orders and missing responses blur the times, so the task may still be the cause.
+const SCATTERED_LIMIT: i32 = 110;
 
-/// Least time for which a suspect has to run to be cleared, in milliseconds.
-const CLEAR_LEAST_MS: Millis = 1_000;
+/// The same for a long-running task.
+const LONG_RUNNING_SCATTERED_LIMIT: i32 = 250;
 
-/// Losses up to which a task is excused where other runners are lost at the same moment.
-const EXCUSED_CRASHES: u32 = 2;
+/// Reduction of the weight of a loss that shows by missing responses instead of reset
+/// connections, in tenths of a bit: a task that crashes its runner ends the process, while
+/// most runners that become unresponsive lose their VM or are cut off.
+const SILENCE_REDUCTION: i32 = 30;
 
-/// What counts against a task.
+/// Least running time after which a suspect is cleared, in milliseconds.
+const CLEAR_MIN_MS: Millis = 1_000;
+
+/// Number of losses that do not count if other runners are lost at the same moment.
+const EXCUSED_LOSSES: u32 = 2;
+
+/// Evidence against a task.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct TaskSuspicion {
-    /// Runners that were lost under it.
+    /// Number of runners that were lost while they ran it.
     #[serde(rename = "n", skip_serializing_if = "is_default")]
     pub losses: u32,
-    /// Those of them since it was last cleared.
+    /// Those since it was last cleared.
     #[serde(rename = "r", skip_serializing_if = "is_default")]
     recent: u32,
-    /// Those of them that count, after a run of known length.
+    /// Those of them that count and came after a run of known length.
     #[serde(rename = "c", skip_serializing_if = "is_default")]
     pub counted: u32,
-    /// Sum of what they say, in tenths of a bit, as if the task had run for a second.
+    /// Sum of the weights of losses, in tenths of a bit, as if the task had run for one second
+    /// each time.
     #[serde(rename = "s", skip_serializing_if = "is_default")]
     sum: i32,
-    /// Those of them under which it was alone, and whose connections were reset.
+    /// Number of crashes with reset connections while it ran in isolation.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
     pub alone: u32,
-    /// How long it had run when these were lost, as far as that is known.
+    /// Running times before these crashes, as far as they are known.
     #[serde(rename = "b", skip_serializing_if = "is_default")]
     pub(crate) alone_span: Option<RunSpan>,
-    /// Number of the last run that was lost: a loss is noted once, whoever finds it.
+    /// Number of the last run that was lost, so that a loss is counted once, whoever detects
+    /// it.
     #[serde(rename = "u", skip_serializing_if = "is_default")]
     last_run: u32,
-    /// Longest time that it had run when one of them was lost, in milliseconds.
+    /// Longest time that it had been running when a runner was lost, in milliseconds.
     #[serde(rename = "l", skip_serializing_if = "is_default")]
     longest: Millis,
 }
 
-/// How long some runs took until a crash.
+/// Range of the running times of some runs before a crash.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct RunSpan {
-    /// Shortest and longest of them, in milliseconds.
+    /// Shortest of them, in milliseconds.
     #[serde(rename = "s")]
     shortest: Millis,
+    /// Longest of them, in milliseconds.
     #[serde(rename = "l")]
     longest: Millis,
+    /// Number of runs.
     #[serde(rename = "n")]
     runs: u32,
 }
@@ -134,43 +161,44 @@
         }
     }
 
-    /// Whether they are several, and took about the same time.
+    /// Whether there are several runs, and all of them took about the same time.
     pub(crate) fn is_narrow(self) -> bool {
         let width = self.longest.saturating_sub(self.shortest);
-        self.runs > 1 && width <= ALIKE_MS.max(self.shortest / ALIKE_PART)
+        self.runs > 1 && width <= ALIKE_MS.max(self.shortest / ALIKE_DIVISOR)
     }
 }
 
-/// What is known of a task on a runner that was lost.
+/// What is known about a task on a runner that was lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LossEvidence {
     /// Number of the run that was lost.
     pub(crate) run: u32,
     /// How the runner was lost.
     pub(crate) loss: RunnerLoss,
-    /// How long the task had run; none where that is not known.
+    /// How long the task had been running; none where that is not known.
     pub(crate) ran: Option<Millis>,
-    /// Whether it is known when the runner was lost.
+    /// Whether the time of the loss is known.
     pub(crate) timed: bool,
-    /// Whether it is one that lasts.
+    /// Whether the task is long-running.
     pub(crate) lasts: bool,
-    /// Share of the task in what was there, by how young the runs were.
+    /// Part of the weight that the task gets among all that ran there: the shorter its running
+    /// time, the larger.
     pub(crate) share: f64,
-    /// Whether it fell silent, and its connections were not reset.
+    /// Whether the runner became unresponsive, and its connections were not reset.
     pub(crate) silent: bool,
     /// Whether nothing else ran there.
     pub(crate) alone: bool,
     /// Whether other runners were lost at that moment.
     pub(crate) concurrent_loss: bool,
-    /// How often a runner of the pool is lost without the task, a second.
+    /// Rate at which a runner of the pool is lost for reasons other than the task, per second.
     pub(crate) rate: f64,
 }
 
 impl TaskSuspicion {
-    /// Takes a loss in; answers whether the task is to be given up for it.
+    /// Adds a loss; returns whether the task is to be failed as the cause.
     pub(crate) fn add(&mut self, evidence: LossEvidence) -> bool {
         self.last_run = evidence.run;
-        let excused = evidence.concurrent_loss && self.recent < EXCUSED_CRASHES;
+        let excused = evidence.concurrent_loss && self.recent < EXCUSED_LOSSES;
         self.losses += 1;
         self.recent += 1;
         if excused {
@@ -189,79 +217,84 @@
             let ran = evidence.ran.filter(|_| evidence.timed);
             self.alone_span = RunSpan::join(self.alone_span, ran.map(RunSpan::of_run));
         }
-        self.sum -= if evidence.silent { SILENCE_LESS } else { 0 };
+        self.sum -= if evidence.silent {
+            SILENCE_REDUCTION
+        } else {
+            0
+        };
         self.weight() >= self.limit(evidence)
     }
 
-    /// Weight from which the task is given up after such a loss, in tenths of a bit.
+    /// Weight from which the task is failed after such a loss, in tenths of a bit.
     fn limit(&self, evidence: LossEvidence) -> i32 {
         let first = match (evidence.alone, evidence.loss == RunnerLoss::Silent) {
-            (true, false) => PROOF_WEIGHT,
-            (true, true) => SILENT_PROOF_WEIGHT,
-            (false, _) => HEAVY_WEIGHT,
+            (true, false) => ISOLATED_CRASH_LIMIT,
+            (true, true) => ISOLATED_SILENCE_LIMIT,
+            (false, _) => SHARED_LOSS_LIMIT,
         };
         let alone = i32::try_from(self.alone).unwrap_or(i32::MAX);
-        let less = first.saturating_sub(alone.saturating_mul(ALONE_WEIGHT));
+        let less = first.saturating_sub(alone.saturating_mul(LIMIT_REDUCTION));
         let decides = evidence.alone && self.recent >= DECIDING_LOSSES;
         let (deciding, least) = match (self.crashes_alike(), evidence.lasts) {
-            (true, false) => (DECIDING_WEIGHT, LEAST_WEIGHT),
-            (true, true) => (LASTING_DECIDING_WEIGHT, LEAST_WEIGHT),
-            (false, false) => (SCATTERED_WEIGHT, SCATTERED_WEIGHT),
-            (false, true) => (LASTING_SCATTERED_WEIGHT, LASTING_SCATTERED_WEIGHT),
+            (true, false) => (DECIDING_LIMIT, LIMIT_MIN),
+            (true, true) => (LONG_RUNNING_DECIDING_LIMIT, LIMIT_MIN),
+            (false, false) => (SCATTERED_LIMIT, SCATTERED_LIMIT),
+            (false, true) => (LONG_RUNNING_SCATTERED_LIMIT, LONG_RUNNING_SCATTERED_LIMIT),
         };
         if decides { deciding } else { less.max(least) }
     }
 
-    /// Whether the crashes under which the task was alone came at about the same time of
-    /// their runs: chance crashes a runner at any.
+    /// Whether the crashes in isolation came after about the same running time each: crashes
+    /// by chance come at any time.
     fn crashes_alike(&self) -> bool {
         self.alone_span.is_some_and(RunSpan::is_narrow)
     }
 
-    /// What counts against the task, in tenths of a bit: each loss says the more the shorter
-    /// the time is within which the task crashes its runners, if it does.
+    /// Weight of the evidence against the task, in tenths of a bit: the shorter the time
+    /// within which the task crashes its runners if it is the cause, the more each loss
+    /// counts.
     pub fn weight(&self) -> i32 {
         let counted = i32::try_from(self.counted).unwrap_or(i32::MAX);
-        let time = self.longest.max(SHORTEST_MS);
+        let time = self.longest.max(RUN_TIME_MIN_MS);
         let each = tenths_of_bits(seconds(time));
         self.sum.saturating_sub(counted.saturating_mul(each)).max(0)
     }
 
-    /// Whether a run is noted as lost.
+    /// Whether the loss of a run is counted already.
     pub(crate) fn is_noted(&self, run: u32) -> bool {
         self.losses > 0 && self.last_run == run
     }
 
-    /// Whether anything counts against the task.
+    /// Whether any loss counts against the task.
     pub(crate) fn is_suspect(&self) -> bool {
         self.recent > 0
     }
 
-    /// Whether the task is to be tried alone.
+    /// Whether the task is to be run in isolation.
     pub(crate) fn needs_trial(&self) -> bool {
-        self.recent >= TRIAL_LOSSES || self.is_likely()
+        self.recent >= ISOLATION_LOSSES || self.is_likely()
     }
 
-    /// Whether a runner that was lost under the task is likely to have been lost to it.
+    /// Whether the task is likely to be the cause of the loss of a runner that ran it.
     pub(crate) fn is_likely(&self) -> bool {
-        self.weight() >= TRIAL_WEIGHT
+        self.weight() >= ISOLATION_WEIGHT
     }
 
-    /// Time for which the task has to run to be cleared, in milliseconds.
+    /// Running time after which the task is cleared, in milliseconds.
     pub(crate) fn clear_time(&self) -> Millis {
-        CLEAR_LEAST_MS.max(2 * self.longest)
+        CLEAR_MIN_MS.max(2 * self.longest)
     }
 
-    /// Time after which others may go beside the task, in milliseconds.
+    /// Running time after which other tasks may be placed beside the task, in milliseconds.
     pub(crate) fn alone_time(&self) -> Millis {
         if self.is_likely() {
-            ALONE_MOST_MS
+            ISOLATION_MAX_MS
         } else {
-            ALONE_BRIEFLY_MS
+            ISOLATION_SHORT_MS
         }
     }
 
-    /// Takes in that the task ran on for longer than it took to crash.
+    /// Clears the evidence after the task ran for longer than it took to crash.
     pub(crate) fn clear(&mut self) {
         *self = Self {
             losses: self.losses,
@@ -271,14 +304,14 @@
     }
 }
 
-/// How long a run went on, in milliseconds, as far as it counts.
+/// Running time of a run as it is used for its weight, in milliseconds.
 pub(crate) fn time_of(ran: Option<Millis>, lasts: bool) -> Millis {
     let unknown = if lasts {
-        LASTING_UNKNOWN_MS
+        LONG_RUNNING_UNKNOWN_MS
     } else {
-        UNKNOWN_MS
+        UNKNOWN_RUN_TIME_MS
     };
-    ran.unwrap_or(unknown).max(SHORTEST_MS)
+    ran.unwrap_or(unknown).max(RUN_TIME_MIN_MS)
 }
 
 #[expect(
