--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -1,14 +1,14 @@
-//! Says whether a start may be sent now: the first order of a run, and each repeat of one
-//! that got no answer.
+//! Decides whether a start may be sent now: the first order of a run, and each repeat of an
+//! order without an answer.
 //!
 //! A run is planned, recorded and then ordered, and a start without an answer is sent again
-//! after holds that do not show its run. By then its runner may be about to leave or have
-//! less room, its leave be over, or its team's limit lowered; so each copy is admitted by
-//! what holds at that moment.
+//! after heartbeats that do not show its run. By then the runner may be draining or have less
+//! capacity, the ticket may have expired, or the team's limit may have been lowered. So each
+//! copy of a start is checked against the present state.
 //!
-//! A run of which no copy was sent is planned anew. One of which a copy may still be carried
-//! out is stopped first. That stop ends the run if it has begun meanwhile, so that lasting
-//! tasks are only stopped where their step can miss them.
+//! A run of which no copy was sent is planned again. A run of which a copy may still be
+//! carried out is stopped first. The stop also ends the run if it has begun meanwhile, so a
+//! long-running task is only stopped while its step can do without it.
 
 use crate::{
     Millis,
@@ -21,35 +21,36 @@
     task::TaskRef, //
 };
 
-/// What is to become of a start.
+/// Decision about a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StartAdmission {
-    /// It is sent.
+    /// Send it.
     Send,
-    /// It is not sent, and asked for again with the next hold.
+    /// Don't send it now; decide again after the next heartbeat.
     Wait,
-    /// It is not sent, and its run is given up.
+    /// Don't send it, and withdraw its run.
     Withdraw,
 }
 
-/// Why a start may not be sent.
+/// Reason why a start may not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum StartObstacle {
-    /// The runner has said that it leaves.
+    /// The runner has announced its shutdown.
     Draining,
-    /// The runner is listed no more; it may leave, or its record lapsed in an outage.
+    /// The runner is no longer listed: it may be shutting down, or its record lapsed during an
+    /// outage.
     Unlisted,
-    /// The runner does not answer, or has no lease yet.
+    /// The runner does not respond, or has no lease yet.
     Closed,
-    /// The runner is to be emptied.
+    /// The runner's VM is being emptied.
     Emptied,
-    /// The runner's room has shrunk.
+    /// The runner's capacity has shrunk.
     NoRoom,
-    /// The adviser's leave is over.
+    /// The adviser's ticket has expired.
     NoLeave,
-    /// The task has become a suspect, and others are beside it.
+    /// The task has become a suspect, and other tasks run beside it.
     NotAlone,
-    /// The team has more running than it may.
+    /// The team has more running than its quota allows.
     OverLimit,
 }
 
@@ -67,7 +68,7 @@
         match obstacle {
             StartObstacle::Draining => StartAdmission::Withdraw,
             _ if may_stop => StartAdmission::Withdraw,
-            // It serves there until its VM goes down, which waits for the step.
+            // It is available there until its VM goes down, and that waits for the step.
             StartObstacle::Emptied => StartAdmission::Send,
             _ => StartAdmission::Wait,
         }
@@ -104,13 +105,14 @@
         runner.evacuating.then_some(StartObstacle::Emptied)
     }
 
-    /// Whether the runner is kept for the task, or for the gang that it is of.
+    /// Whether the runner is kept for an isolated run of the task, or of the task's gang.
     fn is_tried_on(&self, task: TaskRef, runner: &RunnerEntry) -> bool {
         let trial = runner.trial;
         trial.is_some_and(|trial| trial == task || self.are_together(task, trial))
     }
 
-    /// Whether a job's team has more running here than it may: its limit was lowered.
+    /// Whether a job's team has more running here than its quota allows, because the quota was
+    /// lowered.
     fn is_over_limit(&self, job: JobKey) -> bool {
         let team = self.jobs.get(job).map(|job| job.team.as_str());
         let Some((team, allowed)) = team.and_then(|team| Some((team, self.allowances.get(team)?)))
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -1,4 +1,8 @@
-//! Leave of a queue's adviser to run a step on some runners.
+//! Tickets: permissions of a queue's adviser to run a step on certain runners.
+//!
+//! A step of an advised queue only starts on a runner for which the adviser has issued a
+//! ticket that is still valid. [`PoolState::ask_advice`] returns the next request to send,
+//! [`PoolState::take_advice`] stores the tickets of a response.
 
 use std::collections::HashMap;
 
@@ -16,23 +20,23 @@
     }, //
 };
 
-/// Runners that are named in one call; the platform takes as many.
+/// Most runners named in one request; the platform accepts as many.
 const ASK_LIMIT: usize = 100;
 
-/// Runners that are asked for each waiting task: an adviser allows some only.
+/// Number of runners named for each waiting task: an adviser allows only some of them.
 const ASK_FOR_EACH: usize = 4;
 
-/// Time before the same step is asked for again, in milliseconds.
+/// Least time between two requests for the same step, in milliseconds.
 const ASK_AGAIN_MS: Millis = 700;
 
-/// Time for which a ticket must still hold when a start is planned, in
-/// milliseconds: a record is written before the start.
+/// Time for which a ticket must still be valid when a start is planned, in milliseconds: a
+/// record is written before the start is sent.
 const TICKET_SLACK_MS: Millis = 400;
 
-/// A question for an adviser.
+/// A request to an adviser.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdviceRequest {
-    /// One of the tasks that wait; tells the step.
+    /// One of the waiting tasks; identifies the step.
     pub task: TaskRef,
     /// Name of the step: identifier of the job, round, step.
     pub step: String,
@@ -40,7 +44,7 @@
     pub runners: Vec<String>,
 }
 
-/// Leave to run a step on a runner.
+/// Permission to run a step on a runner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdviceTicket {
     /// Name of the runner.
@@ -49,23 +53,23 @@
     pub ticket: String,
 }
 
-/// What an adviser said of a step.
+/// Responses of an adviser about a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
     asked_at: Millis,
-    /// Tickets by runner, and until when they hold.
+    /// Tickets and the times until which they are valid, by runner.
     tickets: HashMap<String, (String, Millis)>,
 }
 
 impl StepAdvice {
-    /// Forgets the leave for a runner.
+    /// Drops the ticket for a runner.
     pub(crate) fn forget_runner(&mut self, runner: &str) {
         self.tickets.remove(runner);
     }
 }
 
 impl PoolState {
-    /// The next question for an adviser.
+    /// Returns the next request to an adviser, if one is due.
     pub fn next_advice_request(&mut self, now: Millis) -> Option<AdviceRequest> {
         let (task, waiting) = self.unadvised(now)?;
         let job = self.jobs.get(task.job)?;
@@ -92,15 +96,16 @@
         })
     }
 
-    /// Whether a task needs leave for some runner now: it waits, or it lasts and
-    /// its runner is about to leave.
+    /// Whether a task needs a ticket for some runner now: it waits, or it is long-running and
+    /// its runner is draining.
     fn needs_leave(&self, task: TaskRef, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
         let leaves = runner.is_some_and(|runner| runner.facts.draining);
         entry.place == TaskPlace::Waiting || (leaves && self.lasts(task))
     }
 
-    /// A task of a step that waits for leave, and how many wait with it.
+    /// A task that needs a ticket, of a step for which a request may be sent, and the number
+    /// of the step's tasks that need one.
     fn unadvised(&self, now: Millis) -> Option<(TaskRef, usize)> {
         let jobs = self.active.iter();
         let jobs = jobs.filter_map(|key| Some((*key, self.jobs.get(*key)?)));
@@ -124,7 +129,7 @@
         Some((task, waiting.count()))
     }
 
-    /// Takes in what an adviser said; its leave holds until `until`.
+    /// Stores the tickets of an adviser's response; they are valid until `until`.
     pub fn record_advice(&mut self, task: TaskRef, tickets: Vec<AdviceTicket>, until: Millis) {
         let Some(entry) = self.task(task) else {
             return;
@@ -138,7 +143,7 @@
         self.plan_needed = true;
     }
 
-    /// Forgets what an adviser said of the task's step.
+    /// Drops all tickets of the task's step.
     pub(crate) fn drop_advice(&mut self, task: TaskRef) {
         if let Some(entry) = self.task(task) {
             let key = (task.job, entry.round, entry.step);
@@ -146,12 +151,14 @@
         }
     }
 
-    /// Whether the runner may run the task's step for long enough to plan its start.
+    /// Whether there is a ticket for the task on the runner that is valid for long enough to
+    /// plan a start.
     pub(crate) fn is_advised(&self, task: TaskRef, runner: &RunnerEntry, now: Millis) -> bool {
         self.has_leave(task, runner, now + TICKET_SLACK_MS)
     }
 
-    /// Whether the runner may run the task's step at that time.
+    /// Whether there is a ticket for the task on the runner that is valid at `at`, or none is
+    /// needed.
     pub(crate) fn has_leave(&self, task: TaskRef, runner: &RunnerEntry, at: Millis) -> bool {
         let Some(job) = self.jobs.get(task.job) else {
             return false;
--- a/crates/hoisthitch-jobs/src/drain.rs
+++ b/crates/hoisthitch-jobs/src/drain.rs
@@ -1,4 +1,5 @@
-//! Moves lasting tasks off runners that say that they leave.
+//! Moves long-running tasks off draining runners, that is, those that have announced their
+//! shutdown.
 
 use crate::{
     Millis,
@@ -11,10 +12,10 @@
 };
 
 impl PoolState {
-    /// Stops lasting tasks on leaving runners, so that they start elsewhere; of a
-    /// step only so many at once as it may miss. Without it they would be away
-    /// until the lease of a runner that is gone is over. Tasks for which there is
-    /// no room elsewhere stay to the end.
+    /// Stops long-running tasks on draining runners, so that they start elsewhere; of each
+    /// step only as many at the same time as may be unavailable. Otherwise they would be
+    /// unavailable until the lease of the runner that shut down has ended. Tasks for which no
+    /// other runner has free capacity stay until the end.
     pub fn move_off_draining(&mut self, now: Millis) {
         let leaving: Vec<TaskRef> = self
             .runners
@@ -29,7 +30,7 @@
         let mut moving = self.tasks_to_place();
         for task in leaving {
             let runs = self.task(task).is_some_and(TaskEntry::is_running);
-            // Each task on its way may take the whole room of a runner.
+            // Each task that is being moved may take all the capacity of a runner.
             if runs && self.can_be_missed(task) && self.rooms(task, now) > moving {
                 self.stop_task(task, now);
                 moving += 1;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Lasting tasks that are stopped, or wait to be placed.
+    /// Number of long-running tasks that are being stopped or wait to be placed.
     fn tasks_to_place(&self) -> usize {
         self.active_tasks()
             .filter(|(task, entry)| {
@@ -47,8 +48,9 @@
             .count()
     }
 
-    /// Whether the task's step can miss it now; one at a time where it may miss
-    /// none, for they all go with their runner in the end.
+    /// Whether the task's step allows it to be unavailable now. Where a step allows no task to
+    /// be unavailable, one at a time is moved, because all of them will go down with their
+    /// runners in the end.
     fn can_be_missed(&self, task: TaskRef) -> bool {
         let Some(job) = self.jobs.get(task.job).filter(|job| !job.phase.is_final()) else {
             return false;
@@ -62,8 +64,8 @@
         u32::try_from(away.count()).is_ok_and(|away| away < step.max_unavailable.max(1))
     }
 
-    /// Whether a task works, on a runner that is not about to go down: an upkeep or
-    /// a move of its VM may have been ordered already.
+    /// Whether a task is available and its runner is not evacuating: maintenance or a move of
+    /// its VM may have been ordered already.
     fn stays_at_work(&self, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
         self.is_at_work(entry) && runner.is_some_and(|runner| !runner.evacuating)
--- a/crates/hoisthitch-jobs/src/stall.rs
+++ b/crates/hoisthitch-jobs/src/stall.rs
@@ -1,4 +1,4 @@
-//! Finds tasks that stand still.
+//! Finds running tasks that make no progress, and moves them to other runners.
 
 use crate::{
     Millis,
@@ -10,21 +10,20 @@
     }, //
 };
 
-/// Time without progress after which a task stands still, in milliseconds: two
-/// reports of its runner, with some to spare.
+/// Least time without progress after which a task counts as stalled, in milliseconds: two
+/// reports of its runner, and some to spare.
 const STALL_MS: Millis = 1_800;
 
-/// Part of a task's expected time in which it shows progress at least: one in
-/// this many; progress is told in hundredths.
+/// Part of a task's expected time within which it shows progress at least: one in this many.
+/// Progress is reported in hundredths.
 const PROGRESS_PART: Millis = 25;
 
-/// Time for which a runner on which a task stood still gets no tasks, in
-/// milliseconds; such troubles last some seconds.
+/// Backoff of a runner on which a task stalled, in milliseconds; such troubles last some
+/// seconds.
 const STALL_SHUN_MS: Millis = 4_000;
 
 impl PoolState {
-    /// Stops tasks that stand still, to start them elsewhere; answers with
-    /// their runners.
+    /// Stops stalled tasks, so that they start elsewhere; returns their runners.
     pub fn stop_stalled(&mut self, now: Millis) -> Vec<RunnerKey> {
         let stalled: Vec<(TaskRef, RunnerKey)> = self
             .active
@@ -47,7 +46,7 @@
             .collect();
         let mut runners = Vec::new();
         for (task, key) in stalled {
-            // What a silent runner does is not known, nor can it be told.
+            // It is not known what an unresponsive runner does, nor can it get orders.
             let Some(runner) = self.runners.get_mut(key).filter(|runner| runner.ready) else {
                 continue;
             };
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/upkeep.rs
@@ -1,4 +1,7 @@
-//! Says when a runner's VM may go down for upkeep or a move.
+//! Decides when a runner's VM may go down for maintenance or a move.
+//!
+//! A VM may go down once no short task runs on it, and if no long-running step would then have
+//! more tasks unavailable than it allows (its disruption budget).
 
 use std::collections::{
     HashMap,
@@ -18,23 +21,23 @@
     }, //
 };
 
-/// Time that a lasting task has to be at work elsewhere, in milliseconds: a
-/// stop, a start and the short time until it is at work.
+/// Time that a moved long-running task may take to become available elsewhere, in
+/// milliseconds: a stop, a start, and a short time until it serves.
 const RELOCATE_MS: Millis = 2_500;
 
 /// Whether a VM may go down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EvacuationStatus {
-    /// Nothing that may not be interrupted runs on it.
+    /// It may go down: nothing that must not be interrupted runs on it.
     Free,
-    /// This many short tasks still run on it.
+    /// Not yet: this many short tasks still run on it.
     Busy(usize),
-    /// A lasting step has too many tasks away already.
+    /// Not yet: a long-running step has too many tasks unavailable already.
     Held,
 }
 
 impl PoolState {
-    /// Says whether a runner is to be emptied.
+    /// Sets whether a runner is to be emptied.
     pub fn set_evacuating(&mut self, key: RunnerKey, evacuating: bool) {
         if let Some(runner) = self.runners.get_mut(key)
             && runner.evacuating != evacuating
@@ -51,7 +54,8 @@
             .unwrap_or(EvacuationStatus::Free)
     }
 
-    /// Which runners' VMs may go down now: those that are free, all together.
+    /// Which of these runners' VMs may go down now; those that are free may all go down
+    /// together.
     pub fn evacuation_statuses(&self, keys: &[RunnerKey]) -> Vec<EvacuationStatus> {
         let mut ending = Vec::new();
         keys.iter()
@@ -59,13 +63,13 @@
             .collect()
     }
 
-    /// Whether a runner's VM may go down beside those whose tasks are `ending`; adds
-    /// its tasks if so.
+    /// Whether a runner's VM may go down beside those whose tasks are in `ending`; adds its
+    /// tasks if so.
     fn view_beside(&self, key: RunnerKey, ending: &mut Vec<TaskRef>) -> EvacuationStatus {
         let Some(runner) = self.runners.get(key) else {
             return EvacuationStatus::Free;
         };
-        // What an earlier owner ordered there shows in the runner's answers.
+        // Tasks that an earlier owner ordered there are only known once the runner responds.
         if !runner.ready {
             return EvacuationStatus::Held;
         }
@@ -84,9 +88,9 @@
         EvacuationStatus::Free
     }
 
-    /// Whether the VM of a runner that is not in the list may go down now, by
-    /// the tasks that were recorded there; none when there are none. A runner's
-    /// record lapses in an outage of the store while the runner works on.
+    /// Whether the VM of a runner that is not listed may go down now, by the tasks that are
+    /// recorded there; none if there are no such tasks. A runner's record lapses during an
+    /// outage of the store while the runner keeps working.
     pub fn unlisted_evacuation_status(&self, name: &str) -> Option<EvacuationStatus> {
         let mut short = 0;
         for (task, entry) in self.active_tasks() {
@@ -103,16 +107,16 @@
         (short > 0).then_some(EvacuationStatus::Busy(short))
     }
 
-    /// Whether the task is of a step that lasts.
+    /// Whether the task's step is long-running.
     pub(crate) fn lasts(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(task.job);
         job.and_then(|job| job.step_of(task.slot))
             .is_some_and(|step| step.long_running)
     }
 
-    /// Whether these tasks may be ended together, beside those that are away.
-    /// Each of them counts, for it may have come to work since its runner last
-    /// told.
+    /// Whether these tasks may be ended together, given those that are unavailable already.
+    /// Each of them counts, even if it was unavailable in its runner's last report, because it
+    /// may have become available since.
     pub(crate) fn may_end(&self, tasks: &[TaskRef]) -> bool {
         let mut ending: HashMap<(JobKey, u32, u32), HashSet<usize>> = HashMap::new();
         for task in tasks {
@@ -143,7 +147,7 @@
         })
     }
 
-    /// Whether a lasting task works, as far as its runner has said of late.
+    /// Whether a long-running task is available, as far as its runner reported lately.
     pub(crate) fn is_at_work(&self, task: &TaskEntry) -> bool {
         let TaskPlace::Running(key) = task.place else {
             return false;
@@ -152,8 +156,8 @@
         heard && task.away_since.is_none()
     }
 
-    /// Moves one lasting task off a runner that holds more of a step than may be
-    /// away at once; answers whether it did, or did a moment ago.
+    /// Moves one long-running task off a runner that has more tasks of its step than may be
+    /// unavailable at the same time; returns whether it did, or did so a moment ago.
     pub fn relocate_task(&mut self, key: RunnerKey, now: Millis) -> bool {
         let Some(runner) = self.runners.get(key).filter(|runner| runner.ready) else {
             return false;
@@ -176,8 +180,8 @@
         true
     }
 
-    /// Whether these tasks hold more of the task's lasting step than may be
-    /// away at once.
+    /// Whether these tasks include more of the task's long-running step than may be
+    /// unavailable at the same time.
     fn is_crowded(&self, task: TaskRef, tasks: &[TaskRef]) -> bool {
         let Some(job) = self.jobs.get(task.job) else {
             return false;
@@ -195,7 +199,7 @@
             && u32::try_from(alike).is_ok_and(|alike| alike > step.max_unavailable)
     }
 
-    /// Takes the lasting tasks of a runner as away: its VM goes down now.
+    /// Releases all tasks of a runner, because its VM goes down now.
     pub fn record_planned_shutdown(&mut self, key: RunnerKey, now: Millis) {
         self.release_runner(key, RunnerLoss::Planned, now);
         if let Some(runner) = self.runners.get_mut(key) {
@@ -204,7 +208,7 @@
     }
 }
 
-/// Whether a runner may run the task by now.
+/// Whether the runner may be running the task by now.
 fn is_ordered(place: &TaskPlace) -> bool {
     matches!(
         place,
