--- a/crates/hoisthitch-jobs/src/account.rs
+++ b/crates/hoisthitch-jobs/src/account.rs
@@ -40,7 +40,7 @@
     /// While all ready tasks ran.
     pub running: Millis,
     /// When the account was last updated; none before the owner had the job.
-    kept_at: Option<Millis>,
+    updated_at: Option<Millis>,
 }
 
 /// A job that ended, and how its time was spent.
@@ -65,9 +65,9 @@
 impl JobEntry {
     /// Charges the time since the last update; must be called before a task changes its place.
     pub(crate) fn keep_account(&mut self, now: Millis) {
-        let Some(before) = self.account.kept_at else {
+        let Some(before) = self.account.updated_at else {
             self.account.taking = now.saturating_sub(self.accepted_at);
-            self.account.kept_at = Some(now);
+            self.account.updated_at = Some(now);
             return;
         };
         let time = now.saturating_sub(before);
@@ -79,7 +79,7 @@
             TimeUse::Ordering => self.account.ordering += time,
             TimeUse::Running => self.account.running += time,
         }
-        self.account.kept_at = Some(now);
+        self.account.updated_at = Some(now);
     }
 
     fn time_use(&self) -> TimeUse {
--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -43,11 +43,11 @@
     /// The runner does not respond, or has no lease yet.
     Closed,
     /// The runner's VM is being emptied.
-    Emptied,
+    Evacuating,
     /// The runner's capacity has shrunk.
     NoRoom,
     /// The adviser's ticket has expired.
-    NoLeave,
+    NoTicket,
     /// The task has become a suspect, and other tasks run beside it.
     NotAlone,
     /// The team has more running than its quota allows.
@@ -69,7 +69,7 @@
             StartObstacle::Draining => StartAdmission::Withdraw,
             _ if may_stop => StartAdmission::Withdraw,
             // It is available there until its VM goes down, and that waits for the step.
-            StartObstacle::Emptied => StartAdmission::Send,
+            StartObstacle::Evacuating => StartAdmission::Send,
             _ => StartAdmission::Wait,
         }
     }
@@ -91,9 +91,9 @@
             return Some(StartObstacle::NoRoom);
         }
         if !self.has_leave(task, runner, now) {
-            return Some(StartObstacle::NoLeave);
+            return Some(StartObstacle::NoTicket);
         }
-        if self.is_suspect(task) && !self.is_tried_on(task, runner) {
+        if self.is_suspect(task) && !self.is_isolated_on(task, runner) {
             return Some(StartObstacle::NotAlone);
         }
         if is_first && !runner.ready {
@@ -102,11 +102,11 @@
         if !is_first && self.is_over_limit(task.job) {
             return Some(StartObstacle::OverLimit);
         }
-        runner.evacuating.then_some(StartObstacle::Emptied)
+        runner.evacuating.then_some(StartObstacle::Evacuating)
     }
 
     /// Whether the runner is kept for an isolated run of the task, or of the task's gang.
-    fn is_tried_on(&self, task: TaskRef, runner: &RunnerEntry) -> bool {
+    fn is_isolated_on(&self, task: TaskRef, runner: &RunnerEntry) -> bool {
         let trial = runner.trial;
         trial.is_some_and(|trial| trial == task || self.are_together(task, trial))
     }
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -21,17 +21,17 @@
 };
 
 /// Most runners named in one request; the platform accepts as many.
-const ASK_LIMIT: usize = 100;
+const REQUEST_RUNNERS_MAX: usize = 100;
 
 /// Number of runners named for each waiting task: an adviser allows only some of them.
-const ASK_FOR_EACH: usize = 4;
+const RUNNERS_PER_TASK: usize = 4;
 
 /// Least time between two requests for the same step, in milliseconds.
-const ASK_AGAIN_MS: Millis = 700;
+const REQUEST_INTERVAL_MS: Millis = 700;
 
 /// Time for which a ticket must still be valid when a start is planned, in milliseconds: a
 /// record is written before the start is sent.
-const TICKET_SLACK_MS: Millis = 400;
+const TICKET_MARGIN_MS: Millis = 400;
 
 /// A request to an adviser.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -71,7 +71,7 @@
 impl PoolState {
     /// Returns the next request to an adviser, if one is due.
     pub fn next_advice_request(&mut self, now: Millis) -> Option<AdviceRequest> {
-        let (task, waiting) = self.unadvised(now)?;
+        let (task, waiting) = self.task_without_ticket(now)?;
         let job = self.jobs.get(task.job)?;
         let step = job.step_of(task.slot)?;
         let entry = job.tasks.get(task.slot)?;
@@ -84,7 +84,7 @@
             .map(|runner| (runner.used.cpu_milli, runner.facts.name.clone()))
             .collect();
         runners.sort();
-        runners.truncate((waiting * ASK_FOR_EACH).min(ASK_LIMIT));
+        runners.truncate((waiting * RUNNERS_PER_TASK).min(REQUEST_RUNNERS_MAX));
         if runners.is_empty() {
             return None;
         }
@@ -98,7 +98,7 @@
 
     /// Whether a task needs a ticket for some runner now: it waits, or it is long-running and
     /// its runner is draining.
-    fn needs_leave(&self, task: TaskRef, entry: &TaskEntry) -> bool {
+    fn needs_ticket(&self, task: TaskRef, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
         let leaves = runner.is_some_and(|runner| runner.facts.draining);
         entry.place == TaskPlace::Waiting || (leaves && self.lasts(task))
@@ -106,25 +106,25 @@
 
     /// A task that needs a ticket, of a step for which a request may be sent, and the number
     /// of the step's tasks that need one.
-    fn unadvised(&self, now: Millis) -> Option<(TaskRef, usize)> {
+    fn task_without_ticket(&self, now: Millis) -> Option<(TaskRef, usize)> {
         let jobs = self.active.iter();
         let jobs = jobs.filter_map(|key| Some((*key, self.jobs.get(*key)?)));
         let advised = jobs.filter(|(_, job)| job.policy.advised && !job.phase.is_final());
-        let mut open = advised.flat_map(|(key, job)| {
+        let mut candidates = advised.flat_map(|(key, job)| {
             let tasks = job.tasks.iter().enumerate();
             tasks
                 .filter(|(slot, _)| job.is_ready(*slot))
                 .map(move |(slot, task)| (TaskRef { job: key, slot }, task))
-                .filter(|(task, entry)| self.needs_leave(*task, entry))
+                .filter(|(task, entry)| self.needs_ticket(*task, entry))
         });
-        let (task, entry) = open.find(|(task, entry)| {
+        let (task, entry) = candidates.find(|(task, entry)| {
             let advice = self.advice.get(&(task.job, entry.round, entry.step));
-            advice.is_none_or(|advice| advice.asked_at + ASK_AGAIN_MS <= now)
+            advice.is_none_or(|advice| advice.asked_at + REQUEST_INTERVAL_MS <= now)
         })?;
         let tasks = self.jobs.get(task.job)?.tasks_of(entry.round, entry.step);
         let waiting = tasks.filter(|(slot, other)| {
             let job = task.job;
-            self.needs_leave(TaskRef { job, slot: *slot }, other)
+            self.needs_ticket(TaskRef { job, slot: *slot }, other)
         });
         Some((task, waiting.count()))
     }
@@ -154,7 +154,7 @@
     /// Whether there is a ticket for the task on the runner that is valid for long enough to
     /// plan a start.
     pub(crate) fn is_advised(&self, task: TaskRef, runner: &RunnerEntry, now: Millis) -> bool {
-        self.has_leave(task, runner, now + TICKET_SLACK_MS)
+        self.has_leave(task, runner, now + TICKET_MARGIN_MS)
     }
 
     /// Whether there is a ticket for the task on the runner that is valid at `at`, or none is
--- a/crates/hoisthitch-jobs/src/balance.rs
+++ b/crates/hoisthitch-jobs/src/balance.rs
@@ -55,13 +55,13 @@
 
 /// Part of an even share of all VMs that a pool keeps even if other pools lack VMs, in
 /// percent: work arrives faster than a VM can be moved.
-const GIVE_FLOOR_PERCENT: usize = 50;
+const KEEP_PERCENT: usize = 50;
 
 /// How much larger the lack of a pool must be than that of a pool that gives it VMs while
 /// lacking some itself, in thousandths of what each needs: VMs must not be moved back and
 /// forth. Such moves bring half a percent of the attainable value (40 simulated days,
 /// docs/decisions.md).
-const LACK_MARGIN: usize = 250;
+const LACK_MARGIN_MILLI: usize = 250;
 
 /// State of a pool while moves are planned.
 struct PoolLevel<'a> {
@@ -102,7 +102,7 @@
         .collect();
     let vms: usize = pools.values().map(|share| share.vms.len()).sum();
     let active = pools.values().filter(|share| !share.spare).count().max(1);
-    let floor = vms * GIVE_FLOOR_PERCENT / 100 / active;
+    let floor = vms * KEEP_PERCENT / 100 / active;
     let level = vms.div_ceil(active);
     let mut moves = Vec::new();
     fill(
@@ -186,7 +186,7 @@
     places
         .filter(|(place, pool)| *place != taker && !pool.share.spare)
         .filter(|(_, pool)| pool.staying > to_usize(pool.share.keep).max(least))
-        .filter(|(_, pool)| lack(pool) + LACK_MARGIN < missing)
+        .filter(|(_, pool)| lack(pool) + LACK_MARGIN_MILLI < missing)
         .min_by_key(|(_, pool)| (lack(pool), pool.name))
         .map(|(place, _)| place)
 }
--- a/crates/hoisthitch-jobs/src/demand.rs
+++ b/crates/hoisthitch-jobs/src/demand.rs
@@ -23,17 +23,17 @@
 const LATE_BACKLOG_MS: Millis = 10_000;
 
 /// Time assumed for a task of a queue of which no task was done yet, in milliseconds.
-const USUAL_TASK_MS: Millis = 1_000;
+const DEFAULT_TASK_MS: Millis = 1_000;
 
 /// Weight of a new value in a running mean: one part in this many.
-const LEARN_PART: u64 = 8;
+const MEAN_DIVISOR: u64 = 8;
 
 /// Capacity assumed for a VM while the pool has no runner, in thousandths of a core.
-const USUAL_CAPACITY: u64 = 32_000;
+const DEFAULT_CAPACITY_MILLI: u64 = 32_000;
 
 /// Least time that a runner stays in its pool, in milliseconds: two owners may not order about
 /// the same VM within the platform's three seconds.
-const STAY_MS: Millis = 3_300;
+const STAY_MIN_MS: Millis = 3_300;
 
 /// Number of VMs that a pool needs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -74,7 +74,7 @@
             .values()
             .map(|runner| runner.facts.capacity.cpu_milli)
             .max()
-            .unwrap_or(USUAL_CAPACITY)
+            .unwrap_or(DEFAULT_CAPACITY_MILLI)
             .max(1);
         let vms = |cores: u64| {
             let vms = cores.div_ceil(capacity);
@@ -114,7 +114,10 @@
 
     /// Mean time of a queue's tasks so far, in milliseconds.
     pub(crate) fn task_time(&self, queue: &str) -> Millis {
-        self.task_times.get(queue).copied().unwrap_or(USUAL_TASK_MS)
+        self.task_times
+            .get(queue)
+            .copied()
+            .unwrap_or(DEFAULT_TASK_MS)
     }
 
     /// Expected time of a task of the job, in milliseconds: the greater of the caller's
@@ -129,8 +132,8 @@
         let mean = self
             .task_times
             .entry(queue.to_owned())
-            .or_insert(USUAL_TASK_MS);
-        *mean = (*mean * (LEARN_PART - 1) + time) / LEARN_PART;
+            .or_insert(DEFAULT_TASK_MS);
+        *mean = (*mean * (MEAN_DIVISOR - 1) + time) / MEAN_DIVISOR;
     }
 
     /// Records the work of a job that arrived at `at`.
@@ -154,7 +157,7 @@
             .runners
             .iter()
             .filter(|(_, runner)| runner.ready && !runner.is_departing())
-            .filter(|(_, runner)| runner.known_since + STAY_MS <= now)
+            .filter(|(_, runner)| runner.known_since + STAY_MIN_MS <= now)
             .filter(|(_, runner)| !runner.holds_lasting())
             .map(|(key, runner)| (!runner.evacuating, runner.used.cpu_milli, key))
             .collect();
--- a/crates/hoisthitch-jobs/src/drain.rs
+++ b/crates/hoisthitch-jobs/src/drain.rs
@@ -27,11 +27,11 @@
         if leaving.is_empty() {
             return;
         }
-        let mut moving = self.tasks_to_place();
+        let mut moving = self.count_moving();
         for task in leaving {
             let runs = self.task(task).is_some_and(TaskEntry::is_running);
             // Each task that is being moved may take all the capacity of a runner.
-            if runs && self.can_be_missed(task) && self.rooms(task, now) > moving {
+            if runs && self.may_be_unavailable(task) && self.rooms(task, now) > moving {
                 self.stop_task(task, now);
                 moving += 1;
             }
@@ -39,7 +39,7 @@
     }
 
     /// Number of long-running tasks that are being stopped or wait to be placed.
-    fn tasks_to_place(&self) -> usize {
+    fn count_moving(&self) -> usize {
         self.active_tasks()
             .filter(|(task, entry)| {
                 let moves = matches!(entry.place, TaskPlace::Stopping(_) | TaskPlace::Waiting);
@@ -51,7 +51,7 @@
     /// Whether the task's step allows it to be unavailable now. Where a step allows no task to
     /// be unavailable, one at a time is moved, because all of them will go down with their
     /// runners in the end.
-    fn can_be_missed(&self, task: TaskRef) -> bool {
+    fn may_be_unavailable(&self, task: TaskRef) -> bool {
         let Some(job) = self.jobs.get(task.job).filter(|job| !job.phase.is_final()) else {
             return false;
         };
@@ -60,13 +60,13 @@
         };
         let others = job.tasks_of(entry.round, entry.step);
         let others = others.filter(|(slot, _)| *slot != task.slot);
-        let away = others.filter(|(_, other)| !self.stays_at_work(other));
+        let away = others.filter(|(_, other)| !self.stays_available(other));
         u32::try_from(away.count()).is_ok_and(|away| away < step.max_unavailable.max(1))
     }
 
     /// Whether a task is available and its runner is not evacuating: maintenance or a move of
     /// its VM may have been ordered already.
-    fn stays_at_work(&self, entry: &TaskEntry) -> bool {
+    fn stays_available(&self, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
         self.is_at_work(entry) && runner.is_some_and(|runner| !runner.evacuating)
     }
--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -20,10 +20,10 @@
 
 /// Least remaining time of a task that is moved, in milliseconds: a stop takes up to nine
 /// tenths of a second.
-const LEFT_MS: Millis = 700;
+const TIME_LEFT_MIN_MS: Millis = 700;
 
 /// Progress from which a task's remaining time is extrapolated from it, in percent.
-const TOLD_PERCENT: u32 = 10;
+const EXTRAPOLATE_PERCENT: u32 = 10;
 
 impl PoolState {
     /// Stops tasks of an evacuating runner that can resume elsewhere.
@@ -37,7 +37,7 @@
         let tasks: Vec<(TaskRef, u64)> = runner
             .tasks
             .iter()
-            .filter(|task| self.can_go_on(**task, now))
+            .filter(|task| self.can_resume(**task, now))
             .filter_map(|task| {
                 let job = self.jobs.get(task.job)?;
                 let step = job.step_of(task.slot)?;
@@ -62,7 +62,7 @@
 
     /// Whether the task keeps its progress when it is stopped, and has enough time left to be
     /// worth moving.
-    fn can_go_on(&self, task: TaskRef, now: Millis) -> bool {
+    fn can_resume(&self, task: TaskRef, now: Millis) -> bool {
         let Some(job) = self.jobs.get(task.job).filter(|job| !job.phase.is_final()) else {
             return false;
         };
@@ -73,7 +73,7 @@
             && step.checkpoints
             && !step.long_running
             && !step.gang
-            && time_left(entry, self.expected_time(job), now) > LEFT_MS
+            && remaining_time(entry, self.expected_time(job), now) > TIME_LEFT_MIN_MS
     }
 
     /// Free processors of runners that take tasks, less those that waiting and stopping tasks
@@ -107,9 +107,9 @@
 
 /// Remaining time of a task: extrapolated from its progress, or the expected time less the
 /// time it ran.
-fn time_left(entry: &TaskEntry, expected: Millis, now: Millis) -> Millis {
+fn remaining_time(entry: &TaskEntry, expected: Millis, now: Millis) -> Millis {
     let ran = now.saturating_sub(entry.began_at);
-    if entry.percent < TOLD_PERCENT {
+    if entry.percent < EXTRAPOLATE_PERCENT {
         return expected.saturating_sub(ran);
     }
     let percent = Millis::from(entry.percent.min(100));
--- a/crates/hoisthitch-jobs/src/fair.rs
+++ b/crates/hoisthitch-jobs/src/fair.rs
@@ -19,7 +19,7 @@
 
 /// What a team may use before it counts as beyond its share, in percent of the share: single
 /// jobs need up to a tenth of a pool.
-const SLACK_PERCENT: f64 = 120.0;
+const BEYOND_SHARE_PERCENT: f64 = 120.0;
 
 impl PoolState {
     /// Sets the weights of teams; a team without an entry has weight one.
@@ -39,7 +39,7 @@
         let all_weights: f64 = uses.keys().map(|team| weight(team)).sum();
         let all_used: u64 = uses.values().map(|found| found.used.cpu_milli).sum();
         let beyond = uses.iter().filter(|(team, found)| {
-            let share = weight(team) * SLACK_PERCENT / 100.0 / all_weights;
+            let share = weight(team) * BEYOND_SHARE_PERCENT / 100.0 / all_weights;
             as_f64(found.used.cpu_milli) > as_f64(all_used) * share
         });
         beyond.map(|(team, _)| *team).collect()
--- a/crates/hoisthitch-jobs/src/forecast.rs
+++ b/crates/hoisthitch-jobs/src/forecast.rs
@@ -6,7 +6,7 @@
 };
 
 /// Window over which a rise of the need is measured, in milliseconds.
-const TREND_MS: Millis = 1_000;
+const TREND_WINDOW_MS: Millis = 1_000;
 
 /// Factor by which a measured rise is extrapolated: from the decision to the first task a move
 /// takes about twice the window.
@@ -30,7 +30,7 @@
 impl DemandHistory {
     /// Records what is needed now; returns the forecast.
     pub fn forecast(&mut self, want: WantedVms, now: Millis) -> VmForecast {
-        self.steady.retain(|(at, _)| at + TREND_MS > now);
+        self.steady.retain(|(at, _)| at + TREND_WINDOW_MS > now);
         self.steady.push((now, want.steady));
         VmForecast {
             want: want.now.saturating_add(self.rise(want.steady)),
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -33,11 +33,11 @@
 
 /// Backoff of a runner that refused a start, in milliseconds; about the time of a short task,
 /// after which resources are free again.
-const REFUSED_SHUN_MS: Millis = 300;
+const REFUSED_BACKOFF_MS: Millis = 300;
 
 /// Backoff of a runner that did not answer a start, in milliseconds; a healthy one answers two
 /// heartbeats meanwhile.
-const UNCLEAR_SHUN_MS: Millis = 1_500;
+const UNANSWERED_BACKOFF_MS: Millis = 1_500;
 
 impl PoolState {
     /// Records a runner's response to the heartbeat that was sent at `asked_at`; returns the
@@ -59,18 +59,18 @@
         let seen = runner.last_seen_end;
         let mut present = HashSet::new();
         for row in &report.running {
-            present.extend(self.take_running(key, row, now));
+            present.extend(self.record_running(key, row, now));
         }
         for row in report.ended.iter().filter(|row| row.number > seen) {
-            present.extend(self.take_ended(key, row, now));
+            present.extend(self.record_ended(key, row, now));
         }
         if let Some(last) = report.ended.iter().map(|row| row.number).max()
             && let Some(runner) = self.runners.get_mut(key)
         {
             runner.last_seen_end = runner.last_seen_end.max(last);
         }
-        self.settle_located(key, now);
-        self.take_absent(key, &present, asked_at, now)
+        self.release_unreported(key, now);
+        self.resolve_missing_runs(key, &present, asked_at, now)
     }
 
     /// Records that the runner has a lease of this owner.
@@ -114,7 +114,7 @@
         }
     }
 
-    fn locate(&self, name: &str) -> Option<TaskRef> {
+    fn find_task(&self, name: &str) -> Option<TaskRef> {
         let name = TaskName::parse(name)?;
         let job = *self.job_ids.get(&name.job)?;
         let slot = self.jobs.get(job)?.slot_of(&name)?;
@@ -123,9 +123,14 @@
 
     /// Records a run that is running; returns its task if the run is the one that the owner
     /// expects there.
-    fn take_running(&mut self, key: RunnerKey, row: &RunningTask, now: Millis) -> Option<TaskRef> {
-        let Some(task) = self.locate(&row.name) else {
-            self.stop_stray(key, &row.name, row.run);
+    fn record_running(
+        &mut self,
+        key: RunnerKey,
+        row: &RunningTask,
+        now: Millis,
+    ) -> Option<TaskRef> {
+        let Some(task) = self.find_task(&row.name) else {
+            self.stop_unexpected_run(key, &row.name, row.run);
             return None;
         };
         let job_ended = self.jobs.get(task.job)?.phase.is_final();
@@ -137,8 +142,8 @@
             TaskPlace::Waiting | TaskPlace::Planned(_) | TaskPlace::Done => false,
         };
         if !expected || entry.placed_run() != row.run {
-            if job_ended || !self.gives_way(task, key, row.run, now) {
-                self.stop_stray(key, &row.name, row.run);
+            if job_ended || !self.yields_to_earlier_run(task, key, row.run, now) {
+                self.stop_unexpected_run(key, &row.name, row.run);
             }
             return self.task(task)?.stray_run.map(|_| task);
         }
@@ -180,7 +185,13 @@
     /// start was carried out late. No other run may begin meanwhile. If no start of the task
     /// is under way, the task waits for the earlier run to stop. If a start is under way that
     /// may not have begun, it is withdrawn first.
-    fn gives_way(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) -> bool {
+    fn yields_to_earlier_run(
+        &mut self,
+        task: TaskRef,
+        key: RunnerKey,
+        run: u32,
+        now: Millis,
+    ) -> bool {
         let name = self.runners.get(key).map(|runner| &runner.facts.name);
         let Some(entry) = self.task(task) else {
             return false;
@@ -195,12 +206,12 @@
             TaskPlace::Stopping(other) => return *other != key && !self.is_gang(task),
             _ => return false,
         }
-        self.await_stray(task, key, run, now);
+        self.wait_for_earlier_run(task, key, run, now);
         true
     }
 
     /// Stops an earlier run of a task; no other run starts before it has ended.
-    fn await_stray(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) {
+    fn wait_for_earlier_run(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) {
         self.set_place(task, TaskPlace::Stopping(key), now);
         if let Some(entry) = self.task_mut(task) {
             entry.stray_run = Some(run);
@@ -209,14 +220,14 @@
         self.order_stop(task, key, now);
     }
 
-    fn stop_stray(&mut self, runner: RunnerKey, name: &str, run: u32) {
+    fn stop_unexpected_run(&mut self, runner: RunnerKey, name: &str, run: u32) {
         if let Some(name) = TaskName::parse(name) {
             self.stops.push(StopOrder { runner, name, run });
         }
     }
 
-    fn take_ended(&mut self, key: RunnerKey, row: &EndedTask, now: Millis) -> Option<TaskRef> {
-        let task = self.locate(&row.name)?;
+    fn record_ended(&mut self, key: RunnerKey, row: &EndedTask, now: Millis) -> Option<TaskRef> {
+        let task = self.find_task(&row.name)?;
         let name = &self.runners.get(key)?.facts.name;
         let entry = self.task(task)?;
         if entry.is_done() {
@@ -229,28 +240,28 @@
         let current = here && entry.placed_run() == row.run;
         match row.kind {
             EndKind::Done => {
-                self.note_runner_done(key);
+                self.record_runner_done(key);
                 if !current {
                     self.stop_other_run(task, row.run);
                 }
                 // If one member is done, the whole gang is.
-                let whole = if self.is_gang(task) {
+                let members = if self.is_gang(task) {
                     self.members(task)
                 } else {
                     vec![task]
                 };
-                for member in whole {
+                for member in members {
                     self.finish_task(member, now);
                 }
             }
             EndKind::Failed if current => {
-                self.note_runner_failed(key, now);
+                self.record_runner_failed(key, now);
                 self.fail_task(task, key, &row.checkpoint, now);
                 self.break_gang(task, now);
             }
             _ if current => {
                 self.break_gang(task, now);
-                self.keep_checkpoint(task, &row.checkpoint);
+                self.store_checkpoint(task, &row.checkpoint);
                 self.set_place(task, TaskPlace::Waiting, now);
                 self.mark_dirty(task.job);
             }
@@ -274,7 +285,7 @@
         }
     }
 
-    fn keep_checkpoint(&mut self, task: TaskRef, checkpoint: &str) {
+    fn store_checkpoint(&mut self, task: TaskRef, checkpoint: &str) {
         if let Some(entry) = self.task_mut(task)
             && !checkpoint.is_empty()
         {
@@ -282,13 +293,13 @@
         }
     }
 
-    fn note_runner_done(&mut self, key: RunnerKey) {
+    fn record_runner_done(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.note_done();
         }
     }
 
-    fn note_runner_failed(&mut self, key: RunnerKey, now: Millis) {
+    fn record_runner_failed(&mut self, key: RunnerKey, now: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.note_failed(now);
         }
@@ -323,7 +334,7 @@
     }
 
     fn fail_task(&mut self, task: TaskRef, key: RunnerKey, checkpoint: &str, now: Millis) {
-        self.keep_checkpoint(task, checkpoint);
+        self.store_checkpoint(task, checkpoint);
         self.set_place(task, TaskPlace::Waiting, now);
         self.begin_job(task.job);
         let Some(job) = self.jobs.get_mut(task.job) else {
@@ -346,7 +357,7 @@
 
     /// Returns tasks to waiting that an earlier owner ordered on this runner and that it did
     /// not report. It accepts no orders of that owner any more.
-    fn settle_located(&mut self, key: RunnerKey, now: Millis) {
+    fn release_unreported(&mut self, key: RunnerKey, now: Millis) {
         let Some(name) = self
             .runners
             .get(key)
@@ -361,7 +372,7 @@
 
     /// Handles tasks that should be on the runner but are missing from its report. Starts
     /// without an answer are sent again, under the same run number, if they may still be sent.
-    fn take_absent(
+    fn resolve_missing_runs(
         &mut self,
         key: RunnerKey,
         present: &HashSet<TaskRef>,
@@ -377,7 +388,7 @@
             .filter(|task| !present.contains(task))
             .copied()
             .collect();
-        let mut again = Vec::new();
+        let mut resent = Vec::new();
         for task in absent {
             let Some(entry) = self.task_mut(task) else {
                 continue;
@@ -385,7 +396,7 @@
             entry.shown = false;
             match entry.place {
                 TaskPlace::Ordered(_) if entry.unclear && entry.ordered_at < asked_at => {
-                    again.extend(self.repeat_start(task, key, now));
+                    resent.extend(self.resend_start(task, key, now));
                 }
                 TaskPlace::Running(_) if entry.ordered_at < asked_at => {
                     self.set_place(task, TaskPlace::Waiting, now);
@@ -400,12 +411,12 @@
                 _ => {}
             }
         }
-        again
+        resent
     }
 
     /// Sends the start of a task again, after no copy of it was answered and the runner does
     /// not report the run; none if it may not be sent.
-    fn repeat_start(&mut self, task: TaskRef, key: RunnerKey, now: Millis) -> Option<StartOrder> {
+    fn resend_start(&mut self, task: TaskRef, key: RunnerKey, now: Millis) -> Option<StartOrder> {
         match self.admit_start(task, key, now) {
             StartAdmission::Send => {
                 if let Some(entry) = self.task_mut(task) {
@@ -424,7 +435,7 @@
 
     /// Records that a runner acknowledged a stop: the run does not begin any more.
     pub fn record_stop_ack(&mut self, order: &StopOrder, now: Millis) {
-        let task = self.locate(&order.name.to_string());
+        let task = self.find_task(&order.name.to_string());
         if let Some(entry) = task.and_then(|task| self.task_mut(task))
             && entry.place == TaskPlace::Stopping(order.runner)
             && entry.placed_run() == order.run
@@ -466,7 +477,7 @@
             {
                 self.stop_task(task, now);
                 self.break_gang(task, now);
-                self.shun_refusing(order.runner, outcome, now);
+                self.back_off_refusing(order.runner, outcome, now);
             }
             StartOutcome::NoRoom
             | StartOutcome::Refused
@@ -476,7 +487,7 @@
             {
                 self.set_place(task, TaskPlace::Waiting, now);
                 self.break_gang(task, now);
-                self.shun_refusing(order.runner, outcome, now);
+                self.back_off_refusing(order.runner, outcome, now);
             }
             StartOutcome::NoTicket if ordered => {
                 self.set_place(task, TaskPlace::Waiting, now);
@@ -486,13 +497,13 @@
             StartOutcome::Unclear | StartOutcome::Old if ordered => {
                 entry.unclear = true;
                 entry.unanswered = true;
-                self.shun(order.runner, now, UNCLEAR_SHUN_MS);
+                self.shun(order.runner, now, UNANSWERED_BACKOFF_MS);
             }
             _ => {}
         }
     }
 
-    fn shun_refusing(&mut self, key: RunnerKey, outcome: StartOutcome, now: Millis) {
+    fn back_off_refusing(&mut self, key: RunnerKey, outcome: StartOutcome, now: Millis) {
         let Some(runner) = self.runners.get_mut(key) else {
             return;
         };
@@ -501,7 +512,7 @@
         if outcome == StartOutcome::Refused {
             runner.note_refused(now);
         }
-        runner.shun(now, REFUSED_SHUN_MS);
+        runner.shun(now, REFUSED_BACKOFF_MS);
     }
 
     fn shun(&mut self, key: RunnerKey, now: Millis, time: Millis) {
--- a/crates/hoisthitch-jobs/src/pace.rs
+++ b/crates/hoisthitch-jobs/src/pace.rs
@@ -24,7 +24,7 @@
 const LOW_PERCENT: u64 = 60;
 
 /// Step by which a best-effort task's share is raised, in percent.
-const RISE_PERCENT: u32 = 20;
+const RAISE_PERCENT: u32 = 20;
 
 /// Marks a share that is not known, because an order got no answer or an earlier owner set it.
 /// No decision ever equals this value, so the next decision is always ordered.
@@ -33,10 +33,10 @@
 /// Time after an order without an answer during which it may still be carried out, even after
 /// newer orders, in milliseconds; the platform's figure is some seconds. Until then the share
 /// is ordered again after each report.
-const LATE_MS: Millis = 10_000;
+const LATE_ORDER_MS: Millis = 10_000;
 
 /// Smallest share other than zero at which a best-effort task is run, in percent.
-const LEAST_PERCENT: u32 = 10;
+const MIN_PERCENT: u32 = 10;
 
 /// Order to set the share at which a best-effort task works.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -61,19 +61,22 @@
             return Vec::new();
         };
         let tasks: Vec<TaskRef> = runner.tasks.iter().copied().collect();
-        let strain = tasks.iter().filter_map(|task| self.strain(*task)).max();
+        let latency = tasks
+            .iter()
+            .filter_map(|task| self.latency_percent(*task))
+            .max();
         let fillers: Vec<TaskRef> = tasks
             .into_iter()
-            .filter(|task| self.is_running_filler(*task))
+            .filter(|task| self.is_running_best_effort(*task))
             .collect();
         let mut orders = Vec::new();
         for task in fillers {
             let Some(entry) = self.task(task) else {
                 continue;
             };
-            let percent = next_pace(entry.pace, strain);
-            let doubtful = now < entry.pace_doubt_until && percent != UNKNOWN_PACE;
-            if percent != entry.pace || doubtful {
+            let percent = next_pace(entry.pace, latency);
+            let uncertain = now < entry.pace_doubt_until && percent != UNKNOWN_PACE;
+            if percent != entry.pace || uncertain {
                 orders.extend(self.set_pace(key, task, percent));
             }
         }
@@ -81,14 +84,14 @@
     }
 
     /// Tail latency of a serving task, in percent of its target; none for other tasks.
-    fn strain(&self, task: TaskRef) -> Option<u64> {
+    fn latency_percent(&self, task: TaskRef) -> Option<u64> {
         let step = self.jobs.get(task.job)?.step_of(task.slot)?;
         let entry = self.task(task)?;
         let serving = step.target_ms > 0 && entry.is_running();
         serving.then(|| entry.load * 100 / step.target_ms)
     }
 
-    fn is_running_filler(&self, task: TaskRef) -> bool {
+    fn is_running_best_effort(&self, task: TaskRef) -> bool {
         let step = self
             .jobs
             .get(task.job)
@@ -116,24 +119,24 @@
             && entry.run == order.run
         {
             entry.pace = UNKNOWN_PACE;
-            entry.pace_doubt_until = now + LATE_MS;
+            entry.pace_doubt_until = now + LATE_ORDER_MS;
         }
     }
 }
 
 /// The next share of a best-effort task, given the highest tail latency of the serving tasks
 /// beside it in percent of their target.
-fn next_pace(pace: u32, strain: Option<u64>) -> u32 {
-    match strain {
+fn next_pace(pace: u32, latency: Option<u64>) -> u32 {
+    match latency {
         None => 100,
-        Some(strain) if strain >= 100 => 0,
+        Some(latency) if latency >= 100 => 0,
         // Half of an unknown share may be more than the best-effort task has now.
-        Some(strain) if strain >= HIGH_PERCENT && pace == UNKNOWN_PACE => 0,
-        Some(strain) if strain >= HIGH_PERCENT => {
+        Some(latency) if latency >= HIGH_PERCENT && pace == UNKNOWN_PACE => 0,
+        Some(latency) if latency >= HIGH_PERCENT => {
             let half = pace / 2;
-            if half < LEAST_PERCENT { 0 } else { half }
+            if half < MIN_PERCENT { 0 } else { half }
         }
-        Some(strain) if strain < LOW_PERCENT => (pace + RISE_PERCENT).min(100),
+        Some(latency) if latency < LOW_PERCENT => (pace + RAISE_PERCENT).min(100),
         Some(_) => pace,
     }
 }
--- a/crates/hoisthitch-jobs/src/place.rs
+++ b/crates/hoisthitch-jobs/src/place.rs
@@ -13,22 +13,22 @@
 
 /// Cost of a runner on another rack than the data, in shares of a runner's load: work takes
 /// twice as long there, and even an empty runner does not make up for that.
-const FAR_COST: f64 = 2.0;
+const OTHER_RACK_COST: f64 = 2.0;
 
 /// Cost of placing a long-running task on a runner that already holds as many of its step as
 /// may be unavailable at the same time: more than any load, so that such a runner is the last
 /// choice.
-const TOGETHER_COST: f64 = 4.0;
+const CROWDED_COST: f64 = 4.0;
 
 /// Cost of placing a task on a runner without long-running tasks: long-running tasks stay
 /// together, short tasks are placed beside them, and the other runners can be moved out of the
 /// pool. The latter brings less than 1 percent of the attainable value, which is within chance
 /// (80 simulated days, docs/decisions.md).
-const APART_COST: f64 = 1.0;
+const NO_LONG_RUNNING_COST: f64 = 1.0;
 
 /// Cost of each best-effort task beside a serving task, in shares of a runner's load: enough
 /// to keep the two kinds on different runners while there are any.
-const MIXED_COST: f64 = 0.5;
+const INTERFERENCE_COST: f64 = 0.5;
 
 impl PoolState {
     /// The runner for a task, on the given rack if there is one; none if no runner fits.
@@ -108,7 +108,7 @@
     }
 
     fn cost(&self, task: TaskRef, runner: &RunnerEntry, step: &StepSpec, now: Millis) -> f64 {
-        let far = step
+        let on_other_rack = step
             .data_rack
             .as_ref()
             .is_some_and(|rack| *rack != runner.facts.rack);
@@ -118,20 +118,20 @@
         // other rules that empty VMs, 40 after them, docs/decisions.md).
         let mut cost = if step.long_running { load } else { 1.0 - load };
         cost += self.suspect_cost(task, runner, now);
-        if far {
-            cost += FAR_COST;
+        if on_other_rack {
+            cost += OTHER_RACK_COST;
         }
         if step.long_running && self.alike(task, runner) >= step.most_together() {
-            cost += TOGETHER_COST;
+            cost += CROWDED_COST;
         }
         if !runner.holds_lasting() {
-            cost += APART_COST;
+            cost += NO_LONG_RUNNING_COST;
         }
-        cost + MIXED_COST * f64::from(self.mixed_neighbours(runner, step))
+        cost + INTERFERENCE_COST * f64::from(self.count_interfering(runner, step))
     }
 
     /// Number of tasks on the runner that would slow the step's tasks or be slowed by them.
-    fn mixed_neighbours(&self, runner: &RunnerEntry, step: &StepSpec) -> u32 {
+    fn count_interfering(&self, runner: &RunnerEntry, step: &StepSpec) -> u32 {
         let serves = step.target_ms > 0;
         if !serves && !step.best_effort {
             return 0;
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -58,12 +58,12 @@
 /// a plan is made, so a task that requests at least as much fits nowhere either. Under a
 /// backlog this saves a search over all runners for each waiting task.
 #[derive(Default)]
-struct FullNeeds {
+struct FullResources {
     needs: Vec<ResourceAmounts>,
 }
 
-impl FullNeeds {
-    fn rule_out(&self, step: &StepSpec) -> bool {
+impl FullResources {
+    fn rules_out(&self, step: &StepSpec) -> bool {
         let room = step.room();
         self.needs.iter().any(|full| room.covers(*full))
     }
@@ -109,7 +109,7 @@
     pub fn plan(&mut self, now: Millis) -> usize {
         self.plan_needed = false;
         let mut planned = 0;
-        let mut full = FullNeeds::default();
+        let mut full = FullResources::default();
         let uses = self.uses_for_plan();
         let mut budget = self.quota_budget(&uses);
         let order = self.plan_order(&uses, now);
@@ -124,7 +124,7 @@
     fn plan_job(
         &mut self,
         key: JobKey,
-        full: &mut FullNeeds,
+        full: &mut FullResources,
         budget: &mut QuotaBudget,
         now: Millis,
     ) -> usize {
@@ -147,10 +147,10 @@
                 budget.take(team, gangs_planned(job));
             }
         }
-        let mut full_step = None;
+        let mut unplaceable_step = None;
         for task in ready {
             let step = self.task(task).map(|entry| (entry.round, entry.step));
-            if self.is_gang(task) || step == full_step {
+            if self.is_gang(task) || step == unplaceable_step {
                 continue;
             }
             let need = self.need_of(task);
@@ -159,15 +159,15 @@
                 continue;
             }
             if self.is_on_trial(task, now) {
-                if self.plan_trial(task, now) {
+                if self.plan_isolated(task, now) {
                     budget.take(team, need);
                     planned += 1;
                 }
                 continue;
             }
-            let Some(runner) = self.choose_unless_full(task, full, now) else {
+            let Some(runner) = self.choose_runner_unless_full(task, full, now) else {
                 // If one task of a step fits on no runner, the others don't either.
-                full_step = step;
+                unplaceable_step = step;
                 continue;
             };
             self.plan_task(task, runner, now);
@@ -195,7 +195,7 @@
 
     /// Places a suspect on a runner of its own, or reserves a runner for it; returns whether
     /// it was placed.
-    fn plan_trial(&mut self, task: TaskRef, now: Millis) -> bool {
+    fn plan_isolated(&mut self, task: TaskRef, now: Millis) -> bool {
         let Some(runner) = self.choose_runner(task, None, now) else {
             self.reserve_runner(task, now);
             return false;
@@ -217,14 +217,14 @@
         }
     }
 
-    fn choose_unless_full(
+    fn choose_runner_unless_full(
         &self,
         task: TaskRef,
-        full: &mut FullNeeds,
+        full: &mut FullResources,
         now: Millis,
     ) -> Option<RunnerKey> {
         let step = self.jobs.get(task.job)?.step_of(task.slot)?;
-        if full.rule_out(step) {
+        if full.rules_out(step) {
             return None;
         }
         let chosen = self.choose_runner(task, None, now);
@@ -261,7 +261,7 @@
             .filter(|key| self.is_dirty(**key))
             .copied()
             .collect();
-        let mut round = self.begin_round_of(&dirty);
+        let mut round = self.begin_batch(&dirty);
         let (first, later): (Vec<JobKey>, Vec<JobKey>) =
             dirty.into_iter().partition(|key| round.left.contains(key));
         let mut plan = FlushPlan::default();
@@ -280,7 +280,7 @@
 
     /// The records of the batch under way that are still behind, or a new batch of all that
     /// are.
-    fn begin_round_of(&mut self, dirty: &[JobKey]) -> FlushRound {
+    fn begin_batch(&mut self, dirty: &[JobKey]) -> FlushRound {
         let jobs = &self.jobs;
         if let Some(mut round) = self.flush_round.take() {
             round
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -28,11 +28,11 @@
 
 /// Extra part taken beyond the current need, so that the next task need not wait for a write
 /// of the record: the need divided by this number.
-const AHEAD_PART: u64 = 4;
+const EXTRA_DIVISOR: u64 = 4;
 
 /// Least extra part that a pool with any work of the team takes: the limit divided by this
 /// number.
-const LEAST_PART: u64 = 64;
+const LIMIT_DIVISOR: u64 = 64;
 
 /// Resources of a pool that a team uses or waits for.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -119,7 +119,7 @@
     if limit == 0 || need == 0 {
         return 0;
     }
-    let target = need + need / AHEAD_PART + limit / LEAST_PART;
+    let target = need + need / EXTRA_DIVISOR + limit / LIMIT_DIVISOR;
     let wanted = used.max(target.min(free));
     let near = part >= need && part <= wanted.saturating_mul(2) && part <= free;
     if near { part } else { wanted }
--- a/crates/hoisthitch-jobs/src/rank.rs
+++ b/crates/hoisthitch-jobs/src/rank.rs
@@ -29,12 +29,12 @@
 
 /// Time of a job besides that of its tasks, in milliseconds: records, orders, reports and the
 /// caller's query.
-const ANSWER_MS: Millis = 150;
+const OVERHEAD_MS: Millis = 150;
 
 /// Time after a job passed its latest start without having begun during which its priority
 /// class counts as overloaded, in milliseconds. Rises of demand last several seconds, and jobs
 /// arrive at some tens a second.
-const OVERLOAD_MS: Millis = 1_000;
+const OVERLOAD_WINDOW_MS: Millis = 1_000;
 
 /// Sort key of a job; the smallest is served first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -42,13 +42,13 @@
     /// Paid priority.
     priority: u32,
     /// Whether the job ends by itself, that is, is not long-running.
-    short: bool,
+    finite: bool,
     /// Whether it has not begun, and its team uses more than its share.
     beyond_share: bool,
     /// Whether it can't meet its objective any more.
     late: bool,
     /// Whether it has not begun, and its priority class is overloaded: newest first.
-    passed_over: bool,
+    newest_first: bool,
     turn: Millis,
 }
 
@@ -63,7 +63,7 @@
             .map(|(key, job)| (key, job, self.latest_start(job)))
             .collect();
         let missed = jobs.iter().filter(|(_, job, start)| {
-            let lately = *start < now && now < *start + OVERLOAD_MS;
+            let lately = *start < now && now < *start + OVERLOAD_WINDOW_MS;
             lately && !job.spec.is_long_running() && !job.has_begun()
         });
         let overloaded: BTreeSet<u32> = missed.map(|(_, job, _)| job.policy.priority).collect();
@@ -92,7 +92,7 @@
                 0
             }
         });
-        self.due_at(job).saturating_sub(left + ANSWER_MS)
+        self.due_at(job).saturating_sub(left + OVERHEAD_MS)
     }
 
     /// When a job has to be done to meet its objective.
@@ -113,16 +113,16 @@
     beyond: bool,
     now: Millis,
 ) -> JobRank {
-    let short = !job.spec.is_long_running();
-    let late = short && latest_start < now;
-    let passed_over = overload && short && !late && !job.has_begun();
+    let finite = !job.spec.is_long_running();
+    let late = finite && latest_start < now;
+    let newest_first = overload && finite && !late && !job.has_begun();
     JobRank {
         priority: job.policy.priority,
-        short,
-        beyond_share: beyond && short && !job.has_begun(),
+        finite,
+        beyond_share: beyond && finite && !job.has_begun(),
         late,
-        passed_over,
-        turn: if passed_over {
+        newest_first,
+        turn: if newest_first {
             Millis::MAX - latest_start
         } else {
             latest_start
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -29,22 +29,22 @@
 
 /// Backoff of a runner on which every run fails, in milliseconds, before one task is tried
 /// there again; troubles of runners last five seconds and more.
-const SHUN_MS: Millis = 4_000;
+const FAILURE_BACKOFF_MS: Millis = 4_000;
 
 /// Backoff of a runner that refused two starts in a row, in milliseconds; it doubles with each
 /// further refusal. Without it, a gang that is planned again after its other members have
 /// stopped would get a member on that runner again.
-const REFUSALS_SHUN_MS: Millis = 600;
+const REFUSAL_BACKOFF_MS: Millis = 600;
 
 /// Time that a lease must last when a start is decided on, in milliseconds: the start is
 /// recorded first, and then waits for its turn to be sent. A runner refuses starts under an
 /// expired lease, and an owner that keeps sending such starts has no time to renew any lease:
 /// one owner sent 2,500 starts a second in this way for seconds, and none of them ran.
-const START_TIME_MS: Millis = 1_000;
+const START_LEASE_MIN_MS: Millis = 1_000;
 
 /// How often the backoff after refusals is doubled at most: up to 4.8 s, about as long as
 /// troubles of runners last.
-const REFUSALS_DOUBLED: u32 = 3;
+const REFUSAL_DOUBLINGS_MAX: u32 = 3;
 
 new_key_type! {
     /// Key of a runner in the pool's state.
@@ -184,7 +184,7 @@
     /// Refused starts in a row; refusals of starts that were sent together count once.
     refusals: u32,
     /// Time until which it gets no tasks.
-    shunned_until: Millis,
+    backoff_until: Millis,
 }
 
 impl RunnerEntry {
@@ -215,7 +215,7 @@
             reserved_until: 0,
             failures: 0,
             refusals: 0,
-            shunned_until: 0,
+            backoff_until: 0,
         }
     }
 
@@ -233,8 +233,8 @@
     /// the order of the start.
     pub fn takes_tasks(&self, now: Millis) -> bool {
         let covered = self.lease_confirmed_until;
-        let covered = covered.is_none_or(|until| until > now + START_TIME_MS);
-        self.is_staying() && covered && self.shunned_until <= now
+        let covered = covered.is_none_or(|until| until > now + START_LEASE_MIN_MS);
+        self.is_staying() && covered && self.backoff_until <= now
     }
 
     /// Whether it failed so often in a row that it gets only one task at a time after its
@@ -284,14 +284,14 @@
     /// Records that a run on it is done.
     pub fn note_done(&mut self) {
         self.failures = 0;
-        self.shunned_until = 0;
+        self.backoff_until = 0;
     }
 
     /// Records a failed run; returns whether the runner is in backoff now.
     pub fn note_failed(&mut self, now: Millis) -> bool {
         self.failures += 1;
         if self.failures >= FAILURE_STREAK {
-            self.shunned_until = now + SHUN_MS;
+            self.backoff_until = now + FAILURE_BACKOFF_MS;
         }
         self.failures >= FAILURE_STREAK
     }
@@ -303,19 +303,19 @@
 
     /// Records that it refused a start though it has free capacity.
     pub fn note_refused(&mut self, now: Millis) {
-        if self.shunned_until > now {
+        if self.backoff_until > now {
             return;
         }
         if let Some(doublings) = self.refusals.checked_sub(1) {
-            let doublings = doublings.min(REFUSALS_DOUBLED);
-            self.shun(now, REFUSALS_SHUN_MS << doublings);
+            let doublings = doublings.min(REFUSAL_DOUBLINGS_MAX);
+            self.shun(now, REFUSAL_BACKOFF_MS << doublings);
         }
         self.refusals += 1;
     }
 
     /// Gives the runner no tasks for at least `time`.
     pub fn shun(&mut self, now: Millis, time: Millis) {
-        self.shunned_until = self.shunned_until.max(now + time);
+        self.backoff_until = self.backoff_until.max(now + time);
     }
 }
 
--- a/crates/hoisthitch-jobs/src/stall.rs
+++ b/crates/hoisthitch-jobs/src/stall.rs
@@ -16,11 +16,11 @@
 
 /// Part of a task's expected time within which it shows progress at least: one in this many.
 /// Progress is reported in hundredths.
-const PROGRESS_PART: Millis = 25;
+const PROGRESS_DIVISOR: Millis = 25;
 
 /// Backoff of a runner on which a task stalled, in milliseconds; such troubles last some
 /// seconds.
-const STALL_SHUN_MS: Millis = 4_000;
+const STALL_BACKOFF_MS: Millis = 4_000;
 
 impl PoolState {
     /// Stops stalled tasks, so that they start elsewhere; returns their runners.
@@ -32,7 +32,7 @@
             .filter(|(_, job)| !job.phase.is_final())
             .flat_map(|(key, job)| {
                 let expected = self.expected_time(job);
-                let limit = STALL_MS.max(expected / PROGRESS_PART);
+                let limit = STALL_MS.max(expected / PROGRESS_DIVISOR);
                 let tasks = job.tasks.iter().enumerate();
                 tasks.filter_map(move |(slot, task)| {
                     let step = job.step_of(slot)?;
@@ -50,7 +50,7 @@
             let Some(runner) = self.runners.get_mut(key).filter(|runner| runner.ready) else {
                 continue;
             };
-            runner.shun(now, STALL_SHUN_MS);
+            runner.shun(now, STALL_BACKOFF_MS);
             runners.push(key);
             self.stop_task(task, now);
         }
--- a/crates/hoisthitch-jobs/src/stops.rs
+++ b/crates/hoisthitch-jobs/src/stops.rs
@@ -14,7 +14,7 @@
 };
 
 /// Time after which a stop is sent again if no end of the run was reported, in milliseconds.
-const STOP_AGAIN_MS: Millis = 700;
+const RESEND_MS: Millis = 700;
 
 impl PoolState {
     /// Cancels a job; returns whether this ended it.
@@ -85,7 +85,7 @@
     /// Whether a stop may be sent again. The first stop of a long-running task may have been
     /// decided on while its step could do without the task; it is not sent again while the
     /// step can't.
-    fn may_stop_again(&self, task: TaskRef, key: RunnerKey) -> bool {
+    fn may_resend_stop(&self, task: TaskRef, key: RunnerKey) -> bool {
         let drains = self
             .runners
             .get(key)
@@ -101,12 +101,12 @@
         let overdue: Vec<(TaskRef, RunnerKey)> = self
             .active_tasks()
             .filter_map(|(task, entry)| match entry.place {
-                TaskPlace::Stopping(runner) if entry.ordered_at + STOP_AGAIN_MS <= now => {
+                TaskPlace::Stopping(runner) if entry.ordered_at + RESEND_MS <= now => {
                     Some((task, runner))
                 }
                 _ => None,
             })
-            .filter(|(task, runner)| self.may_stop_again(*task, *runner))
+            .filter(|(task, runner)| self.may_resend_stop(*task, *runner))
             .collect();
         for (task, runner) in overdue {
             self.order_stop(task, runner, now);
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/upkeep.rs
@@ -23,7 +23,7 @@
 
 /// Time that a moved long-running task may take to become available elsewhere, in
 /// milliseconds: a stop, a start, and a short time until it serves.
-const RELOCATE_MS: Millis = 2_500;
+const RELOCATION_MS: Millis = 2_500;
 
 /// Whether a VM may go down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -59,13 +59,13 @@
     pub fn evacuation_statuses(&self, keys: &[RunnerKey]) -> Vec<EvacuationStatus> {
         let mut ending = Vec::new();
         keys.iter()
-            .map(|key| self.view_beside(*key, &mut ending))
+            .map(|key| self.status_beside(*key, &mut ending))
             .collect()
     }
 
     /// Whether a runner's VM may go down beside those whose tasks are in `ending`; adds its
     /// tasks if so.
-    fn view_beside(&self, key: RunnerKey, ending: &mut Vec<TaskRef>) -> EvacuationStatus {
+    fn status_beside(&self, key: RunnerKey, ending: &mut Vec<TaskRef>) -> EvacuationStatus {
         let Some(runner) = self.runners.get(key) else {
             return EvacuationStatus::Free;
         };
@@ -123,7 +123,7 @@
             let Some(entry) = self.task(*task) else {
                 continue;
             };
-            if is_ordered(&entry.place) {
+            if may_be_running(&entry.place) {
                 let step = (task.job, entry.round, entry.step);
                 ending.entry(step).or_default().insert(task.slot);
             }
@@ -175,7 +175,7 @@
         };
         self.stop_task(task, now);
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.relocating_until = now + RELOCATE_MS;
+            runner.relocating_until = now + RELOCATION_MS;
         }
         true
     }
@@ -209,7 +209,7 @@
 }
 
 /// Whether the runner may be running the task by now.
-fn is_ordered(place: &TaskPlace) -> bool {
+fn may_be_running(place: &TaskPlace) -> bool {
     matches!(
         place,
         TaskPlace::Ordered(_) | TaskPlace::Running(_) | TaskPlace::Stopping(_)
