--- a/crates/hoisthitch-jobs/src/account.rs
+++ b/crates/hoisthitch-jobs/src/account.rs
@@ -14,7 +14,7 @@
     },
     pool::PoolState,
     record::JobPhase,
-    task::TaskPlace, //
+    task::TaskState, //
 };
 
 /// What a job's time is charged to.
@@ -89,8 +89,8 @@
                 return TimeUse::Waiting;
             }
             if matches!(
-                task.place,
-                TaskPlace::Planned(_) | TaskPlace::Ordered(_) | TaskPlace::Unlocated { .. }
+                task.state,
+                TaskState::Planned(_) | TaskState::Ordered(_) | TaskState::Unconfirmed { .. }
             ) {
                 held = TimeUse::Ordering;
             }
--- a/crates/hoisthitch-jobs/src/balance.rs
+++ b/crates/hoisthitch-jobs/src/balance.rs
@@ -151,12 +151,12 @@
     levels: &[PoolLevel<'_>],
     wanted: impl Fn(&PoolLevel<'_>) -> usize,
 ) -> Option<usize> {
-    let places = levels.iter().enumerate();
+    let candidates = levels.iter().enumerate();
     let lacking =
-        places.filter(|(_, pool)| !pool.share.spare && !pool.gives && wanted(pool) > pool.have);
+        candidates.filter(|(_, pool)| !pool.share.spare && !pool.gives && wanted(pool) > pool.have);
     lacking
         .max_by_key(|(_, pool)| (pool.missing_part(wanted(pool)), pool.name))
-        .map(|(place, _)| place)
+        .map(|(index, _)| index)
 }
 
 /// The pool with the most VMs beyond those it keeps; a pool whose VMs are off comes first.
@@ -165,11 +165,11 @@
         let kept = if pool.share.spare { 0 } else { kept(pool) };
         pool.staying.saturating_sub(kept)
     };
-    let places = levels.iter().enumerate();
-    places
+    let candidates = levels.iter().enumerate();
+    candidates
         .filter(|(_, pool)| surplus(pool) > 0)
         .max_by_key(|(_, pool)| (pool.share.spare, surplus(pool), pool.name))
-        .map(|(place, _)| place)
+        .map(|(index, _)| index)
 }
 
 /// The pool that lacks the smallest part of what it wants, among those that have VMs beyond
@@ -182,13 +182,13 @@
 ) -> Option<usize> {
     let lack = |pool: &PoolLevel<'_>| pool.missing_part(wanted(pool));
     let missing = lack(levels.get(taker)?);
-    let places = levels.iter().enumerate();
-    places
-        .filter(|(place, pool)| *place != taker && !pool.share.spare)
+    let candidates = levels.iter().enumerate();
+    candidates
+        .filter(|(index, pool)| *index != taker && !pool.share.spare)
         .filter(|(_, pool)| pool.staying > to_usize(pool.share.keep).max(least))
         .filter(|(_, pool)| lack(pool) + LACK_MARGIN_MILLI < missing)
         .min_by_key(|(_, pool)| (lack(pool), pool.name))
-        .map(|(place, _)| place)
+        .map(|(index, _)| index)
 }
 
 fn add_move(moves: &mut Vec<VmMove>, from: &str, to: &str) {
--- a/crates/hoisthitch-jobs/src/drain.rs
+++ b/crates/hoisthitch-jobs/src/drain.rs
@@ -6,8 +6,8 @@
     pool::PoolState,
     task::{
         TaskEntry,
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -42,7 +42,7 @@
     fn count_moving(&self) -> usize {
         self.active_tasks()
             .filter(|(task, entry)| {
-                let moves = matches!(entry.place, TaskPlace::Stopping(_) | TaskPlace::Waiting);
+                let moves = matches!(entry.state, TaskState::Stopping(_) | TaskState::Waiting);
                 moves && self.lasts(*task)
             })
             .count()
--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -13,8 +13,8 @@
     runner::RunnerKey,
     task::{
         TaskEntry,
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -94,7 +94,7 @@
             .sum();
         let due: u64 = self
             .active_tasks()
-            .filter(|(_, entry)| matches!(entry.place, TaskPlace::Waiting | TaskPlace::Stopping(_)))
+            .filter(|(_, entry)| matches!(entry.state, TaskState::Waiting | TaskState::Stopping(_)))
             .filter_map(|(task, _)| {
                 let job = self.jobs.get(task.job)?;
                 let step = job.step_of(task.slot)?;
--- a/crates/hoisthitch-jobs/src/gang.rs
+++ b/crates/hoisthitch-jobs/src/gang.rs
@@ -9,8 +9,8 @@
     job::JobKey,
     pool::PoolState,
     task::{
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -62,7 +62,7 @@
         let members = self.members(first);
         let waits = |task: &TaskRef| {
             self.task(*task)
-                .is_some_and(|entry| entry.place == TaskPlace::Waiting)
+                .is_some_and(|entry| entry.state == TaskState::Waiting)
         };
         if !members.iter().all(waits) {
             return 0;
@@ -110,11 +110,11 @@
     fn place_members(&mut self, members: &[TaskRef], rack: Option<&str>, now: Millis) -> bool {
         for (placed, task) in members.iter().enumerate() {
             if let Some(runner) = self.choose_runner(*task, rack, now) {
-                self.set_place(*task, TaskPlace::Planned(runner), now);
+                self.set_task_state(*task, TaskState::Planned(runner), now);
                 continue;
             }
             for task in members.iter().take(placed) {
-                self.set_place(*task, TaskPlace::Waiting, now);
+                self.set_task_state(*task, TaskState::Waiting, now);
             }
             return false;
         }
--- a/crates/hoisthitch-jobs/src/job.rs
+++ b/crates/hoisthitch-jobs/src/job.rs
@@ -23,7 +23,7 @@
     task::{
         TaskEntry,
         TaskName,
-        TaskPlace, //
+        TaskState, //
     }, //
 };
 
@@ -163,7 +163,7 @@
     /// Whether the task is ready and has no runner.
     pub(crate) fn waits_for_runner(&self, slot: usize) -> bool {
         let task = self.tasks.get(slot);
-        task.is_some_and(|task| task.place == TaskPlace::Waiting) && self.is_ready(slot)
+        task.is_some_and(|task| task.state == TaskState::Waiting) && self.is_ready(slot)
     }
 
     /// Number of tasks of a step that are not done.
@@ -203,9 +203,9 @@
         };
         let tasks = self.tasks.iter().map(|task| (task, instance_of(task)));
         let tasks = tasks.map(|(task, instance)| TaskProgress {
-            phase: match task.place {
-                TaskPlace::Waiting => TaskPhase::Waiting,
-                TaskPlace::Done => TaskPhase::Done,
+            phase: match task.state {
+                TaskState::Waiting => TaskPhase::Waiting,
+                TaskState::Done => TaskPhase::Done,
                 _ => TaskPhase::Ordered,
             },
             run: task.run,
--- a/crates/hoisthitch-jobs/src/lib.rs
+++ b/crates/hoisthitch-jobs/src/lib.rs
@@ -119,8 +119,8 @@
     StopOrder,
     TaskEntry,
     TaskName,
-    TaskPlace,
     TaskRef, //
+    TaskState,
 };
 pub use upkeep::EvacuationStatus;
 pub use wave::{
--- a/crates/hoisthitch-jobs/src/lives.rs
+++ b/crates/hoisthitch-jobs/src/lives.rs
@@ -15,8 +15,8 @@
         RunnerKey, //
     },
     task::{
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -58,13 +58,13 @@
         let (doubtful, ended): (Vec<TaskRef>, Vec<TaskRef>) =
             tasks.partition(|task| self.is_doubtful(*task, runner));
         for task in &ended {
-            self.leave_runner(*task, TaskPlace::Waiting, now);
+            self.move_off_runner(*task, TaskState::Waiting, now);
         }
         for task in &doubtful {
             let runner = name.clone();
-            self.leave_runner(
+            self.move_off_runner(
                 *task,
-                TaskPlace::Unlocated {
+                TaskState::Unconfirmed {
                     runner,
                     started_at: None,
                     until,
@@ -104,13 +104,13 @@
         let is_over = |task: &&TaskRef| {
             let entry = self.task(**task);
             entry.is_some_and(|entry| {
-                let told = matches!(entry.place, TaskPlace::Running(_) | TaskPlace::Planned(_));
+                let told = matches!(entry.state, TaskState::Running(_) | TaskState::Planned(_));
                 told && !entry.unanswered
             })
         };
         let ended: Vec<TaskRef> = runner.tasks.iter().filter(is_over).copied().collect();
         for task in &ended {
-            self.leave_runner(*task, TaskPlace::Waiting, now);
+            self.move_off_runner(*task, TaskState::Waiting, now);
         }
         self.stops.retain(|stop| stop.runner != key);
         self.give_up(now);
@@ -124,19 +124,19 @@
             return false;
         };
         let heard = runner.heard_at.is_some_and(|at| entry.ordered_at < at);
-        match entry.place {
-            TaskPlace::Ordered(_) => true,
-            TaskPlace::Running(_) | TaskPlace::Stopping(_) => entry.unanswered || !heard,
-            TaskPlace::Waiting
-            | TaskPlace::Planned(_)
-            | TaskPlace::Unlocated { .. }
-            | TaskPlace::Done => false,
+        match entry.state {
+            TaskState::Ordered(_) => true,
+            TaskState::Running(_) | TaskState::Stopping(_) => entry.unanswered || !heard,
+            TaskState::Waiting
+            | TaskState::Planned(_)
+            | TaskState::Unconfirmed { .. }
+            | TaskState::Done => false,
         }
     }
 
     /// Moves a task off its runner, and breaks its gang.
-    pub(crate) fn leave_runner(&mut self, task: TaskRef, place: TaskPlace, now: Millis) {
-        self.set_place(task, place, now);
+    pub(crate) fn move_off_runner(&mut self, task: TaskRef, state: TaskState, now: Millis) {
+        self.set_task_state(task, state, now);
         self.mark_dirty(task.job);
         self.break_gang(task, now);
     }
--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -35,8 +35,8 @@
     task::{
         TaskEntry,
         TaskName,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -214,9 +214,9 @@
     /// after that.
     fn tasks_lost(&self, runner: &RunnerEntry, moment: LossMoment) -> Vec<TaskRef> {
         let may_have_run = |task: &&TaskRef| {
-            self.task(**task).is_some_and(|entry| match entry.place {
-                TaskPlace::Planned(_) => false,
-                TaskPlace::Ordered(_) => {
+            self.task(**task).is_some_and(|entry| match entry.state {
+                TaskState::Planned(_) => false,
+                TaskState::Ordered(_) => {
                     !moment.reset || entry.ordered_at <= moment.at + SIMULTANEOUS_RESET_MS
                 }
                 _ => true,
@@ -224,23 +224,23 @@
         };
         let tasks = runner.tasks.iter().filter(may_have_run).copied();
         let mut tasks: Vec<TaskRef> = tasks.collect();
-        tasks.extend(self.tasks_unlocated_on(&runner.facts.name));
+        tasks.extend(self.unconfirmed_tasks_on(&runner.facts.name));
         tasks
     }
 
     /// Tasks that an earlier owner ordered on a runner that has not responded since.
-    fn tasks_unlocated_on(&self, name: &str) -> Vec<TaskRef> {
-        if !self.has_unlocated() {
+    fn unconfirmed_tasks_on(&self, name: &str) -> Vec<TaskRef> {
+        if !self.has_unconfirmed() {
             return Vec::new();
         }
-        let is_on_runner = |entry: &TaskEntry| matches!(&entry.place, TaskPlace::Unlocated { runner, .. } if runner == name);
+        let is_on_runner = |entry: &TaskEntry| matches!(&entry.state, TaskState::Unconfirmed { runner, .. } if runner == name);
         let tasks = self.active_tasks().filter(|(_, entry)| is_on_runner(entry));
         tasks.map(|(task, _)| task).collect()
     }
 
     /// Records the loss of a runner that is not listed.
     pub(crate) fn note_unknown_loss(&mut self, name: &str, loss: RunnerLoss, now: Millis) {
-        let tasks = self.tasks_unlocated_on(name);
+        let tasks = self.unconfirmed_tasks_on(name);
         let lost = LostRunner::unknown(name.to_owned(), loss, tasks, now);
         self.record_lost_runs(&lost, None);
     }
@@ -251,8 +251,8 @@
         let Some(instance) = self.instance_of(key) else {
             return;
         };
-        let was_on_earlier_instance = |entry: &TaskEntry| match &entry.place {
-            TaskPlace::Unlocated {
+        let was_on_earlier_instance = |entry: &TaskEntry| match &entry.state {
+            TaskState::Unconfirmed {
                 started_at: Some(started_at),
                 ..
             } => instance
@@ -260,7 +260,7 @@
                 .is_some_and(|later| later != *started_at),
             _ => false,
         };
-        let mut tasks = self.tasks_unlocated_on(&instance.name);
+        let mut tasks = self.unconfirmed_tasks_on(&instance.name);
         tasks.retain(|task| self.task(*task).is_some_and(was_on_earlier_instance));
         let lost = LostRunner::unknown(instance.name, RunnerLoss::Crashed, tasks, now);
         self.record_lost_runs(&lost, None);
@@ -269,13 +269,15 @@
     /// Records that the runs have ended by now which earlier owners ordered on runners that
     /// have not responded since.
     pub(crate) fn note_expired(&mut self, now: Millis) {
-        if !self.has_unlocated() {
+        if !self.has_unconfirmed() {
             return;
         }
         let expired = self
             .active_tasks()
-            .filter_map(|(_, entry)| match &entry.place {
-                TaskPlace::Unlocated { runner, until, .. } if *until <= now => Some(runner.clone()),
+            .filter_map(|(_, entry)| match &entry.state {
+                TaskState::Unconfirmed { runner, until, .. } if *until <= now => {
+                    Some(runner.clone())
+                }
                 _ => None,
             });
         let names: BTreeSet<String> = expired.collect();
@@ -490,17 +492,17 @@
 impl TaskEntry {
     /// How long the last run had been running at a time, in milliseconds, as in [`LostRun`].
     fn running_time_at(&self, time: Millis) -> Option<Millis> {
-        match self.place {
-            TaskPlace::Running(_) | TaskPlace::Stopping(_) => {
+        match self.state {
+            TaskState::Running(_) | TaskState::Stopping(_) => {
                 Some(time.saturating_sub(self.began_at))
             }
             // It is not known whether and when the run began; an order without an answer may
             // still have been carried out.
-            TaskPlace::Ordered(_) => {
+            TaskState::Ordered(_) => {
                 let age = time.saturating_sub(self.moved_at);
                 Some(age).filter(|age| *age <= UNANSWERED_START_MS)
             }
-            TaskPlace::Unlocated { .. } => None,
+            TaskState::Unconfirmed { .. } => None,
             _ => Some(0),
         }
     }
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -26,8 +26,8 @@
         StopOrder,
         TaskEntry,
         TaskName,
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -136,10 +136,10 @@
         let job_ended = self.jobs.get(task.job)?.phase.is_final();
         let name = self.runners.get(key)?.facts.name.as_str();
         let entry = self.task(task)?;
-        let expected = match &entry.place {
-            TaskPlace::Ordered(at) | TaskPlace::Running(at) | TaskPlace::Stopping(at) => *at == key,
-            TaskPlace::Unlocated { runner, .. } => runner == name,
-            TaskPlace::Waiting | TaskPlace::Planned(_) | TaskPlace::Done => false,
+        let expected = match &entry.state {
+            TaskState::Ordered(at) | TaskState::Running(at) | TaskState::Stopping(at) => *at == key,
+            TaskState::Unconfirmed { runner, .. } => runner == name,
+            TaskState::Waiting | TaskState::Planned(_) | TaskState::Done => false,
         };
         if !expected || entry.placed_run() != row.run {
             if job_ended || !self.yields_to_earlier_run(task, key, row.run, now) {
@@ -147,9 +147,9 @@
             }
             return self.task(task)?.stray_run.map(|_| task);
         }
-        let found = matches!(entry.place, TaskPlace::Unlocated { .. });
+        let found = matches!(entry.state, TaskState::Unconfirmed { .. });
         let moved = row.percent != entry.percent;
-        let starts = matches!(entry.place, TaskPlace::Ordered(_));
+        let starts = matches!(entry.state, TaskState::Ordered(_));
         let entry = self.task_mut(task)?;
         entry.load = row.load;
         entry.shown = true;
@@ -158,7 +158,7 @@
         let moved_at = if moved { now } else { entry.moved_at };
         entry.percent = row.percent;
         if found || starts {
-            self.set_place(task, TaskPlace::Running(key), now);
+            self.set_task_state(task, TaskState::Running(key), now);
             self.begin_job(task.job);
         }
         let entry = self.task_mut(task)?;
@@ -196,14 +196,14 @@
         let Some(entry) = self.task(task) else {
             return false;
         };
-        match &entry.place {
-            TaskPlace::Waiting | TaskPlace::Planned(_) => {}
-            TaskPlace::Unlocated { runner, .. } if name == Some(runner) => {}
-            TaskPlace::Ordered(other) if *other != key && !self.is_gang(task) => {
+        match &entry.state {
+            TaskState::Waiting | TaskState::Planned(_) => {}
+            TaskState::Unconfirmed { runner, .. } if name == Some(runner) => {}
+            TaskState::Ordered(other) if *other != key && !self.is_gang(task) => {
                 self.stop_task(task, now);
                 return true;
             }
-            TaskPlace::Stopping(other) => return *other != key && !self.is_gang(task),
+            TaskState::Stopping(other) => return *other != key && !self.is_gang(task),
             _ => return false,
         }
         self.wait_for_earlier_run(task, key, run, now);
@@ -212,7 +212,7 @@
 
     /// Stops an earlier run of a task; no other run starts before it has ended.
     fn wait_for_earlier_run(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) {
-        self.set_place(task, TaskPlace::Stopping(key), now);
+        self.set_task_state(task, TaskState::Stopping(key), now);
         if let Some(entry) = self.task_mut(task) {
             entry.stray_run = Some(run);
         }
@@ -233,8 +233,8 @@
         if entry.is_done() {
             return None;
         }
-        let here = match &entry.place {
-            TaskPlace::Unlocated { runner, .. } => runner == name,
+        let here = match &entry.state {
+            TaskState::Unconfirmed { runner, .. } => runner == name,
             _ => entry.runner() == Some(key),
         };
         let current = here && entry.placed_run() == row.run;
@@ -262,7 +262,7 @@
             _ if current => {
                 self.break_gang(task, now);
                 self.store_checkpoint(task, &row.checkpoint);
-                self.set_place(task, TaskPlace::Waiting, now);
+                self.set_task_state(task, TaskState::Waiting, now);
                 self.mark_dirty(task.job);
             }
             _ => return None,
@@ -278,7 +278,7 @@
             return;
         };
         let run = entry.placed_run();
-        let ordered = !matches!(entry.place, TaskPlace::Planned(_));
+        let ordered = !matches!(entry.state, TaskState::Planned(_));
         let runner = entry.runner().filter(|_| ordered);
         if let Some((runner, name)) = runner.zip(self.name_of(task)) {
             self.stops.push(StopOrder { runner, name, run });
@@ -315,7 +315,7 @@
         {
             self.learn_time(&queue, time);
         }
-        self.set_place(task, TaskPlace::Done, now);
+        self.set_task_state(task, TaskState::Done, now);
         self.begin_job(task.job);
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
@@ -335,7 +335,7 @@
 
     fn fail_task(&mut self, task: TaskRef, key: RunnerKey, checkpoint: &str, now: Millis) {
         self.store_checkpoint(task, checkpoint);
-        self.set_place(task, TaskPlace::Waiting, now);
+        self.set_task_state(task, TaskState::Waiting, now);
         self.begin_job(task.job);
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
@@ -366,7 +366,7 @@
             return;
         };
         self.note_earlier_life(key, now);
-        self.settle_unlocated(|runner, _| runner == name, now);
+        self.release_unconfirmed(|runner, _| runner == name, now);
         self.give_up(now);
     }
 
@@ -394,18 +394,18 @@
                 continue;
             };
             entry.shown = false;
-            match entry.place {
-                TaskPlace::Ordered(_) if entry.unclear && entry.ordered_at < asked_at => {
+            match entry.state {
+                TaskState::Ordered(_) if entry.unclear && entry.ordered_at < asked_at => {
                     resent.extend(self.resend_start(task, key, now));
                 }
-                TaskPlace::Running(_) if entry.ordered_at < asked_at => {
-                    self.set_place(task, TaskPlace::Waiting, now);
+                TaskState::Running(_) if entry.ordered_at < asked_at => {
+                    self.set_task_state(task, TaskState::Waiting, now);
                     self.mark_dirty(task.job);
                 }
                 // The stop was acknowledged before the heartbeat was sent, so the run can't
                 // begin any more. It may never have begun, and then no end of it is reported.
-                TaskPlace::Stopping(_) if entry.stopped_at.is_some_and(|at| at < asked_at) => {
-                    self.set_place(task, TaskPlace::Waiting, now);
+                TaskState::Stopping(_) if entry.stopped_at.is_some_and(|at| at < asked_at) => {
+                    self.set_task_state(task, TaskState::Waiting, now);
                     self.mark_dirty(task.job);
                 }
                 _ => {}
@@ -437,7 +437,7 @@
     pub fn record_stop_ack(&mut self, order: &StopOrder, now: Millis) {
         let task = self.find_task(&order.name.to_string());
         if let Some(entry) = task.and_then(|task| self.task_mut(task))
-            && entry.place == TaskPlace::Stopping(order.runner)
+            && entry.state == TaskState::Stopping(order.runner)
             && entry.placed_run() == order.run
         {
             entry.stopped_at = entry.stopped_at.or(Some(now));
@@ -454,14 +454,14 @@
             return;
         }
         entry.ordered_at = now;
-        let ordered = entry.place == TaskPlace::Ordered(order.runner);
+        let ordered = entry.state == TaskState::Ordered(order.runner);
         let unanswered = entry.unanswered;
         match outcome {
             StartOutcome::Started if ordered => {
                 if let Some(runner) = self.runners.get_mut(order.runner) {
                     runner.note_accepted();
                 }
-                self.set_place(task, TaskPlace::Running(order.runner), now);
+                self.set_task_state(task, TaskState::Running(order.runner), now);
                 self.begin_job(task.job);
             }
             // This outcome adds nothing: an earlier copy shows in the next heartbeat, and a
@@ -485,12 +485,12 @@
             | StartOutcome::NotSent
                 if ordered =>
             {
-                self.set_place(task, TaskPlace::Waiting, now);
+                self.set_task_state(task, TaskState::Waiting, now);
                 self.break_gang(task, now);
                 self.back_off_refusing(order.runner, outcome, now);
             }
             StartOutcome::NoTicket if ordered => {
-                self.set_place(task, TaskPlace::Waiting, now);
+                self.set_task_state(task, TaskState::Waiting, now);
                 self.break_gang(task, now);
                 self.drop_advice(task);
             }
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -27,8 +27,8 @@
     spec::StepSpec,
     task::{
         StartOrder,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -186,7 +186,7 @@
     }
 
     fn plan_task(&mut self, task: TaskRef, runner: RunnerKey, now: Millis) {
-        self.set_place(task, TaskPlace::Planned(runner), now);
+        self.set_task_state(task, TaskState::Planned(runner), now);
         if let Some(entry) = self.task_mut(task) {
             entry.run += 1;
         }
@@ -209,11 +209,11 @@
     pub fn cancel_planned_starts(&mut self, now: Millis) {
         let planned: Vec<TaskRef> = self
             .active_tasks()
-            .filter(|(_, entry)| matches!(entry.place, TaskPlace::Planned(_)))
+            .filter(|(_, entry)| matches!(entry.state, TaskState::Planned(_)))
             .map(|(task, _)| task)
             .collect();
         for task in planned {
-            self.set_place(task, TaskPlace::Waiting, now);
+            self.set_task_state(task, TaskState::Waiting, now);
         }
     }
 
@@ -303,8 +303,8 @@
             return;
         };
         job.dirty = false;
-        let progress = job.progress(|task| match &task.place {
-            TaskPlace::Unlocated {
+        let progress = job.progress(|task| match &task.state {
+            TaskState::Unconfirmed {
                 runner, started_at, ..
             } => Some(RunnerInstance {
                 name: runner.clone(),
@@ -318,7 +318,7 @@
         plan.records.push((job.id.clone(), progress));
         let starts = job.tasks.iter().enumerate();
         plan.starts.extend(starts.filter_map(|(slot, task)| {
-            let planned = matches!(task.place, TaskPlace::Planned(_));
+            let planned = matches!(task.state, TaskState::Planned(_));
             planned.then_some((TaskRef { job: key, slot }, task.run))
         }));
     }
@@ -331,7 +331,7 @@
             let Some(entry) = self.task(*task) else {
                 continue;
             };
-            let TaskPlace::Planned(runner) = entry.place else {
+            let TaskState::Planned(runner) = entry.state else {
                 continue;
             };
             if entry.run != *run {
@@ -342,11 +342,11 @@
                 entry.copies = 0;
             }
             if self.admit_start(*task, runner, now) != StartAdmission::Send {
-                self.set_place(*task, TaskPlace::Waiting, now);
+                self.set_task_state(*task, TaskState::Waiting, now);
                 self.break_gang(*task, now);
                 continue;
             }
-            self.set_place(*task, TaskPlace::Ordered(runner), now);
+            self.set_task_state(*task, TaskState::Ordered(runner), now);
             orders.extend(self.copy_start(*task, runner));
         }
         self.drop_settled();
--- a/crates/hoisthitch-jobs/src/pool.rs
+++ b/crates/hoisthitch-jobs/src/pool.rs
@@ -1,7 +1,7 @@
 //! State of a pool: its jobs, its runners, and which task runs where.
 //!
 //! [`PoolState`] belongs to the pool's owner. A task in it changes its state by
-//! [`PoolState::set_place`] alone, which also keeps the resources that are reserved on
+//! [`PoolState::set_task_state`] alone, which also keeps the resources that are reserved on
 //! runners.
 
 use std::collections::{
@@ -48,8 +48,8 @@
         StopOrder,
         TaskEntry,
         TaskName,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -80,7 +80,7 @@
     /// free.
     pub(crate) plan_needed: bool,
     /// Number of tasks that may run on a runner which has not confirmed it.
-    unlocated: usize,
+    unconfirmed: usize,
     /// What earlier owners ordered, as far as they published it.
     inherited: InheritedRuns,
     /// Mean time of a task, by queue, in milliseconds.
@@ -148,7 +148,7 @@
         if let Some(progress) = progress {
             self.restore(&mut job, progress, now);
         }
-        let settled = job.phase.is_final() && job.tasks.iter().all(|task| is_settled(&task.place));
+        let settled = job.phase.is_final() && job.tasks.iter().all(|task| is_settled(&task.state));
         if settled {
             job.ended_at = Some(now);
         }
@@ -157,7 +157,7 @@
             self.note_arrival(&job, accepted_at.min(now), now);
         }
         job.keep_account(now);
-        self.unlocated += count_unlocated(&job);
+        self.unconfirmed += count_unconfirmed(&job);
         let suspects: Vec<usize> = suspects_of(&job).collect();
         let key = self.jobs.insert(job);
         let suspects = suspects.into_iter().map(|slot| TaskRef { job: key, slot });
@@ -191,14 +191,14 @@
                     let runner = recorded.runner;
                     task.pace = UNKNOWN_PACE;
                     let started_at = recorded.started_at;
-                    task.place = TaskPlace::Unlocated {
+                    task.state = TaskState::Unconfirmed {
                         runner,
                         started_at,
                         until,
                     };
                 }
                 TaskPhase::Done => {
-                    task.place = TaskPlace::Done;
+                    task.state = TaskState::Done;
                     task.away_since = None;
                     job.note_done(round, step);
                 }
@@ -251,14 +251,14 @@
         };
         let tasks: Vec<TaskRef> = runner.tasks.iter().copied().collect();
         for task in tasks {
-            self.leave_runner(task, TaskPlace::Waiting, now);
+            self.move_off_runner(task, TaskState::Waiting, now);
         }
         let name = self
             .runners
             .get(key)
             .map(|runner| runner.facts.name.clone());
         if let Some(name) = name {
-            self.settle_unlocated(|runner, _| runner == name, now);
+            self.release_unconfirmed(|runner, _| runner == name, now);
         }
         self.give_up(now);
     }
@@ -266,7 +266,7 @@
     /// Records that an instance of a runner that is not listed has ended.
     pub fn record_unlisted_loss(&mut self, name: &str, now: Millis) {
         self.note_unknown_loss(name, RunnerLoss::Crashed, now);
-        self.settle_unlocated(|runner, _| runner == name, now);
+        self.release_unconfirmed(|runner, _| runner == name, now);
         self.give_up(now);
     }
 
@@ -274,7 +274,7 @@
     /// of their runners ended; returns those runners.
     pub fn expire_leases(&mut self, now: Millis) -> Vec<RunnerKey> {
         self.note_expired(now);
-        self.settle_unlocated(|_, until| until <= now, now);
+        self.release_unconfirmed(|_, until| until <= now, now);
         self.give_up(now);
         let lapsed: Vec<RunnerKey> = self
             .runners
@@ -290,20 +290,24 @@
         lapsed
     }
 
-    pub(crate) fn settle_unlocated(&mut self, ended: impl Fn(&str, Millis) -> bool, now: Millis) {
-        if self.unlocated == 0 {
+    pub(crate) fn release_unconfirmed(
+        &mut self,
+        ended: impl Fn(&str, Millis) -> bool,
+        now: Millis,
+    ) {
+        if self.unconfirmed == 0 {
             return;
         }
         let settled: Vec<TaskRef> = self
             .active_tasks()
-            .filter(|(_, task)| match &task.place {
-                TaskPlace::Unlocated { runner, until, .. } => ended(runner, *until),
+            .filter(|(_, task)| match &task.state {
+                TaskState::Unconfirmed { runner, until, .. } => ended(runner, *until),
                 _ => false,
             })
             .map(|(task, _)| task)
             .collect();
         for task in settled {
-            self.set_place(task, TaskPlace::Waiting, now);
+            self.set_task_state(task, TaskState::Waiting, now);
             self.mark_dirty(task.job);
         }
     }
@@ -339,7 +343,7 @@
     }
 
     /// Changes the state of a task, and the resources that are reserved for it.
-    pub(crate) fn set_place(&mut self, task: TaskRef, place: TaskPlace, now: Millis) {
+    pub(crate) fn set_task_state(&mut self, task: TaskRef, state: TaskState, now: Millis) {
         let suspect = self.is_suspect(task);
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
@@ -352,14 +356,14 @@
             return;
         };
         let before = entry.runner();
-        if matches!(entry.place, TaskPlace::Unlocated { .. }) {
-            self.unlocated = self.unlocated.saturating_sub(1);
+        if matches!(entry.state, TaskState::Unconfirmed { .. }) {
+            self.unconfirmed = self.unconfirmed.saturating_sub(1);
         }
-        self.unlocated += usize::from(matches!(place, TaskPlace::Unlocated { .. }));
-        if matches!(place, TaskPlace::Running(_)) {
+        self.unconfirmed += usize::from(matches!(state, TaskState::Unconfirmed { .. }));
+        if matches!(state, TaskState::Running(_)) {
             entry.began_at = now;
         }
-        entry.place = place;
+        entry.state = state;
         entry.moved_at = now;
         entry.stopped_at = None;
         entry.stray_run = None;
@@ -373,9 +377,9 @@
             entry.pace = 100;
             entry.pace_doubt_until = 0;
         }
-        match entry.place {
-            TaskPlace::Running(_) if entry.percent >= 100 => entry.away_since = None,
-            TaskPlace::Done => entry.away_since = None,
+        match entry.state {
+            TaskState::Running(_) if entry.percent >= 100 => entry.away_since = None,
+            TaskState::Done => entry.away_since = None,
             _ => entry.away_since = entry.away_since.or(Some(now)),
         }
         if before != after {
@@ -394,8 +398,8 @@
     }
 
     /// Whether any task may run on a runner which has not confirmed it.
-    pub(crate) fn has_unlocated(&self) -> bool {
-        self.unlocated > 0
+    pub(crate) fn has_unconfirmed(&self) -> bool {
+        self.unconfirmed > 0
     }
 
     /// A job by its identifier.
@@ -464,7 +468,7 @@
         let jobs = &self.jobs;
         self.active.retain(|key| {
             jobs.get(*key).is_some_and(|job| {
-                let settled = || job.tasks.iter().all(|task| is_settled(&task.place));
+                let settled = || job.tasks.iter().all(|task| is_settled(&task.state));
                 job.dirty || !job.phase.is_final() || !settled()
             })
         });
@@ -484,7 +488,7 @@
     pub fn forget_job(&mut self, id: &str) {
         if let Some(key) = self.job_ids.remove(id) {
             if let Some(job) = self.jobs.remove(key) {
-                self.unlocated = self.unlocated.saturating_sub(count_unlocated(&job));
+                self.unconfirmed = self.unconfirmed.saturating_sub(count_unconfirmed(&job));
             }
             self.advice.retain(|(job, _, _), _| *job != key);
             self.active.retain(|active| *active != key);
@@ -499,13 +503,13 @@
     suspects.map(|(slot, _)| slot)
 }
 
-fn count_unlocated(job: &JobEntry) -> usize {
+fn count_unconfirmed(job: &JobEntry) -> usize {
     let tasks = job.tasks.iter();
     tasks
-        .filter(|task| matches!(task.place, TaskPlace::Unlocated { .. }))
+        .filter(|task| matches!(task.state, TaskState::Unconfirmed { .. }))
         .count()
 }
 
-fn is_settled(place: &TaskPlace) -> bool {
-    matches!(place, TaskPlace::Waiting | TaskPlace::Done)
+fn is_settled(state: &TaskState) -> bool {
+    matches!(state, TaskState::Waiting | TaskState::Done)
 }
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -23,7 +23,7 @@
     },
     pool::PoolState,
     resources::ResourceAmounts,
-    task::TaskPlace, //
+    task::TaskState, //
 };
 
 /// Extra part taken beyond the current need, so that the next task need not wait for a write
@@ -89,9 +89,9 @@
         let others = self.others(pool).amounts();
         let used = needs.used.amounts();
         let need = needs.used.plus(needs.waiting).amounts();
-        ResourceAmounts::each(|place| {
-            let free = limits[place].saturating_sub(others[place]);
-            next_amount(limits[place], parts[place], free, used[place], need[place])
+        ResourceAmounts::each(|index| {
+            let free = limits[index].saturating_sub(others[index]);
+            next_amount(limits[index], parts[index], free, used[index], need[index])
         })
     }
 
@@ -101,12 +101,12 @@
         let limits = limit.amounts();
         let parts = self.allocation(pool).amounts();
         let sums = self.allocation(pool).plus(self.others(pool)).amounts();
-        ResourceAmounts::each(|place| match limits[place] {
+        ResourceAmounts::each(|index| match limits[index] {
             0 => u64::MAX,
             limit => {
-                let part = u128::from(parts[place]) * u128::from(limit);
-                let part = part / u128::from(sums[place].max(1));
-                u64::try_from(part).unwrap_or(u64::MAX).min(parts[place])
+                let part = u128::from(parts[index]) * u128::from(limit);
+                let part = part / u128::from(sums[index].max(1));
+                u64::try_from(part).unwrap_or(u64::MAX).min(parts[index])
             }
         })
     }
@@ -128,7 +128,7 @@
 /// What limited teams may still start while a plan is made.
 #[derive(Default)]
 pub(crate) struct QuotaBudget {
-    places: HashMap<String, usize>,
+    indexes: HashMap<String, usize>,
     left: Vec<ResourceAmounts>,
 }
 
@@ -146,18 +146,18 @@
 impl QuotaBudget {
     /// Looks up a team.
     pub(crate) fn find(&self, team: &str) -> BudgetKey {
-        BudgetKey(self.places.get(team).copied())
+        BudgetKey(self.indexes.get(team).copied())
     }
 
     /// Whether the team may start tasks with this much need.
     pub(crate) fn allows(&self, team: BudgetKey, need: ResourceAmounts) -> bool {
-        let left = team.0.and_then(|place| self.left.get(place));
+        let left = team.0.and_then(|index| self.left.get(index));
         left.is_none_or(|left| left.covers(need))
     }
 
     /// Deducts the need of planned tasks.
     pub(crate) fn take(&mut self, team: BudgetKey, need: ResourceAmounts) {
-        if let Some(left) = team.0.and_then(|place| self.left.get_mut(place)) {
+        if let Some(left) = team.0.and_then(|index| self.left.get_mut(index)) {
             *left = left.minus(need);
         }
     }
@@ -183,10 +183,10 @@
             let found = uses.entry(&job.team).or_default();
             for (slot, task) in job.tasks.iter().enumerate() {
                 let need = || job.step_of(slot).map(|step| step.need).unwrap_or_default();
-                match task.place {
-                    TaskPlace::Done => {}
-                    TaskPlace::Waiting if job.phase.is_final() || !job.is_ready(slot) => {}
-                    TaskPlace::Waiting => found.waiting = found.waiting.plus(need()),
+                match task.state {
+                    TaskState::Done => {}
+                    TaskState::Waiting if job.phase.is_final() || !job.is_ready(slot) => {}
+                    TaskState::Waiting => found.waiting = found.waiting.plus(need()),
                     _ => found.used = found.used.plus(need()),
                 }
             }
@@ -213,7 +213,7 @@
         let mut budget = QuotaBudget::default();
         for (team, allowed) in &self.allowances {
             let found = uses.get(team.as_str()).copied().unwrap_or_default();
-            budget.places.insert(team.clone(), budget.left.len());
+            budget.indexes.insert(team.clone(), budget.left.len());
             budget.left.push(allowed.minus(found.used));
         }
         budget
@@ -231,18 +231,18 @@
 
 /// Resources that the waiting members of a job's gangs need.
 pub(crate) fn gangs_waiting(job: &JobEntry) -> ResourceAmounts {
-    gang_needs(job, |place| *place == TaskPlace::Waiting)
+    gang_needs(job, |state| *state == TaskState::Waiting)
 }
 
 /// Resources that the members of a job's gangs need which are planned and not ordered yet.
 pub(crate) fn gangs_planned(job: &JobEntry) -> ResourceAmounts {
-    gang_needs(job, |place| matches!(place, TaskPlace::Planned(_)))
+    gang_needs(job, |state| matches!(state, TaskState::Planned(_)))
 }
 
-fn gang_needs(job: &JobEntry, counts: impl Fn(&TaskPlace) -> bool) -> ResourceAmounts {
+fn gang_needs(job: &JobEntry, counts: impl Fn(&TaskState) -> bool) -> ResourceAmounts {
     let tasks = job.tasks.iter().enumerate();
     let needs = tasks
-        .filter(|(_, task)| counts(&task.place))
+        .filter(|(_, task)| counts(&task.state))
         .filter_map(|(slot, _)| {
             let step = job.step_of(slot).filter(|step| step.gang)?;
             Some(step.need)
--- a/crates/hoisthitch-jobs/src/resources.rs
+++ b/crates/hoisthitch-jobs/src/resources.rs
@@ -33,19 +33,19 @@
     /// The sum of both, amount by amount.
     pub fn plus(self, other: Self) -> Self {
         let (one, two) = (self.amounts(), other.amounts());
-        Self::each(|place| one[place].saturating_add(two[place]))
+        Self::each(|index| one[index].saturating_add(two[index]))
     }
 
     /// The difference to the other, amount by amount; zero where the other is larger.
     pub(crate) fn minus(self, other: Self) -> Self {
         let (one, two) = (self.amounts(), other.amounts());
-        Self::each(|place| one[place].saturating_sub(two[place]))
+        Self::each(|index| one[index].saturating_sub(two[index]))
     }
 
     /// The minimum of both, amount by amount.
     pub fn least(self, other: Self) -> Self {
         let (one, two) = (self.amounts(), other.amounts());
-        Self::each(|place| one[place].min(two[place]))
+        Self::each(|index| one[index].min(two[index]))
     }
 
     /// Whether this is enough for `asked`; only amounts that have a limit are compared.
--- a/crates/hoisthitch-jobs/src/silent.rs
+++ b/crates/hoisthitch-jobs/src/silent.rs
@@ -13,7 +13,7 @@
         RunnerEntry,
         RunnerKey, //
     },
-    task::TaskPlace, //
+    task::TaskState, //
 };
 
 /// Times by which runs that earlier owners ordered have ended for certain on runners that
@@ -82,9 +82,9 @@
                 runs.add(runner.tasks.len(), runner.lease_until);
             }
         }
-        if self.has_unlocated() && inherited {
+        if self.has_unconfirmed() && inherited {
             for (_, task) in self.active_tasks() {
-                if let TaskPlace::Unlocated { runner, until, .. } = &task.place {
+                if let TaskState::Unconfirmed { runner, until, .. } = &task.state {
                     found.entry(runner.clone()).or_default().add(1, *until);
                 }
             }
--- a/crates/hoisthitch-jobs/src/stall.rs
+++ b/crates/hoisthitch-jobs/src/stall.rs
@@ -5,8 +5,8 @@
     pool::PoolState,
     runner::RunnerKey,
     task::{
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -36,7 +36,7 @@
                 let tasks = job.tasks.iter().enumerate();
                 tasks.filter_map(move |(slot, task)| {
                     let step = job.step_of(slot)?;
-                    let TaskPlace::Running(runner) = task.place else {
+                    let TaskState::Running(runner) = task.state else {
                         return None;
                     };
                     let stands = task.moved_at + limit < now && !step.long_running && !step.gang;
--- a/crates/hoisthitch-jobs/src/stops.rs
+++ b/crates/hoisthitch-jobs/src/stops.rs
@@ -8,8 +8,8 @@
     runner::RunnerKey,
     task::{
         StopOrder,
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -49,16 +49,16 @@
         let Some(entry) = self.task(task) else {
             return;
         };
-        match entry.place {
-            TaskPlace::Planned(_) => self.set_place(task, TaskPlace::Waiting, now),
-            TaskPlace::Ordered(runner) | TaskPlace::Running(runner) => {
-                self.set_place(task, TaskPlace::Stopping(runner), now);
+        match entry.state {
+            TaskState::Planned(_) => self.set_task_state(task, TaskState::Waiting, now),
+            TaskState::Ordered(runner) | TaskState::Running(runner) => {
+                self.set_task_state(task, TaskState::Stopping(runner), now);
                 self.order_stop(task, runner, now);
             }
-            TaskPlace::Waiting
-            | TaskPlace::Stopping(_)
-            | TaskPlace::Unlocated { .. }
-            | TaskPlace::Done => {}
+            TaskState::Waiting
+            | TaskState::Stopping(_)
+            | TaskState::Unconfirmed { .. }
+            | TaskState::Done => {}
         }
     }
 
@@ -100,8 +100,8 @@
     pub fn resend_stops(&mut self, now: Millis) {
         let overdue: Vec<(TaskRef, RunnerKey)> = self
             .active_tasks()
-            .filter_map(|(task, entry)| match entry.place {
-                TaskPlace::Stopping(runner) if entry.ordered_at + RESEND_MS <= now => {
+            .filter_map(|(task, entry)| match entry.state {
+                TaskState::Stopping(runner) if entry.ordered_at + RESEND_MS <= now => {
                     Some((task, runner))
                 }
                 _ => None,
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -32,8 +32,8 @@
     task::{
         TaskEntry,
         TaskName,
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -172,9 +172,9 @@
                 self.drop_suspect(task);
                 continue;
             };
-            match entry.place {
-                TaskPlace::Running(runner) => self.clear_running(task, runner, now),
-                TaskPlace::Waiting => self.plan_needed = true,
+            match entry.state {
+                TaskState::Running(runner) => self.clear_running(task, runner, now),
+                TaskState::Waiting => self.plan_needed = true,
                 _ => {}
             }
         }
@@ -239,7 +239,7 @@
         } else {
             ISOLATION_WAIT_MS
         };
-        let waited = || entry.place == TaskPlace::Waiting && entry.moved_at + wait <= now;
+        let waited = || entry.state == TaskState::Waiting && entry.moved_at + wait <= now;
         // If other tasks of the step point to a cause, nothing is placed beside it.
         self.is_suspect(task) && (self.step_weight(task) > 0 || !waited())
     }
--- a/crates/hoisthitch-jobs/src/task.rs
+++ b/crates/hoisthitch-jobs/src/task.rs
@@ -63,7 +63,7 @@
 
 /// State of a task, as far as its owner knows.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum TaskPlace {
+pub enum TaskState {
     /// It runs nowhere, and no start is planned.
     Waiting,
     /// A start is planned, and not recorded yet.
@@ -77,7 +77,7 @@
     /// It may run on a runner that has not responded since it was ordered. Either an earlier
     /// owner ordered it, or this owner sent the start to an instance of the runner that has
     /// ended, and it may have reached another one.
-    Unlocated {
+    Unconfirmed {
         /// Name of the runner.
         runner: String,
         /// Start time of the instance that was ordered to run it; none where that is not
@@ -100,7 +100,7 @@
     /// Number within the step.
     pub index: u32,
     /// State of the task.
-    pub place: TaskPlace,
+    pub state: TaskState,
     /// Number of the last run; zero before the first.
     pub run: u32,
     /// Number of an earlier run whose start was carried out late and which is being stopped;
@@ -187,7 +187,7 @@
             round,
             step,
             index,
-            place: TaskPlace::Waiting,
+            state: TaskState::Waiting,
             run: 0,
             stray_run: None,
             failed: 0,
@@ -213,12 +213,12 @@
 
     /// Runner on which the task has resources reserved.
     pub fn runner(&self) -> Option<RunnerKey> {
-        match self.place {
-            TaskPlace::Planned(runner)
-            | TaskPlace::Ordered(runner)
-            | TaskPlace::Running(runner)
-            | TaskPlace::Stopping(runner) => Some(runner),
-            TaskPlace::Waiting | TaskPlace::Unlocated { .. } | TaskPlace::Done => None,
+        match self.state {
+            TaskState::Planned(runner)
+            | TaskState::Ordered(runner)
+            | TaskState::Running(runner)
+            | TaskState::Stopping(runner) => Some(runner),
+            TaskState::Waiting | TaskState::Unconfirmed { .. } | TaskState::Done => None,
         }
     }
 
@@ -229,11 +229,11 @@
 
     /// Whether its runner reported that it runs.
     pub(crate) fn is_running(&self) -> bool {
-        matches!(self.place, TaskPlace::Running(_))
+        matches!(self.state, TaskState::Running(_))
     }
 
     /// Whether the task is done.
     pub fn is_done(&self) -> bool {
-        self.place == TaskPlace::Done
+        self.state == TaskState::Done
     }
 }
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/upkeep.rs
@@ -16,8 +16,8 @@
     runner::RunnerKey,
     task::{
         TaskEntry,
-        TaskPlace,
         TaskRef, //
+        TaskState,
     }, //
 };
 
@@ -95,7 +95,7 @@
         let mut short = 0;
         for (task, entry) in self.active_tasks() {
             let here =
-                matches!(&entry.place, TaskPlace::Unlocated { runner, .. } if runner == name);
+                matches!(&entry.state, TaskState::Unconfirmed { runner, .. } if runner == name);
             if !here {
                 continue;
             }
@@ -123,7 +123,7 @@
             let Some(entry) = self.task(*task) else {
                 continue;
             };
-            if may_be_running(&entry.place) {
+            if may_be_running(&entry.state) {
                 let step = (task.job, entry.round, entry.step);
                 ending.entry(step).or_default().insert(task.slot);
             }
@@ -149,7 +149,7 @@
 
     /// Whether a long-running task is available, as far as its runner reported lately.
     pub(crate) fn is_at_work(&self, task: &TaskEntry) -> bool {
-        let TaskPlace::Running(key) = task.place else {
+        let TaskState::Running(key) = task.state else {
             return false;
         };
         let heard = self.runners.get(key).is_some_and(|runner| runner.ready);
@@ -209,9 +209,9 @@
 }
 
 /// Whether the runner may be running the task by now.
-fn may_be_running(place: &TaskPlace) -> bool {
+fn may_be_running(state: &TaskState) -> bool {
     matches!(
-        place,
-        TaskPlace::Ordered(_) | TaskPlace::Running(_) | TaskPlace::Stopping(_)
+        state,
+        TaskState::Ordered(_) | TaskState::Running(_) | TaskState::Stopping(_)
     )
 }
--- a/crates/hoisthitch-jobs/tests/decisions/main.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/main.rs
@@ -42,7 +42,7 @@
     StartOrder,
     StartOutcome,
     StepSpec,
-    TaskPlace, //
+    TaskState, //
 };
 use hoisthitch_tests::cases;
 use quickcheck::quickcheck;
@@ -499,7 +499,7 @@
         state.plan(1_000);
         let jobs = (0..needs.len().min(40)).filter_map(|number| state.job(&format!("job-{number}")));
         jobs.flat_map(|job| (0..job.tasks.len()).map(move |slot| (job, slot)))
-            .filter(|(job, slot)| job.tasks[*slot].place == TaskPlace::Waiting)
+            .filter(|(job, slot)| job.tasks[*slot].state == TaskState::Waiting)
             .filter_map(|(job, slot)| job.step_of(slot))
             .all(|step| state.runners().all(|(_, runner)| !runner.fits(step)))
     }
