--- a/crates/hoisthitch-jobs/src/account.rs
+++ b/crates/hoisthitch-jobs/src/account.rs
@@ -64,7 +64,7 @@
 
 impl JobEntry {
     /// Charges the time since the last update; must be called before a task changes its place.
-    pub(crate) fn keep_account(&mut self, now: Millis) {
+    pub(crate) fn update_account(&mut self, now: Millis) {
         let Some(before) = self.account.updated_at else {
             self.account.taking = now.saturating_sub(self.accepted_at);
             self.account.updated_at = Some(now);
@@ -108,11 +108,11 @@
 
 impl PoolState {
     /// Records the end of a job; long-running jobs are left out.
-    pub(crate) fn note_ended(&mut self, key: JobKey, now: Millis) {
+    pub(crate) fn record_job_end(&mut self, key: JobKey, now: Millis) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.keep_account(now);
+        job.update_account(now);
         let Some(job) = self.jobs.get(key).filter(|job| !job.spec.is_long_running()) else {
             return;
         };
--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -64,7 +64,7 @@
         let Some(obstacle) = self.start_obstacle(task, runner, is_first, now) else {
             return StartAdmission::Send;
         };
-        let may_stop = is_first || !self.lasts(task) || self.may_end(&[task]);
+        let may_stop = is_first || !self.lasts(task) || self.may_disrupt(&[task]);
         match obstacle {
             StartObstacle::Draining => StartAdmission::Withdraw,
             _ if may_stop => StartAdmission::Withdraw,
@@ -90,10 +90,10 @@
         if !runner.facts.capacity.covers(runner.used) {
             return Some(StartObstacle::NoRoom);
         }
-        if !self.has_leave(task, runner, now) {
+        if !self.has_ticket(task, runner, now) {
             return Some(StartObstacle::NoTicket);
         }
-        if self.is_suspect(task) && !self.is_isolated_on(task, runner) {
+        if self.needs_isolation(task) && !self.is_isolated_on(task, runner) {
             return Some(StartObstacle::NotAlone);
         }
         if is_first && !runner.ready {
@@ -107,8 +107,8 @@
 
     /// Whether the runner is kept for an isolated run of the task, or of the task's gang.
     fn is_isolated_on(&self, task: TaskRef, runner: &RunnerEntry) -> bool {
-        let trial = runner.trial;
-        trial.is_some_and(|trial| trial == task || self.are_together(task, trial))
+        let isolated = runner.isolated_task;
+        isolated.is_some_and(|other| other == task || self.share_gang(task, other))
     }
 
     /// Whether a job's team has more running here than its quota allows, because the quota was
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -154,12 +154,12 @@
     /// Whether there is a ticket for the task on the runner that is valid for long enough to
     /// plan a start.
     pub(crate) fn is_advised(&self, task: TaskRef, runner: &RunnerEntry, now: Millis) -> bool {
-        self.has_leave(task, runner, now + TICKET_MARGIN_MS)
+        self.has_ticket(task, runner, now + TICKET_MARGIN_MS)
     }
 
     /// Whether there is a ticket for the task on the runner that is valid at `at`, or none is
     /// needed.
-    pub(crate) fn has_leave(&self, task: TaskRef, runner: &RunnerEntry, at: Millis) -> bool {
+    pub(crate) fn has_ticket(&self, task: TaskRef, runner: &RunnerEntry, at: Millis) -> bool {
         let Some(job) = self.jobs.get(task.job) else {
             return false;
         };
--- a/crates/hoisthitch-jobs/src/demand.rs
+++ b/crates/hoisthitch-jobs/src/demand.rs
@@ -89,10 +89,10 @@
     fn add_demand(&self, sums: &mut DemandSums, job: &JobEntry, now: Millis) {
         let time = self.task_time(&job.queue);
         let late = self.latest_start(job) < now;
-        let missed = self.is_missed(job, now);
+        let missed = self.has_missed_objective(job, now);
         let wait = if late { LATE_BACKLOG_MS } else { BACKLOG_MS };
         for step in job.spec.steps.iter().filter(|step| step.long_running) {
-            let vms = step.count.div_ceil(step.most_together());
+            let vms = step.count.div_ceil(step.max_together());
             sums.spread = sums.spread.max(vms);
         }
         for (slot, task) in job.tasks.iter().enumerate() {
@@ -128,7 +128,7 @@
     }
 
     /// Updates a queue's mean with the time of a task that is done.
-    pub(crate) fn learn_time(&mut self, queue: &str, time: Millis) {
+    pub(crate) fn learn_task_time(&mut self, queue: &str, time: Millis) {
         let mean = self
             .task_times
             .entry(queue.to_owned())
@@ -137,7 +137,7 @@
     }
 
     /// Records the work of a job that arrived at `at`.
-    pub(crate) fn note_arrival(&mut self, job: &JobEntry, at: Millis, now: Millis) {
+    pub(crate) fn record_arrival(&mut self, job: &JobEntry, at: Millis, now: Millis) {
         let time = self.task_time(&job.queue);
         let steps = job.spec.steps.iter().filter(|step| !step.long_running);
         let work = steps.map(|step| u64::from(step.count) * step.need.cpu_milli * time);
@@ -157,8 +157,8 @@
             .runners
             .iter()
             .filter(|(_, runner)| runner.ready && !runner.is_departing())
-            .filter(|(_, runner)| runner.known_since + STAY_MIN_MS <= now)
-            .filter(|(_, runner)| !runner.holds_lasting())
+            .filter(|(_, runner)| runner.first_seen_at + STAY_MIN_MS <= now)
+            .filter(|(_, runner)| !runner.has_long_running())
             .map(|(key, runner)| (!runner.evacuating, runner.used.cpu_milli, key))
             .collect();
         spare.sort();
--- a/crates/hoisthitch-jobs/src/drain.rs
+++ b/crates/hoisthitch-jobs/src/drain.rs
@@ -31,7 +31,10 @@
         for task in leaving {
             let runs = self.task(task).is_some_and(TaskEntry::is_running);
             // Each task that is being moved may take all the capacity of a runner.
-            if runs && self.may_be_unavailable(task) && self.rooms(task, now) > moving {
+            if runs
+                && self.may_be_unavailable(task)
+                && self.count_fitting_runners(task, now) > moving
+            {
                 self.stop_task(task, now);
                 moving += 1;
             }
@@ -68,6 +71,6 @@
     /// its VM may have been ordered already.
     fn stays_available(&self, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
-        self.is_at_work(entry) && runner.is_some_and(|runner| !runner.evacuating)
+        self.is_available(entry) && runner.is_some_and(|runner| !runner.evacuating)
     }
 }
--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -43,7 +43,7 @@
                 let step = job.step_of(task.slot)?;
                 // Tasks of a late job may wait for capacity elsewhere; the other pool's work
                 // must not wait.
-                let late = self.is_missed(job, now);
+                let late = self.has_missed_objective(job, now);
                 Some((*task, if late { 0 } else { step.need.cpu_milli }))
             })
             .collect();
--- a/crates/hoisthitch-jobs/src/fair.rs
+++ b/crates/hoisthitch-jobs/src/fair.rs
@@ -32,7 +32,7 @@
         &self,
         uses: &HashMap<&'a str, TeamUsage>,
     ) -> HashSet<&'a str> {
-        if self.weights.is_empty() || !self.was_full {
+        if self.weights.is_empty() || !self.lacked_capacity {
             return HashSet::new();
         }
         let weight = |team: &str| self.weights.get(team).copied().unwrap_or(1.0);
--- a/crates/hoisthitch-jobs/src/job.rs
+++ b/crates/hoisthitch-jobs/src/job.rs
@@ -157,7 +157,7 @@
         };
         step.after
             .iter()
-            .all(|after| self.open_tasks(task.round, *after) == 0)
+            .all(|after| self.remaining_tasks(task.round, *after) == 0)
     }
 
     /// Whether the task is ready and has no runner.
@@ -167,7 +167,7 @@
     }
 
     /// Number of tasks of a step that are not done.
-    pub fn open_tasks(&self, round: u32, step: u32) -> u32 {
+    pub fn remaining_tasks(&self, round: u32, step: u32) -> u32 {
         self.open_index(round, step)
             .and_then(|index| self.open.get(index))
             .copied()
@@ -175,7 +175,7 @@
     }
 
     /// Records that a task of the step is done.
-    pub fn note_done(&mut self, round: u32, step: u32) {
+    pub fn record_done(&mut self, round: u32, step: u32) {
         if let Some(index) = self.open_index(round, step)
             && let Some(open) = self.open.get_mut(index)
         {
--- a/crates/hoisthitch-jobs/src/lives.rs
+++ b/crates/hoisthitch-jobs/src/lives.rs
@@ -46,7 +46,7 @@
         until: Millis,
         now: Millis,
     ) -> Option<RestartedRunner> {
-        self.note_loss(key, RunnerLoss::Crashed, now);
+        self.record_loss(key, RunnerLoss::Crashed, now);
         let runner = self.runners.get(key)?;
         let facts = RunnerFacts {
             started_at: Some(started_at),
@@ -56,7 +56,7 @@
         let until = until.max(runner.lease_until);
         let tasks = runner.tasks.iter().copied();
         let (doubtful, ended): (Vec<TaskRef>, Vec<TaskRef>) =
-            tasks.partition(|task| self.is_doubtful(*task, runner));
+            tasks.partition(|task| self.may_run_on_next(*task, runner));
         for task in &ended {
             self.move_off_runner(*task, TaskState::Waiting, now);
         }
@@ -83,7 +83,7 @@
         next.renewed = true;
         let key = self.runners.insert(next);
         self.runner_names.insert(name, key);
-        self.give_up(now);
+        self.fail_crashing_tasks(now);
         Some(RestartedRunner {
             key,
             ended: ended.len(),
@@ -97,7 +97,7 @@
     /// A start without an answer may still be carried out by the next process there. Its task
     /// stays where it is until that process has responded, or until the lease has ended.
     pub fn record_process_exit(&mut self, key: RunnerKey, now: Millis) -> usize {
-        self.note_loss(key, RunnerLoss::Crashed, now);
+        self.record_loss(key, RunnerLoss::Crashed, now);
         let Some(runner) = self.runners.get(key) else {
             return 0;
         };
@@ -105,7 +105,7 @@
             let entry = self.task(**task);
             entry.is_some_and(|entry| {
                 let told = matches!(entry.state, TaskState::Running(_) | TaskState::Planned(_));
-                told && !entry.unanswered
+                told && !entry.any_start_unanswered
             })
         };
         let ended: Vec<TaskRef> = runner.tasks.iter().filter(is_over).copied().collect();
@@ -113,20 +113,22 @@
             self.move_off_runner(*task, TaskState::Waiting, now);
         }
         self.stops.retain(|stop| stop.runner != key);
-        self.give_up(now);
+        self.fail_crashing_tasks(now);
         ended.len()
     }
 
     /// Whether a later instance of the runner may run the task, or may still get the order to
     /// run it.
-    fn is_doubtful(&self, task: TaskRef, runner: &RunnerEntry) -> bool {
+    fn may_run_on_next(&self, task: TaskRef, runner: &RunnerEntry) -> bool {
         let Some(entry) = self.task(task) else {
             return false;
         };
-        let heard = runner.heard_at.is_some_and(|at| entry.ordered_at < at);
+        let heard = runner
+            .last_heartbeat_at
+            .is_some_and(|at| entry.ordered_at < at);
         match entry.state {
             TaskState::Ordered(_) => true,
-            TaskState::Running(_) | TaskState::Stopping(_) => entry.unanswered || !heard,
+            TaskState::Running(_) | TaskState::Stopping(_) => entry.any_start_unanswered || !heard,
             TaskState::Waiting
             | TaskState::Planned(_)
             | TaskState::Unconfirmed { .. }
--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -177,14 +177,14 @@
 impl PoolState {
     /// Records that a runner was lost with all that it ran; must be called before its tasks
     /// are moved off it.
-    pub(crate) fn note_loss(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
+    pub(crate) fn record_loss(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
         let Some(runner) = self.runners.get(key) else {
             return;
         };
         let moment = LossMoment {
             at: runner.silent_since.unwrap_or(now),
             reset: runner.silent_since.is_some() && runner.was_reset,
-            known: runner.heard_at.is_some(),
+            known: runner.last_heartbeat_at.is_some(),
         };
         let loss = match loss {
             _ if runner.facts.draining || runner.evacuating => RunnerLoss::Planned,
@@ -192,21 +192,21 @@
             RunnerLoss::Silent if moment.reset => RunnerLoss::Crashed,
             loss => loss,
         };
-        let heard_at = runner.heard_at.filter(|_| !moment.reset);
+        let last_heartbeat_at = runner.last_heartbeat_at.filter(|_| !moment.reset);
         let lost = LostRunner {
             instance: runner.facts.instance(),
             loss,
             moment,
-            ended_at: heard_at.map_or(moment.at, |at| at.midpoint(moment.at)),
+            ended_at: last_heartbeat_at.map_or(moment.at, |at| at.midpoint(moment.at)),
             tasks: self.tasks_lost(runner, moment),
         };
-        let was_recorded = runner.loss_noted;
+        let was_recorded = runner.loss_recorded;
         self.record_lost_runs(&lost, Some(key));
         if !was_recorded {
             self.store_loss(&lost);
         }
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.loss_noted = true;
+            runner.loss_recorded = true;
         }
     }
 
@@ -239,7 +239,7 @@
     }
 
     /// Records the loss of a runner that is not listed.
-    pub(crate) fn note_unknown_loss(&mut self, name: &str, loss: RunnerLoss, now: Millis) {
+    pub(crate) fn record_unknown_loss(&mut self, name: &str, loss: RunnerLoss, now: Millis) {
         let tasks = self.unconfirmed_tasks_on(name);
         let lost = LostRunner::unknown(name.to_owned(), loss, tasks, now);
         self.record_lost_runs(&lost, None);
@@ -247,7 +247,7 @@
 
     /// Records a runner's first response: runs that an earlier owner ordered on a previous
     /// instance of it were lost with that instance.
-    pub(crate) fn note_earlier_life(&mut self, key: RunnerKey, now: Millis) {
+    pub(crate) fn record_earlier_instance_loss(&mut self, key: RunnerKey, now: Millis) {
         let Some(instance) = self.instance_of(key) else {
             return;
         };
@@ -268,7 +268,7 @@
 
     /// Records that the runs have ended by now which earlier owners ordered on runners that
     /// have not responded since.
-    pub(crate) fn note_expired(&mut self, now: Millis) {
+    pub(crate) fn record_expired(&mut self, now: Millis) {
         if !self.has_unconfirmed() {
             return;
         }
@@ -282,7 +282,7 @@
             });
         let names: BTreeSet<String> = expired.collect();
         for name in names {
-            self.note_unknown_loss(&name, RunnerLoss::Silent, now);
+            self.record_unknown_loss(&name, RunnerLoss::Silent, now);
         }
     }
 
@@ -317,14 +317,14 @@
         key: Option<RunnerKey>,
     ) {
         let others = lost.tasks.iter().filter(|other| **other != task);
-        let alone = others.clone().all(|other| self.are_together(task, *other));
+        let alone = others.clone().all(|other| self.share_gang(task, *other));
         let Some(entry) = self.task(task) else {
             return;
         };
-        if entry.suspicion.is_noted(entry.placed_run()) {
+        if entry.suspicion.is_noted(entry.current_run()) {
             return;
         }
-        let (run, ran) = (entry.placed_run(), entry.running_time_at(lost.ended_at));
+        let (run, ran) = (entry.current_run(), entry.running_time_at(lost.ended_at));
         let evidence = LossEvidence {
             run,
             loss: lost.loss,
@@ -339,7 +339,7 @@
             rate: self.loss_rate(task, ran, lost.moment.at, key),
         };
         let other_runs = others.count();
-        self.suspect(task, evidence);
+        self.add_evidence(task, evidence);
 
         self.report_lost_run(task, lost, evidence, other_runs);
     }
@@ -396,9 +396,11 @@
         let others = self
             .runners
             .iter()
-            .filter(move |(other, runner)| Some(*other) != key && !runner.loss_noted);
+            .filter(move |(other, runner)| Some(*other) != key && !runner.loss_recorded);
         others.filter_map(|(_, runner)| {
-            let at = runner.silent_since.filter(|_| runner.heard_at.is_some())?;
+            let at = runner
+                .silent_since
+                .filter(|_| runner.last_heartbeat_at.is_some())?;
             let moment = LossMoment {
                 at,
                 reset: runner.was_reset,
@@ -430,7 +432,7 @@
             is_recent && !alike && !own && !self.has_likely_cause(loss)
         });
         let others = recent.count() + self.silent_others(key).count();
-        let heard = at.saturating_sub(self.heard_since.unwrap_or(at));
+        let heard = at.saturating_sub(self.responding_since.unwrap_or(at));
         let heard = seconds(heard.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
         let runners = self.runners.len().max(1) as f64;
         (others as f64 + UNSEEN_LOSSES) / (runners * heard)
@@ -499,7 +501,7 @@
             // It is not known whether and when the run began; an order without an answer may
             // still have been carried out.
             TaskState::Ordered(_) => {
-                let age = time.saturating_sub(self.moved_at);
+                let age = time.saturating_sub(self.changed_at);
                 Some(age).filter(|age| *age <= UNANSWERED_START_MS)
             }
             TaskState::Unconfirmed { .. } => None,
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -52,10 +52,10 @@
         let Some(runner) = self.runners.get_mut(key) else {
             return Vec::new();
         };
-        self.heard_since.get_or_insert(now);
+        self.responding_since.get_or_insert(now);
         runner.silent_since = None;
-        runner.loss_noted = false;
-        runner.heard_at = runner.heard_at.max(Some(asked_at));
+        runner.loss_recorded = false;
+        runner.last_heartbeat_at = runner.last_heartbeat_at.max(Some(asked_at));
         let seen = runner.last_seen_end;
         let mut present = HashSet::new();
         for row in &report.running {
@@ -141,30 +141,30 @@
             TaskState::Unconfirmed { runner, .. } => runner == name,
             TaskState::Waiting | TaskState::Planned(_) | TaskState::Done => false,
         };
-        if !expected || entry.placed_run() != row.run {
+        if !expected || entry.current_run() != row.run {
             if job_ended || !self.yields_to_earlier_run(task, key, row.run, now) {
                 self.stop_unexpected_run(key, &row.name, row.run);
             }
-            return self.task(task)?.stray_run.map(|_| task);
+            return self.task(task)?.earlier_run.map(|_| task);
         }
         let found = matches!(entry.state, TaskState::Unconfirmed { .. });
         let moved = row.percent != entry.percent;
         let starts = matches!(entry.state, TaskState::Ordered(_));
         let entry = self.task_mut(task)?;
         entry.load = row.load;
-        entry.shown = true;
-        entry.unclear = false;
+        entry.reported = true;
+        entry.outcome_unknown = false;
         entry.checkpoint.clone_from(&row.checkpoint);
-        let moved_at = if moved { now } else { entry.moved_at };
+        let changed_at = if moved { now } else { entry.changed_at };
         entry.percent = row.percent;
         if found || starts {
             self.set_task_state(task, TaskState::Running(key), now);
             self.begin_job(task.job);
         }
         let entry = self.task_mut(task)?;
-        entry.moved_at = entry.moved_at.max(moved_at);
+        entry.changed_at = entry.changed_at.max(changed_at);
         if row.percent >= 100 && entry.is_running() {
-            entry.away_since = None;
+            entry.unavailable_since = None;
         }
         if job_ended {
             self.stop_task(task, now);
@@ -214,7 +214,7 @@
     fn wait_for_earlier_run(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) {
         self.set_task_state(task, TaskState::Stopping(key), now);
         if let Some(entry) = self.task_mut(task) {
-            entry.stray_run = Some(run);
+            entry.earlier_run = Some(run);
         }
         self.mark_dirty(task.job);
         self.order_stop(task, key, now);
@@ -237,7 +237,7 @@
             TaskState::Unconfirmed { runner, .. } => runner == name,
             _ => entry.runner() == Some(key),
         };
-        let current = here && entry.placed_run() == row.run;
+        let current = here && entry.current_run() == row.run;
         match row.kind {
             EndKind::Done => {
                 self.record_runner_done(key);
@@ -273,11 +273,11 @@
     /// Stops the current run of a task after another run of it was done. The current run may
     /// not have begun yet: a runner that was ordered to stop a run does not begin it.
     fn stop_other_run(&mut self, task: TaskRef, done: u32) {
-        let entry = self.task(task).filter(|entry| entry.placed_run() != done);
+        let entry = self.task(task).filter(|entry| entry.current_run() != done);
         let Some(entry) = entry else {
             return;
         };
-        let run = entry.placed_run();
+        let run = entry.current_run();
         let ordered = !matches!(entry.state, TaskState::Planned(_));
         let runner = entry.runner().filter(|_| ordered);
         if let Some((runner, name)) = runner.zip(self.name_of(task)) {
@@ -295,13 +295,13 @@
 
     fn record_runner_done(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.note_done();
+            runner.record_success();
         }
     }
 
     fn record_runner_failed(&mut self, key: RunnerKey, now: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.note_failed(now);
+            runner.record_failure(now);
         }
     }
 
@@ -313,7 +313,7 @@
         if let Some(time) = ran.map(|entry| now.saturating_sub(entry.began_at))
             && let Some(queue) = self.jobs.get(task.job).map(|job| job.queue.clone())
         {
-            self.learn_time(&queue, time);
+            self.learn_task_time(&queue, time);
         }
         self.set_task_state(task, TaskState::Done, now);
         self.begin_job(task.job);
@@ -323,12 +323,12 @@
         job.dirty = true;
         if let Some(entry) = job.tasks.get(task.slot) {
             let (round, step) = (entry.round, entry.step);
-            job.note_done(round, step);
+            job.record_done(round, step);
         }
         if job.is_done() && !job.phase.is_final() {
             job.phase = JobPhase::Completed;
             job.ended_at = Some(now);
-            self.note_ended(task.job, now);
+            self.record_job_end(task.job, now);
         }
         self.plan_needed = true;
     }
@@ -365,9 +365,9 @@
         else {
             return;
         };
-        self.note_earlier_life(key, now);
+        self.record_earlier_instance_loss(key, now);
         self.release_unconfirmed(|runner, _| runner == name, now);
-        self.give_up(now);
+        self.fail_crashing_tasks(now);
     }
 
     /// Handles tasks that should be on the runner but are missing from its report. Starts
@@ -393,9 +393,9 @@
             let Some(entry) = self.task_mut(task) else {
                 continue;
             };
-            entry.shown = false;
+            entry.reported = false;
             match entry.state {
-                TaskState::Ordered(_) if entry.unclear && entry.ordered_at < asked_at => {
+                TaskState::Ordered(_) if entry.outcome_unknown && entry.ordered_at < asked_at => {
                     resent.extend(self.resend_start(task, key, now));
                 }
                 TaskState::Running(_) if entry.ordered_at < asked_at => {
@@ -420,9 +420,9 @@
         match self.admit_start(task, key, now) {
             StartAdmission::Send => {
                 if let Some(entry) = self.task_mut(task) {
-                    entry.unclear = false;
+                    entry.outcome_unknown = false;
                 }
-                self.copy_start(task, key)
+                self.next_start_order(task, key)
             }
             StartAdmission::Wait => None,
             StartAdmission::Withdraw => {
@@ -438,7 +438,7 @@
         let task = self.find_task(&order.name.to_string());
         if let Some(entry) = task.and_then(|task| self.task_mut(task))
             && entry.state == TaskState::Stopping(order.runner)
-            && entry.placed_run() == order.run
+            && entry.current_run() == order.run
         {
             entry.stopped_at = entry.stopped_at.or(Some(now));
         }
@@ -455,11 +455,11 @@
         }
         entry.ordered_at = now;
         let ordered = entry.state == TaskState::Ordered(order.runner);
-        let unanswered = entry.unanswered;
+        let any_start_unanswered = entry.any_start_unanswered;
         match outcome {
             StartOutcome::Started if ordered => {
                 if let Some(runner) = self.runners.get_mut(order.runner) {
-                    runner.note_accepted();
+                    runner.record_acceptance();
                 }
                 self.set_task_state(task, TaskState::Running(order.runner), now);
                 self.begin_job(task.job);
@@ -467,13 +467,15 @@
             // This outcome adds nothing: an earlier copy shows in the next heartbeat, and a
             // missing run is sent again. Stopping the run would end a long-running task that
             // has become available meanwhile.
-            StartOutcome::NotSent if ordered && unanswered => entry.unclear = true,
+            StartOutcome::NotSent if ordered && any_start_unanswered => {
+                entry.outcome_unknown = true
+            }
             // An earlier copy may still be carried out, until a stop is acknowledged.
             StartOutcome::NoRoom
             | StartOutcome::Refused
             | StartOutcome::Late
             | StartOutcome::NoTicket
-                if ordered && unanswered =>
+                if ordered && any_start_unanswered =>
             {
                 self.stop_task(task, now);
                 self.break_gang(task, now);
@@ -495,9 +497,9 @@
                 self.drop_advice(task);
             }
             StartOutcome::Unclear | StartOutcome::Old if ordered => {
-                entry.unclear = true;
-                entry.unanswered = true;
-                self.shun(order.runner, now, UNANSWERED_BACKOFF_MS);
+                entry.outcome_unknown = true;
+                entry.any_start_unanswered = true;
+                self.back_off(order.runner, now, UNANSWERED_BACKOFF_MS);
             }
             _ => {}
         }
@@ -510,14 +512,14 @@
         // A lack of resources ends with the next end of a run, and a late order is due to the
         // owner's slowness: neither is a fault of the runner.
         if outcome == StartOutcome::Refused {
-            runner.note_refused(now);
+            runner.record_refusal(now);
         }
-        runner.shun(now, REFUSED_BACKOFF_MS);
+        runner.back_off(now, REFUSED_BACKOFF_MS);
     }
 
-    fn shun(&mut self, key: RunnerKey, now: Millis, time: Millis) {
+    fn back_off(&mut self, key: RunnerKey, now: Millis, time: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.shun(now, time);
+            runner.back_off(now, time);
         }
     }
 }
--- a/crates/hoisthitch-jobs/src/pace.rs
+++ b/crates/hoisthitch-jobs/src/pace.rs
@@ -75,7 +75,7 @@
                 continue;
             };
             let percent = next_pace(entry.pace, latency);
-            let uncertain = now < entry.pace_doubt_until && percent != UNKNOWN_PACE;
+            let uncertain = now < entry.pace_unconfirmed_until && percent != UNKNOWN_PACE;
             if percent != entry.pace || uncertain {
                 orders.extend(self.set_pace(key, task, percent));
             }
@@ -119,7 +119,7 @@
             && entry.run == order.run
         {
             entry.pace = UNKNOWN_PACE;
-            entry.pace_doubt_until = now + LATE_ORDER_MS;
+            entry.pace_unconfirmed_until = now + LATE_ORDER_MS;
         }
     }
 }
--- a/crates/hoisthitch-jobs/src/place.rs
+++ b/crates/hoisthitch-jobs/src/place.rs
@@ -41,11 +41,11 @@
         let job = self.jobs.get(task.job)?;
         let step = job.step_of(task.slot)?;
         let failed_on = job.tasks.get(task.slot)?.failed_on;
-        if self.is_on_trial(task, now) && !self.may_try(task) {
+        if self.must_isolate(task, now) && !self.may_isolate(task) {
             return None;
         }
         let best = |avoid: Option<RunnerKey>| {
-            self.fitting(task, step, now)
+            self.fitting_runners(task, step, now)
                 .filter(|(_, runner)| rack.is_none_or(|rack| runner.facts.rack == rack))
                 .filter(|(key, _)| Some(*key) != avoid)
                 .map(|(key, runner)| (self.cost(task, runner, step, now), key))
@@ -56,30 +56,30 @@
     }
 
     /// Number of runners that could take the task now.
-    pub(crate) fn rooms(&self, task: TaskRef, now: Millis) -> usize {
+    pub(crate) fn count_fitting_runners(&self, task: TaskRef, now: Millis) -> usize {
         let step = self
             .jobs
             .get(task.job)
             .and_then(|job| job.step_of(task.slot));
-        step.map_or(0, |step| self.fitting(task, step, now).count())
+        step.map_or(0, |step| self.fitting_runners(task, step, now).count())
     }
 
-    fn fitting<'a>(
+    fn fitting_runners<'a>(
         &'a self,
         task: TaskRef,
         step: &'a StepSpec,
         now: Millis,
     ) -> impl Iterator<Item = (RunnerKey, &'a RunnerEntry)> {
-        let trial = self.is_on_trial(task, now);
+        let isolate = self.must_isolate(task, now);
         self.runners
             .iter()
             .filter(move |(_, runner)| runner.takes_tasks(now) && runner.fits(step))
-            .filter(move |(_, runner)| self.is_apart(task, trial, runner, now))
-            .filter(|(_, runner)| !runner.is_on_trial() || runner.tasks.is_empty())
+            .filter(move |(_, runner)| self.allows_isolation(task, isolate, runner, now))
+            .filter(|(_, runner)| !runner.is_on_probation() || runner.tasks.is_empty())
             .filter(move |(_, runner)| has_label(runner, step))
             .filter(move |(_, runner)| self.is_advised(task, runner, now))
             .filter(move |(_, runner)| {
-                step.max_per_runner == 0 || self.alike(task, runner) < step.max_per_runner
+                step.max_per_runner == 0 || self.count_same_step(task, runner) < step.max_per_runner
             })
     }
 
@@ -89,22 +89,22 @@
         let Some(step) = job.and_then(|job| job.step_of(task.slot)) else {
             return false;
         };
-        runner.could_hold(step) && has_label(runner, step) && self.is_advised(task, runner, now)
+        runner.could_fit(step) && has_label(runner, step) && self.is_advised(task, runner, now)
     }
 
     /// Number of tasks of the same step on the runner.
-    fn alike(&self, task: TaskRef, runner: &RunnerEntry) -> u32 {
+    fn count_same_step(&self, task: TaskRef, runner: &RunnerEntry) -> u32 {
         let Some(entry) = self.task(task) else {
             return 0;
         };
-        let alike = runner
+        let count = runner
             .tasks
             .iter()
             .filter(|other| other.job == task.job)
             .filter_map(|other| self.task(*other))
             .filter(|other| other.step == entry.step && other.round == entry.round)
             .count();
-        u32::try_from(alike).unwrap_or(u32::MAX)
+        u32::try_from(count).unwrap_or(u32::MAX)
     }
 
     fn cost(&self, task: TaskRef, runner: &RunnerEntry, step: &StepSpec, now: Millis) -> f64 {
@@ -121,10 +121,10 @@
         if on_other_rack {
             cost += OTHER_RACK_COST;
         }
-        if step.long_running && self.alike(task, runner) >= step.most_together() {
+        if step.long_running && self.count_same_step(task, runner) >= step.max_together() {
             cost += CROWDED_COST;
         }
-        if !runner.holds_lasting() {
+        if !runner.has_long_running() {
             cost += NO_LONG_RUNNING_COST;
         }
         cost + INTERFERENCE_COST * f64::from(self.count_interfering(runner, step))
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -47,7 +47,7 @@
 /// load some record is always behind; without batches no end would count as recorded, and
 /// runners would report the same ends again and again.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FlushRound {
+pub(crate) struct FlushBatch {
     /// Jobs whose record is still to be written.
     left: HashSet<JobKey>,
     /// Number of the last end that was processed, by runner.
@@ -110,14 +110,14 @@
         self.plan_needed = false;
         let mut planned = 0;
         let mut full = FullResources::default();
-        let uses = self.uses_for_plan();
+        let uses = self.usage_for_plan();
         let mut budget = self.quota_budget(&uses);
         let order = self.plan_order(&uses, now);
         self.tasks_over_quota.clear();
         for key in order {
             planned += self.plan_job(key, &mut full, &mut budget, now);
         }
-        self.was_full = !full.needs.is_empty();
+        self.lacked_capacity = !full.needs.is_empty();
         planned
     }
 
@@ -155,10 +155,10 @@
             }
             let need = self.need_of(task);
             if !budget.allows(team, need) {
-                self.hold_back(key);
+                self.count_over_quota(key);
                 continue;
             }
-            if self.is_on_trial(task, now) {
+            if self.must_isolate(task, now) {
                 if self.plan_isolated(task, now) {
                     budget.take(team, need);
                     planned += 1;
@@ -261,35 +261,35 @@
             .filter(|key| self.is_dirty(**key))
             .copied()
             .collect();
-        let mut round = self.begin_batch(&dirty);
+        let mut batch = self.begin_batch(&dirty);
         let (first, later): (Vec<JobKey>, Vec<JobKey>) =
-            dirty.into_iter().partition(|key| round.left.contains(key));
+            dirty.into_iter().partition(|key| batch.left.contains(key));
         let mut plan = FlushPlan::default();
         for key in first.into_iter().chain(later).take(limit) {
             self.add_record(&mut plan, key);
-            round.left.remove(&key);
+            batch.left.remove(&key);
         }
         // An end counts as recorded once every record that it changed is written.
-        if round.left.is_empty() {
-            plan.acked_ends = round.acked_ends;
+        if batch.left.is_empty() {
+            plan.acked_ends = batch.acked_ends;
         } else {
-            self.flush_round = Some(round);
+            self.flush_batch = Some(batch);
         }
         plan
     }
 
     /// The records of the batch under way that are still behind, or a new batch of all that
     /// are.
-    fn begin_batch(&mut self, dirty: &[JobKey]) -> FlushRound {
+    fn begin_batch(&mut self, dirty: &[JobKey]) -> FlushBatch {
         let jobs = &self.jobs;
-        if let Some(mut round) = self.flush_round.take() {
-            round
+        if let Some(mut batch) = self.flush_batch.take() {
+            batch
                 .left
                 .retain(|key| jobs.get(*key).is_some_and(|job| job.dirty));
-            return round;
+            return batch;
         }
         let runners = self.runners.iter();
-        FlushRound {
+        FlushBatch {
             left: dirty.iter().copied().collect(),
             acked_ends: runners
                 .map(|(key, runner)| (key, runner.last_seen_end))
@@ -347,7 +347,7 @@
                 continue;
             }
             self.set_task_state(*task, TaskState::Ordered(runner), now);
-            orders.extend(self.copy_start(*task, runner));
+            orders.extend(self.next_start_order(*task, runner));
         }
         self.drop_settled();
         orders
@@ -363,7 +363,11 @@
     }
 
     /// The next copy of the start order for a task's last run.
-    pub(crate) fn copy_start(&mut self, task: TaskRef, runner: RunnerKey) -> Option<StartOrder> {
+    pub(crate) fn next_start_order(
+        &mut self,
+        task: TaskRef,
+        runner: RunnerKey,
+    ) -> Option<StartOrder> {
         let ticket = self.ticket(task, runner).unwrap_or_default();
         let entry = self.task_mut(task)?;
         entry.copies += 1;
--- a/crates/hoisthitch-jobs/src/pool.rs
+++ b/crates/hoisthitch-jobs/src/pool.rs
@@ -27,7 +27,7 @@
         RunnerLoss, //
     },
     pace::UNKNOWN_PACE,
-    plan::FlushRound,
+    plan::FlushBatch,
     record::{
         JobPhase,
         JobProgress,
@@ -94,27 +94,27 @@
     /// Runners that were lost lately.
     pub(crate) recent_losses: Vec<RecentLoss>,
     /// Since when runners have responded to this owner; none before the first response.
-    pub(crate) heard_since: Option<Millis>,
+    pub(crate) responding_since: Option<Millis>,
     /// Tasks that losses of runners count against.
     pub(crate) suspects: HashSet<TaskRef>,
     /// Steps of which several runners were lost right after they had begun a task of it.
-    pub(crate) doubtful_steps: HashSet<RoundStep>,
+    pub(crate) suspect_steps: HashSet<RoundStep>,
     /// Tasks whose jobs are to be failed, because they crash their runners.
-    pub(crate) condemned: Vec<TaskRef>,
+    pub(crate) tasks_to_fail: Vec<TaskRef>,
     /// Tasks that were failed as the cause of crashes since they were last read.
-    pub(crate) given_up: Vec<CrashingTask>,
+    pub(crate) crashing_tasks: Vec<CrashingTask>,
     /// Work that arrived lately.
     pub(crate) arrivals: ArrivalLog,
     /// Quota allocations of this pool, by team; a team without one is not limited.
     pub(crate) allowances: HashMap<String, ResourceAmounts>,
     /// Whether some task found no runner when starts were last planned.
-    pub(crate) was_full: bool,
+    pub(crate) lacked_capacity: bool,
     /// Weights of teams, by name.
     pub(crate) weights: HashMap<String, f64>,
     /// Number of tasks that a quota kept from starting when starts were last planned, by team.
     pub(crate) tasks_over_quota: HashMap<String, u32>,
     /// Batch of records that is being written, where one write does not take them all.
-    pub(crate) flush_round: Option<FlushRound>,
+    pub(crate) flush_batch: Option<FlushBatch>,
 }
 
 impl PoolState {
@@ -154,9 +154,9 @@
         }
         if !settled {
             // Jobs that a new owner finds arrived before it took over.
-            self.note_arrival(&job, accepted_at.min(now), now);
+            self.record_arrival(&job, accepted_at.min(now), now);
         }
-        job.keep_account(now);
+        job.update_account(now);
         self.unconfirmed += count_unconfirmed(&job);
         let suspects: Vec<usize> = suspects_of(&job).collect();
         let key = self.jobs.insert(job);
@@ -199,8 +199,8 @@
                 }
                 TaskPhase::Done => {
                     task.state = TaskState::Done;
-                    task.away_since = None;
-                    job.note_done(round, step);
+                    task.unavailable_since = None;
+                    job.record_done(round, step);
                 }
             }
         }
@@ -245,7 +245,7 @@
 
     /// Records that everything on a runner has ended because it was lost.
     pub fn release_runner(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
-        self.note_loss(key, loss, now);
+        self.record_loss(key, loss, now);
         let Some(runner) = self.runners.get_mut(key) else {
             return;
         };
@@ -260,22 +260,22 @@
         if let Some(name) = name {
             self.release_unconfirmed(|runner, _| runner == name, now);
         }
-        self.give_up(now);
+        self.fail_crashing_tasks(now);
     }
 
     /// Records that an instance of a runner that is not listed has ended.
     pub fn record_unlisted_loss(&mut self, name: &str, now: Millis) {
-        self.note_unknown_loss(name, RunnerLoss::Crashed, now);
+        self.record_unknown_loss(name, RunnerLoss::Crashed, now);
         self.release_unconfirmed(|runner, _| runner == name, now);
-        self.give_up(now);
+        self.fail_crashing_tasks(now);
     }
 
     /// Returns tasks to waiting whose runs have ended for certain by now, because the leases
     /// of their runners ended; returns those runners.
     pub fn expire_leases(&mut self, now: Millis) -> Vec<RunnerKey> {
-        self.note_expired(now);
+        self.record_expired(now);
         self.release_unconfirmed(|_, until| until <= now, now);
-        self.give_up(now);
+        self.fail_crashing_tasks(now);
         let lapsed: Vec<RunnerKey> = self
             .runners
             .iter()
@@ -344,14 +344,14 @@
 
     /// Changes the state of a task, and the resources that are reserved for it.
     pub(crate) fn set_task_state(&mut self, task: TaskRef, state: TaskState, now: Millis) {
-        let suspect = self.is_suspect(task);
+        let suspect = self.needs_isolation(task);
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
         };
         let Some(step) = job.step_of(task.slot).cloned() else {
             return;
         };
-        job.keep_account(now);
+        job.update_account(now);
         let Some(entry) = job.tasks.get_mut(task.slot) else {
             return;
         };
@@ -364,23 +364,23 @@
             entry.began_at = now;
         }
         entry.state = state;
-        entry.moved_at = now;
+        entry.changed_at = now;
         entry.stopped_at = None;
-        entry.stray_run = None;
+        entry.earlier_run = None;
         let after = entry.runner();
 
         if after.is_none() {
-            entry.shown = false;
-            entry.unclear = false;
-            entry.unanswered = false;
+            entry.reported = false;
+            entry.outcome_unknown = false;
+            entry.any_start_unanswered = false;
             entry.percent = 0;
             entry.pace = 100;
-            entry.pace_doubt_until = 0;
+            entry.pace_unconfirmed_until = 0;
         }
         match entry.state {
-            TaskState::Running(_) if entry.percent >= 100 => entry.away_since = None,
-            TaskState::Done => entry.away_since = None,
-            _ => entry.away_since = entry.away_since.or(Some(now)),
+            TaskState::Running(_) if entry.percent >= 100 => entry.unavailable_since = None,
+            TaskState::Done => entry.unavailable_since = None,
+            _ => entry.unavailable_since = entry.unavailable_since.or(Some(now)),
         }
         if before != after {
             if let Some(runner) = before.and_then(|key| self.runners.get_mut(key)) {
@@ -390,7 +390,7 @@
             if let Some(runner) = after.and_then(|key| self.runners.get_mut(key)) {
                 runner.add(task, &step);
                 if suspect {
-                    runner.trial.get_or_insert(task);
+                    runner.isolated_task.get_or_insert(task);
                     runner.reserved_until = 0;
                 }
             }
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -201,8 +201,8 @@
     }
 
     /// Uses of teams that a plan needs: none where no quota is set and the pool was not full.
-    pub(crate) fn uses_for_plan(&self) -> HashMap<&str, TeamUsage> {
-        if self.allowances.is_empty() && !self.was_full {
+    pub(crate) fn usage_for_plan(&self) -> HashMap<&str, TeamUsage> {
+        if self.allowances.is_empty() && !self.lacked_capacity {
             return HashMap::new();
         }
         self.team_usage()
@@ -220,7 +220,7 @@
     }
 
     /// Counts a task that a quota kept from starting.
-    pub(crate) fn hold_back(&mut self, key: JobKey) {
+    pub(crate) fn count_over_quota(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
--- a/crates/hoisthitch-jobs/src/rank.rs
+++ b/crates/hoisthitch-jobs/src/rank.rs
@@ -86,7 +86,7 @@
         let time = self.task_time(&job.queue);
         let left = job.spec.critical_path(|step| {
             let round = job.rounds_begun().saturating_sub(1);
-            if job.open_tasks(round, step) > 0 {
+            if job.remaining_tasks(round, step) > 0 {
                 time
             } else {
                 0
@@ -101,7 +101,7 @@
     }
 
     /// Whether a job that has not ended has passed its objective.
-    pub(crate) fn is_missed(&self, job: &JobEntry, now: Millis) -> bool {
+    pub(crate) fn has_missed_objective(&self, job: &JobEntry, now: Millis) -> bool {
         self.due_at(job) < now
     }
 }
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -154,14 +154,14 @@
     /// Since when it has not responded; none while it does.
     pub silent_since: Option<Millis>,
     /// When the last heartbeat that it answered was sent; none before the first.
-    pub heard_at: Option<Millis>,
+    pub last_heartbeat_at: Option<Millis>,
     /// Whether it follows an earlier instance under the same name. Orders meant for that one
     /// may have given this one leases that are based on a clock that is not its own.
     pub renewed: bool,
     /// Whether its responses contain its start time.
     pub reports_start_time: bool,
     /// When it was first seen.
-    pub known_since: Millis,
+    pub first_seen_at: Millis,
     /// Resources reserved by tasks.
     pub used: ResourceAmounts,
     /// Tasks that have resources reserved on it.
@@ -174,9 +174,9 @@
     /// Whether its connections were reset when it was last lost: its process has ended.
     pub(crate) was_reset: bool,
     /// Whether its loss was recorded, and it has not responded since.
-    pub(crate) loss_noted: bool,
+    pub(crate) loss_recorded: bool,
     /// A suspect that runs here in isolation; nothing else is placed on the runner.
-    pub(crate) trial: Option<TaskRef>,
+    pub(crate) isolated_task: Option<TaskRef>,
     /// Time until which it is reserved for the isolated run of a suspect.
     pub(crate) reserved_until: Millis,
     /// Failed runs in a row.
@@ -201,17 +201,17 @@
             relocating_until: 0,
             fenced: false,
             silent_since: Some(now),
-            heard_at: None,
+            last_heartbeat_at: None,
             renewed: false,
             reports_start_time: false,
-            known_since: now,
+            first_seen_at: now,
             used: ResourceAmounts::default(),
             tasks: HashSet::new(),
             lasting: 0,
             last_seen_end: 0,
             was_reset: false,
-            loss_noted: false,
-            trial: None,
+            loss_recorded: false,
+            isolated_task: None,
             reserved_until: 0,
             failures: 0,
             refusals: 0,
@@ -239,7 +239,7 @@
 
     /// Whether it failed so often in a row that it gets only one task at a time after its
     /// backoff.
-    pub fn is_on_trial(&self) -> bool {
+    pub fn is_on_probation(&self) -> bool {
         self.failures >= FAILURE_STREAK
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Whether a task of the step would fit if nothing else ran there.
-    pub fn could_hold(&self, step: &StepSpec) -> bool {
+    pub fn could_fit(&self, step: &StepSpec) -> bool {
         self.facts.capacity.covers(step.room())
     }
 
@@ -260,7 +260,7 @@
     }
 
     /// Whether it has long-running tasks.
-    pub fn holds_lasting(&self) -> bool {
+    pub fn has_long_running(&self) -> bool {
         self.lasting > 0
     }
 
@@ -275,20 +275,20 @@
     /// Releases a task's resources.
     pub fn remove(&mut self, task: TaskRef, step: &StepSpec) {
         if self.tasks.remove(&task) {
-            self.trial = self.trial.filter(|trial| *trial != task);
+            self.isolated_task = self.isolated_task.filter(|isolated| *isolated != task);
             self.lasting = self.lasting.saturating_sub(u32::from(step.long_running));
             self.used = self.used.minus(step.room());
         }
     }
 
     /// Records that a run on it is done.
-    pub fn note_done(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.backoff_until = 0;
     }
 
     /// Records a failed run; returns whether the runner is in backoff now.
-    pub fn note_failed(&mut self, now: Millis) -> bool {
+    pub fn record_failure(&mut self, now: Millis) -> bool {
         self.failures += 1;
         if self.failures >= FAILURE_STREAK {
             self.backoff_until = now + FAILURE_BACKOFF_MS;
@@ -297,24 +297,24 @@
     }
 
     /// Records that it accepted a start.
-    pub fn note_accepted(&mut self) {
+    pub fn record_acceptance(&mut self) {
         self.refusals = 0;
     }
 
     /// Records that it refused a start though it has free capacity.
-    pub fn note_refused(&mut self, now: Millis) {
+    pub fn record_refusal(&mut self, now: Millis) {
         if self.backoff_until > now {
             return;
         }
         if let Some(doublings) = self.refusals.checked_sub(1) {
             let doublings = doublings.min(REFUSAL_DOUBLINGS_MAX);
-            self.shun(now, REFUSAL_BACKOFF_MS << doublings);
+            self.back_off(now, REFUSAL_BACKOFF_MS << doublings);
         }
         self.refusals += 1;
     }
 
     /// Gives the runner no tasks for at least `time`.
-    pub fn shun(&mut self, now: Millis, time: Millis) {
+    pub fn back_off(&mut self, now: Millis, time: Millis) {
         self.backoff_until = self.backoff_until.max(now + time);
     }
 }
--- a/crates/hoisthitch-jobs/src/spec.rs
+++ b/crates/hoisthitch-jobs/src/spec.rs
@@ -202,7 +202,7 @@
 impl StepSpec {
     /// Most tasks of a long-running step that should be placed on one runner, so that its VM
     /// can go down without making more tasks unavailable than allowed.
-    pub fn most_together(&self) -> u32 {
+    pub fn max_together(&self) -> u32 {
         let max_unavailable = self.max_unavailable.max(1);
         if self.max_per_runner == 0 {
             max_unavailable
--- a/crates/hoisthitch-jobs/src/stall.rs
+++ b/crates/hoisthitch-jobs/src/stall.rs
@@ -39,7 +39,7 @@
                     let TaskState::Running(runner) = task.state else {
                         return None;
                     };
-                    let stands = task.moved_at + limit < now && !step.long_running && !step.gang;
+                    let stands = task.changed_at + limit < now && !step.long_running && !step.gang;
                     stands.then_some((TaskRef { job: key, slot }, runner))
                 })
             })
@@ -50,7 +50,7 @@
             let Some(runner) = self.runners.get_mut(key).filter(|runner| runner.ready) else {
                 continue;
             };
-            runner.shun(now, STALL_BACKOFF_MS);
+            runner.back_off(now, STALL_BACKOFF_MS);
             runners.push(key);
             self.stop_task(task, now);
         }
--- a/crates/hoisthitch-jobs/src/stops.rs
+++ b/crates/hoisthitch-jobs/src/stops.rs
@@ -41,7 +41,7 @@
         for slot in 0..job.tasks.len() {
             self.stop_task(TaskRef { job: key, slot }, now);
         }
-        self.note_ended(key, now);
+        self.record_job_end(key, now);
     }
 
     /// Stops a task in whatever state it is.
@@ -73,7 +73,7 @@
             return;
         };
         entry.ordered_at = now;
-        let run = entry.placed_run();
+        let run = entry.current_run();
         self.stops.push(StopOrder { runner, name, run });
     }
 
@@ -92,8 +92,8 @@
             .is_some_and(|runner| runner.facts.draining);
         let runs = self
             .task(task)
-            .is_some_and(|entry| entry.shown && entry.stray_run.is_none());
-        drains || !runs || !self.lasts(task) || self.may_end(&[task])
+            .is_some_and(|entry| entry.reported && entry.earlier_run.is_none());
+        drains || !runs || !self.lasts(task) || self.may_disrupt(&[task])
     }
 
     /// Sends stops again whose runs have not ended.
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -93,23 +93,23 @@
 
 impl PoolState {
     /// Records what the loss of a runner says against a task that was on it.
-    pub(crate) fn suspect(&mut self, task: TaskRef, evidence: LossEvidence) {
+    pub(crate) fn add_evidence(&mut self, task: TaskRef, evidence: LossEvidence) {
         let told = evidence.loss != RunnerLoss::Planned;
         let Some(entry) = self.task_mut(task).filter(|_| told) else {
             return;
         };
-        let mut condemned = entry.suspicion.add(evidence);
-        let needs_trial = entry.suspicion.needs_trial();
+        let mut must_fail = entry.suspicion.add(evidence);
+        let needs_isolation = entry.suspicion.needs_isolation();
         if entry.suspicion.is_suspect() {
             self.suspects.insert(task);
         }
-        condemned |= evidence.alone && self.step_weight(task) >= STEP_LIMIT;
-        let step = self.round_step(task).filter(|_| needs_trial);
+        must_fail |= evidence.alone && self.step_weight(task) >= STEP_LIMIT;
+        let step = self.round_step(task).filter(|_| needs_isolation);
         if let Some(step) = step.filter(|step| self.was_lost_elsewhere(*step)) {
-            self.doubtful_steps.insert(step);
+            self.suspect_steps.insert(step);
         }
-        if condemned {
-            self.condemned.push(task);
+        if must_fail {
+            self.tasks_to_fail.push(task);
         }
         self.mark_dirty(task.job);
     }
@@ -139,14 +139,14 @@
     }
 
     /// Fails the jobs of tasks that were found to crash their runners.
-    pub(crate) fn give_up(&mut self, now: Millis) {
-        for task in std::mem::take(&mut self.condemned) {
+    pub(crate) fn fail_crashing_tasks(&mut self, now: Millis) {
+        for task in std::mem::take(&mut self.tasks_to_fail) {
             let job = self.jobs.get(task.job);
             if job.is_none_or(|job| job.phase.is_final()) {
                 continue;
             }
             if let Some((name, entry)) = self.name_of(task).zip(self.task(task)) {
-                self.given_up.push(CrashingTask {
+                self.crashing_tasks.push(CrashingTask {
                     task: name,
                     run: entry.run,
                     suspicion: entry.suspicion,
@@ -158,7 +158,7 @@
 
     /// Returns the tasks that were failed as the cause of crashes since the last call.
     pub fn take_crashing_tasks(&mut self) -> Vec<CrashingTask> {
-        std::mem::take(&mut self.given_up)
+        std::mem::take(&mut self.crashing_tasks)
     }
 
     /// Clears suspects that have run for long enough, and plans those that wait.
@@ -182,11 +182,14 @@
 
     fn clear_running(&mut self, task: TaskRef, runner: RunnerKey, now: Millis) {
         // It is not known what the task did since the runner's last response.
-        let heard_at = self.runners.get(runner).and_then(|runner| runner.heard_at);
-        let Some((entry, heard_at)) = self.task_mut(task).zip(heard_at) else {
+        let last_heartbeat_at = self
+            .runners
+            .get(runner)
+            .and_then(|runner| runner.last_heartbeat_at);
+        let Some((entry, last_heartbeat_at)) = self.task_mut(task).zip(last_heartbeat_at) else {
             return;
         };
-        let ran = heard_at.min(now).saturating_sub(entry.began_at);
+        let ran = last_heartbeat_at.min(now).saturating_sub(entry.began_at);
         let cleared = ran >= entry.suspicion.clear_time();
         let alone = ran < entry.suspicion.alone_time();
         if cleared {
@@ -196,9 +199,9 @@
         }
         if (cleared || !alone)
             && let Some(runner) = self.runners.get_mut(runner)
-            && runner.trial == Some(task)
+            && runner.isolated_task == Some(task)
         {
-            runner.trial = None;
+            runner.isolated_task = None;
             self.plan_needed = true;
         }
     }
@@ -207,30 +210,30 @@
     fn drop_suspect(&mut self, task: TaskRef) {
         self.suspects.remove(&task);
         if let Some(step) = self.round_step(task) {
-            self.doubtful_steps.remove(&step);
+            self.suspect_steps.remove(&step);
         }
     }
 
     /// Whether several runners were lost right after they had begun a task of the step.
-    fn is_doubtful_step(&self, task: TaskRef) -> bool {
+    fn is_suspect_step(&self, task: TaskRef) -> bool {
         let step = || self.round_step(task);
-        !self.doubtful_steps.is_empty()
-            && step().is_some_and(|step| self.doubtful_steps.contains(&step))
+        !self.suspect_steps.is_empty()
+            && step().is_some_and(|step| self.suspect_steps.contains(&step))
     }
 
     /// Whether a task is to be run in isolation.
-    pub(crate) fn is_suspect(&self, task: TaskRef) -> bool {
+    pub(crate) fn needs_isolation(&self, task: TaskRef) -> bool {
         // This is called for each task that is placed, and there is hardly ever a suspect.
         if self.suspects.is_empty() {
             return false;
         }
         let entry = self.task(task);
-        entry.is_some_and(|entry| entry.suspicion.needs_trial()) || self.is_doubtful_step(task)
+        entry.is_some_and(|entry| entry.suspicion.needs_isolation()) || self.is_suspect_step(task)
     }
 
     /// Whether a task is placed on a runner of its own. One that has waited for too long is
     /// placed beside others.
-    pub(crate) fn is_on_trial(&self, task: TaskRef, now: Millis) -> bool {
+    pub(crate) fn must_isolate(&self, task: TaskRef, now: Millis) -> bool {
         let Some(entry) = self.task(task) else {
             return false;
         };
@@ -239,47 +242,53 @@
         } else {
             ISOLATION_WAIT_MS
         };
-        let waited = || entry.state == TaskState::Waiting && entry.moved_at + wait <= now;
+        let waited = || entry.state == TaskState::Waiting && entry.changed_at + wait <= now;
         // If other tasks of the step point to a cause, nothing is placed beside it.
-        self.is_suspect(task) && (self.step_weight(task) > 0 || !waited())
+        self.needs_isolation(task) && (self.step_weight(task) > 0 || !waited())
     }
 
     /// Whether another suspect may be isolated now.
-    pub(crate) fn may_try(&self, task: TaskRef) -> bool {
+    pub(crate) fn may_isolate(&self, task: TaskRef) -> bool {
         let step = |task: TaskRef| {
             let entry = self.task(task);
             entry.map(|entry| (task.job, entry.round, entry.step))
         };
-        let trials = || self.runners.values().filter_map(|runner| runner.trial);
-        let alike = trials().filter(|other| step(*other) == step(task)).count();
+        let isolated = || {
+            self.runners
+                .values()
+                .filter_map(|runner| runner.isolated_task)
+        };
+        let alike = isolated()
+            .filter(|other| step(*other) == step(task))
+            .count();
         // A gang starts with all its members or not at all.
         let step_is_free = alike < ISOLATED_PER_STEP || self.is_gang(task);
-        step_is_free && trials().count() < self.max_isolated(ISOLATED_DIVISOR)
+        step_is_free && isolated().count() < self.max_isolated(ISOLATED_DIVISOR)
     }
 
     fn max_isolated(&self, part: usize) -> usize {
         ISOLATED_MIN.max(self.runners.len() / part)
     }
 
-    /// Whether the isolation of suspects allows the task on the runner; `trial` is whether the
+    /// Whether the isolation of suspects allows the task on the runner; `isolate` is whether the
     /// task itself is to be isolated.
-    pub(crate) fn is_apart(
+    pub(crate) fn allows_isolation(
         &self,
         task: TaskRef,
-        trial: bool,
+        isolate: bool,
         runner: &RunnerEntry,
         now: Millis,
     ) -> bool {
-        if !trial {
-            return runner.trial.is_none() && runner.reserved_until <= now;
+        if !isolate {
+            return runner.isolated_task.is_none() && runner.reserved_until <= now;
         }
         let gang = self.is_gang(task);
         let mut others = runner.tasks.iter();
-        others.all(|other| gang && self.are_together(task, *other))
+        others.all(|other| gang && self.share_gang(task, *other))
     }
 
     /// Whether both tasks are members of one gang.
-    pub(crate) fn are_together(&self, task: TaskRef, other: TaskRef) -> bool {
+    pub(crate) fn share_gang(&self, task: TaskRef, other: TaskRef) -> bool {
         let entries = self.task(task).zip(self.task(other));
         self.is_gang(task)
             && task.job == other.job
@@ -294,10 +303,10 @@
             return 0.0;
         }
         let mut cost = 0.0;
-        if runner.holds_lasting() {
+        if runner.has_long_running() {
             cost += BESIDE_LONG_RUNNING_COST;
         }
-        if runner.known_since + YOUNG_RUNNER_MS > now {
+        if runner.first_seen_at + YOUNG_RUNNER_MS > now {
             cost += YOUNG_RUNNER_COST;
         }
         let run = self.task(task).map_or(0, |entry| entry.run);
@@ -310,14 +319,14 @@
         let taken = self
             .runners
             .values()
-            .filter(|runner| runner.trial.is_some() || runner.reserved_until > now);
-        if taken.count() >= self.max_isolated(RESERVED_DIVISOR) || !self.may_try(task) {
+            .filter(|runner| runner.isolated_task.is_some() || runner.reserved_until > now);
+        if taken.count() >= self.max_isolated(RESERVED_DIVISOR) || !self.may_isolate(task) {
             return;
         }
         let candidates = self.runners.iter().filter(|(_, runner)| {
             runner.takes_tasks(now)
-                && !runner.holds_lasting()
-                && runner.trial.is_none()
+                && !runner.has_long_running()
+                && runner.isolated_task.is_none()
                 && runner.reserved_until <= now
                 && self.could_run(task, runner, now)
         });
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -271,7 +271,7 @@
     }
 
     /// Whether the task is to be run in isolation.
-    pub(crate) fn needs_trial(&self) -> bool {
+    pub(crate) fn needs_isolation(&self) -> bool {
         self.recent >= ISOLATION_LOSSES || self.is_likely()
     }
 
--- a/crates/hoisthitch-jobs/src/task.rs
+++ b/crates/hoisthitch-jobs/src/task.rs
@@ -105,7 +105,7 @@
     pub run: u32,
     /// Number of an earlier run whose start was carried out late and which is being stopped;
     /// none where the runner has the last run.
-    pub stray_run: Option<u32>,
+    pub earlier_run: Option<u32>,
     /// Number of runs that failed.
     pub failed: u32,
     /// What the losses of runners that ran it say against it.
@@ -115,7 +115,7 @@
     /// Progress that the runner reported last, in percent.
     pub percent: u32,
     /// When the state or the progress last changed.
-    pub moved_at: Millis,
+    pub changed_at: Millis,
     /// When the last run was first reported as running.
     pub began_at: Millis,
     /// Tail latency in milliseconds for a serving task, else processor use in thousandths of a
@@ -124,7 +124,7 @@
     /// Share of full speed at which a best-effort task may run, in percent.
     pub pace: u32,
     /// Time until which an earlier order about that share may still be carried out.
-    pub pace_doubt_until: Millis,
+    pub pace_unconfirmed_until: Millis,
     /// When the last start or stop was sent.
     pub ordered_at: Millis,
     /// When the last run was decided on, that is, when its record was written.
@@ -134,16 +134,16 @@
     /// When the runner acknowledged a stop; none before.
     pub stopped_at: Option<Millis>,
     /// Whether the runner's last report contains the run.
-    pub shown: bool,
+    pub reported: bool,
     /// Whether the last copy of the start got no answer, so that it may have to be sent again.
-    pub unclear: bool,
+    pub outcome_unknown: bool,
     /// Whether any copy of the run's start got no answer: it may be carried out late, whatever
     /// became of later copies.
-    pub unanswered: bool,
+    pub any_start_unanswered: bool,
     /// Runner on which the last failed run was.
     pub failed_on: Option<RunnerKey>,
     /// Since when the task is unavailable; none while it is available.
-    pub away_since: Option<Millis>,
+    pub unavailable_since: Option<Millis>,
 }
 
 /// Order to start a task.
@@ -189,25 +189,25 @@
             index,
             state: TaskState::Waiting,
             run: 0,
-            stray_run: None,
+            earlier_run: None,
             failed: 0,
             suspicion: TaskSuspicion::default(),
             checkpoint: String::new(),
             percent: 0,
-            moved_at: now,
+            changed_at: now,
             began_at: now,
             load: 0,
             pace: 100,
-            pace_doubt_until: 0,
+            pace_unconfirmed_until: 0,
             ordered_at: 0,
             decided_at: 0,
             copies: 0,
             stopped_at: None,
-            shown: false,
-            unclear: false,
-            unanswered: false,
+            reported: false,
+            outcome_unknown: false,
+            any_start_unanswered: false,
             failed_on: None,
-            away_since: Some(now),
+            unavailable_since: Some(now),
         }
     }
 
@@ -223,8 +223,8 @@
     }
 
     /// Number of the run that its runner has.
-    pub(crate) fn placed_run(&self) -> u32 {
-        self.stray_run.unwrap_or(self.run)
+    pub(crate) fn current_run(&self) -> u32 {
+        self.earlier_run.unwrap_or(self.run)
     }
 
     /// Whether its runner reported that it runs.
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/upkeep.rs
@@ -78,7 +78,7 @@
         let lasting = runner.tasks.iter().filter(|task| self.lasts(**task));
         let lasting: Vec<TaskRef> = lasting.copied().collect();
         let together: Vec<TaskRef> = ending.iter().chain(&lasting).copied().collect();
-        if !lasting.is_empty() && !self.may_end(&together) {
+        if !lasting.is_empty() && !self.may_disrupt(&together) {
             return EvacuationStatus::Held;
         }
         if short > 0 {
@@ -117,7 +117,7 @@
     /// Whether these tasks may be ended together, given those that are unavailable already.
     /// Each of them counts, even if it was unavailable in its runner's last report, because it
     /// may have become available since.
-    pub(crate) fn may_end(&self, tasks: &[TaskRef]) -> bool {
+    pub(crate) fn may_disrupt(&self, tasks: &[TaskRef]) -> bool {
         let mut ending: HashMap<(JobKey, u32, u32), HashSet<usize>> = HashMap::new();
         for task in tasks {
             let Some(entry) = self.task(*task) else {
@@ -140,7 +140,7 @@
             };
             let tasks = job.tasks_of(round, step);
             let away = tasks
-                .filter(|(slot, task)| slots.contains(slot) || !self.is_at_work(task))
+                .filter(|(slot, task)| slots.contains(slot) || !self.is_available(task))
                 .count();
             job.phase.is_final()
                 || u32::try_from(away).is_ok_and(|away| away <= spec.max_unavailable)
@@ -148,12 +148,12 @@
     }
 
     /// Whether a long-running task is available, as far as its runner reported lately.
-    pub(crate) fn is_at_work(&self, task: &TaskEntry) -> bool {
+    pub(crate) fn is_available(&self, task: &TaskEntry) -> bool {
         let TaskState::Running(key) = task.state else {
             return false;
         };
         let heard = self.runners.get(key).is_some_and(|runner| runner.ready);
-        heard && task.away_since.is_none()
+        heard && task.unavailable_since.is_none()
     }
 
     /// Moves one long-running task off a runner that has more tasks of its step than may be
@@ -167,8 +167,10 @@
         }
         let tasks: Vec<TaskRef> = runner.tasks.iter().copied().collect();
         let crowded = tasks.iter().copied().find(|task| {
-            let at_work = self.task(*task).is_some_and(|entry| self.is_at_work(entry));
-            at_work && self.is_crowded(*task, &tasks) && self.may_end(&[*task])
+            let at_work = self
+                .task(*task)
+                .is_some_and(|entry| self.is_available(entry));
+            at_work && self.is_crowded(*task, &tasks) && self.may_disrupt(&[*task])
         });
         let Some(task) = crowded else {
             return false;
