--- a/crates/hoisthitch-jobs/src/account.rs
+++ b/crates/hoisthitch-jobs/src/account.rs
@@ -83,7 +83,7 @@
     }
 
     fn time_use(&self) -> TimeUse {
-        let mut held = TimeUse::Running;
+        let mut time_use = TimeUse::Running;
         for (slot, task) in self.tasks.iter().enumerate() {
             if self.waits_for_runner(slot) {
                 return TimeUse::Waiting;
@@ -92,10 +92,10 @@
                 task.state,
                 TaskState::Planned(_) | TaskState::Ordered(_) | TaskState::Unconfirmed { .. }
             ) {
-                held = TimeUse::Ordering;
+                time_use = TimeUse::Ordering;
             }
         }
-        held
+        time_use
     }
 
     /// The job's objective in milliseconds after acceptance, if each of its tasks takes
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -15,8 +15,8 @@
     },
     task::{
         TaskEntry,
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
--- a/crates/hoisthitch-jobs/src/drain.rs
+++ b/crates/hoisthitch-jobs/src/drain.rs
@@ -6,8 +6,8 @@
     pool::PoolState,
     task::{
         TaskEntry,
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -45,8 +45,8 @@
     fn count_moving(&self) -> usize {
         self.active_tasks()
             .filter(|(task, entry)| {
-                let moves = matches!(entry.state, TaskState::Stopping(_) | TaskState::Waiting);
-                moves && self.lasts(*task)
+                let is_moving = matches!(entry.state, TaskState::Stopping(_) | TaskState::Waiting);
+                is_moving && self.lasts(*task)
             })
             .count()
     }
@@ -63,8 +63,9 @@
         };
         let others = job.tasks_of(entry.round, entry.step);
         let others = others.filter(|(slot, _)| *slot != task.slot);
-        let away = others.filter(|(_, other)| !self.stays_available(other));
-        u32::try_from(away.count()).is_ok_and(|away| away < step.max_unavailable.max(1))
+        let unavailable = others.filter(|(_, other)| !self.stays_available(other));
+        u32::try_from(unavailable.count())
+            .is_ok_and(|unavailable| unavailable < step.max_unavailable.max(1))
     }
 
     /// Whether a task is available and its runner is not evacuating: maintenance or a move of
--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -13,8 +13,8 @@
     runner::RunnerKey,
     task::{
         TaskEntry,
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -79,11 +79,11 @@
     /// Free processors of runners that take tasks, less those that waiting and stopping tasks
     /// need, in thousandths of a core.
     fn free_cpu(&self, now: Millis) -> u64 {
-        let takers = self
+        let accepting = self
             .runners
             .values()
             .filter(|runner| runner.takes_tasks(now));
-        let free: u64 = takers
+        let free: u64 = accepting
             .map(|runner| {
                 runner
                     .facts
@@ -92,7 +92,7 @@
                     .saturating_sub(runner.used.cpu_milli)
             })
             .sum();
-        let due: u64 = self
+        let requested: u64 = self
             .active_tasks()
             .filter(|(_, entry)| matches!(entry.state, TaskState::Waiting | TaskState::Stopping(_)))
             .filter_map(|(task, _)| {
@@ -101,7 +101,7 @@
                 job.is_ready(task.slot).then_some(step.room().cpu_milli)
             })
             .sum();
-        free.saturating_sub(due)
+        free.saturating_sub(requested)
     }
 }
 
--- a/crates/hoisthitch-jobs/src/gang.rs
+++ b/crates/hoisthitch-jobs/src/gang.rs
@@ -9,8 +9,8 @@
     job::JobKey,
     pool::PoolState,
     task::{
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
--- a/crates/hoisthitch-jobs/src/lib.rs
+++ b/crates/hoisthitch-jobs/src/lib.rs
@@ -119,8 +119,8 @@
     StopOrder,
     TaskEntry,
     TaskName,
-    TaskRef, //
-    TaskState,
+    TaskRef,
+    TaskState, //
 };
 pub use upkeep::EvacuationStatus;
 pub use wave::{
--- a/crates/hoisthitch-jobs/src/lives.rs
+++ b/crates/hoisthitch-jobs/src/lives.rs
@@ -15,8 +15,8 @@
         RunnerKey, //
     },
     task::{
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -104,8 +104,8 @@
         let is_over = |task: &&TaskRef| {
             let entry = self.task(**task);
             entry.is_some_and(|entry| {
-                let told = matches!(entry.state, TaskState::Running(_) | TaskState::Planned(_));
-                told && !entry.any_start_unanswered
+                let known = matches!(entry.state, TaskState::Running(_) | TaskState::Planned(_));
+                known && !entry.any_start_unanswered
             })
         };
         let ended: Vec<TaskRef> = runner.tasks.iter().filter(is_over).copied().collect();
@@ -123,12 +123,14 @@
         let Some(entry) = self.task(task) else {
             return false;
         };
-        let heard = runner
+        let was_reported = runner
             .last_heartbeat_at
             .is_some_and(|at| entry.ordered_at < at);
         match entry.state {
             TaskState::Ordered(_) => true,
-            TaskState::Running(_) | TaskState::Stopping(_) => entry.any_start_unanswered || !heard,
+            TaskState::Running(_) | TaskState::Stopping(_) => {
+                entry.any_start_unanswered || !was_reported
+            }
             TaskState::Waiting
             | TaskState::Planned(_)
             | TaskState::Unconfirmed { .. }
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -26,8 +26,8 @@
         StopOrder,
         TaskEntry,
         TaskName,
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -147,17 +147,17 @@
             }
             return self.task(task)?.earlier_run.map(|_| task);
         }
-        let found = matches!(entry.state, TaskState::Unconfirmed { .. });
-        let moved = row.percent != entry.percent;
-        let starts = matches!(entry.state, TaskState::Ordered(_));
+        let was_unconfirmed = matches!(entry.state, TaskState::Unconfirmed { .. });
+        let has_progress = row.percent != entry.percent;
+        let was_ordered = matches!(entry.state, TaskState::Ordered(_));
         let entry = self.task_mut(task)?;
         entry.load = row.load;
         entry.reported = true;
         entry.outcome_unknown = false;
         entry.checkpoint.clone_from(&row.checkpoint);
-        let changed_at = if moved { now } else { entry.changed_at };
+        let changed_at = if has_progress { now } else { entry.changed_at };
         entry.percent = row.percent;
-        if found || starts {
+        if was_unconfirmed || was_ordered {
             self.set_task_state(task, TaskState::Running(key), now);
             self.begin_job(task.job);
         }
@@ -233,15 +233,15 @@
         if entry.is_done() {
             return None;
         }
-        let here = match &entry.state {
+        let is_here = match &entry.state {
             TaskState::Unconfirmed { runner, .. } => runner == name,
             _ => entry.runner() == Some(key),
         };
-        let current = here && entry.current_run() == row.run;
+        let is_current = is_here && entry.current_run() == row.run;
         match row.kind {
             EndKind::Done => {
                 self.record_runner_done(key);
-                if !current {
+                if !is_current {
                     self.stop_other_run(task, row.run);
                 }
                 // If one member is done, the whole gang is.
@@ -254,12 +254,12 @@
                     self.finish_task(member, now);
                 }
             }
-            EndKind::Failed if current => {
+            EndKind::Failed if is_current => {
                 self.record_runner_failed(key, now);
                 self.fail_task(task, key, &row.checkpoint, now);
                 self.break_gang(task, now);
             }
-            _ if current => {
+            _ if is_current => {
                 self.break_gang(task, now);
                 self.store_checkpoint(task, &row.checkpoint);
                 self.set_task_state(task, TaskState::Waiting, now);
@@ -348,14 +348,14 @@
         };
         entry.failed += 1;
         entry.failed_on = Some(key);
-        let spent = entry.failed >= limit && !lasting;
-        if spent {
+        let attempts_used_up = entry.failed >= limit && !lasting;
+        if attempts_used_up {
             self.end_job(task.job, JobPhase::Failed, now);
         }
         self.plan_needed = true;
     }
 
-    /// Returns tasks to waiting that an earlier owner ordered on this runner and that it did
+    /// Sets tasks back to waiting that an earlier owner ordered on this runner and that it did
     /// not report. It accepts no orders of that owner any more.
     fn release_unreported(&mut self, key: RunnerKey, now: Millis) {
         let Some(name) = self
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -204,8 +204,7 @@
         true
     }
 
-    /// Returns planned tasks whose records were not written to waiting: their starts will not
-    /// be ordered.
+    /// Cancels planned starts whose records were not written: they will not be ordered.
     pub fn cancel_planned_starts(&mut self, now: Millis) {
         let planned: Vec<TaskRef> = self
             .active_tasks()
--- a/crates/hoisthitch-jobs/src/pool.rs
+++ b/crates/hoisthitch-jobs/src/pool.rs
@@ -270,13 +270,13 @@
         self.fail_crashing_tasks(now);
     }
 
-    /// Returns tasks to waiting whose runs have ended for certain by now, because the leases
+    /// Sets tasks back to waiting whose runs have ended for certain by now, because the leases
     /// of their runners ended; returns those runners.
     pub fn expire_leases(&mut self, now: Millis) -> Vec<RunnerKey> {
         self.record_expired(now);
         self.release_unconfirmed(|_, until| until <= now, now);
         self.fail_crashing_tasks(now);
-        let lapsed: Vec<RunnerKey> = self
+        let expired: Vec<RunnerKey> = self
             .runners
             .iter()
             .filter(|(_, runner)| {
@@ -284,10 +284,10 @@
             })
             .map(|(key, _)| key)
             .collect();
-        for key in &lapsed {
+        for key in &expired {
             self.release_runner(*key, RunnerLoss::Silent, now);
         }
-        lapsed
+        expired
     }
 
     pub(crate) fn release_unconfirmed(
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -232,9 +232,9 @@
     /// Whether it may get tasks at `now`: its lease has to outlast the write of the record and
     /// the order of the start.
     pub fn takes_tasks(&self, now: Millis) -> bool {
-        let covered = self.lease_confirmed_until;
-        let covered = covered.is_none_or(|until| until > now + START_LEASE_MIN_MS);
-        self.is_staying() && covered && self.backoff_until <= now
+        let lease = self.lease_confirmed_until;
+        let has_lease = lease.is_none_or(|until| until > now + START_LEASE_MIN_MS);
+        self.is_staying() && has_lease && self.backoff_until <= now
     }
 
     /// Whether it failed so often in a row that it gets only one task at a time after its
--- a/crates/hoisthitch-jobs/src/stall.rs
+++ b/crates/hoisthitch-jobs/src/stall.rs
@@ -5,8 +5,8 @@
     pool::PoolState,
     runner::RunnerKey,
     task::{
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -39,8 +39,9 @@
                     let TaskState::Running(runner) = task.state else {
                         return None;
                     };
-                    let stands = task.changed_at + limit < now && !step.long_running && !step.gang;
-                    stands.then_some((TaskRef { job: key, slot }, runner))
+                    let is_stalled =
+                        task.changed_at + limit < now && !step.long_running && !step.gang;
+                    is_stalled.then_some((TaskRef { job: key, slot }, runner))
                 })
             })
             .collect();
--- a/crates/hoisthitch-jobs/src/stops.rs
+++ b/crates/hoisthitch-jobs/src/stops.rs
@@ -8,8 +8,8 @@
     runner::RunnerKey,
     task::{
         StopOrder,
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -32,8 +32,8 @@
     task::{
         TaskEntry,
         TaskName,
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -94,8 +94,8 @@
 impl PoolState {
     /// Records what the loss of a runner says against a task that was on it.
     pub(crate) fn add_evidence(&mut self, task: TaskRef, evidence: LossEvidence) {
-        let told = evidence.loss != RunnerLoss::Planned;
-        let Some(entry) = self.task_mut(task).filter(|_| told) else {
+        let counts = evidence.loss != RunnerLoss::Planned;
+        let Some(entry) = self.task_mut(task).filter(|_| counts) else {
             return;
         };
         let mut must_fail = entry.suspicion.add(evidence);
@@ -270,8 +270,8 @@
         ISOLATED_MIN.max(self.runners.len() / part)
     }
 
-    /// Whether the isolation of suspects allows the task on the runner; `isolate` is whether the
-    /// task itself is to be isolated.
+    /// Whether the isolation of suspects allows the task on the runner; `isolate` is whether
+    /// the task itself is to be isolated.
     pub(crate) fn allows_isolation(
         &self,
         task: TaskRef,
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -211,8 +211,8 @@
         } else {
             self.sum -= tenths_of_bits(seconds(time_of(None, evidence.lasts)));
         }
-        let told = evidence.ran.is_some() || !evidence.lasts;
-        if evidence.alone && !evidence.silent && told {
+        let known = evidence.ran.is_some() || !evidence.lasts;
+        if evidence.alone && !evidence.silent && known {
             self.alone += 1;
             let ran = evidence.ran.filter(|_| evidence.timed);
             self.alone_span = RunSpan::join(self.alone_span, ran.map(RunSpan::of_run));
@@ -227,13 +227,13 @@
 
     /// Weight from which the task is failed after such a loss, in tenths of a bit.
     fn limit(&self, evidence: LossEvidence) -> i32 {
-        let first = match (evidence.alone, evidence.loss == RunnerLoss::Silent) {
+        let initial = match (evidence.alone, evidence.loss == RunnerLoss::Silent) {
             (true, false) => ISOLATED_CRASH_LIMIT,
             (true, true) => ISOLATED_SILENCE_LIMIT,
             (false, _) => SHARED_LOSS_LIMIT,
         };
         let alone = i32::try_from(self.alone).unwrap_or(i32::MAX);
-        let less = first.saturating_sub(alone.saturating_mul(LIMIT_REDUCTION));
+        let reduced = initial.saturating_sub(alone.saturating_mul(LIMIT_REDUCTION));
         let decides = evidence.alone && self.recent >= DECIDING_LOSSES;
         let (deciding, least) = match (self.crashes_alike(), evidence.lasts) {
             (true, false) => (DECIDING_LIMIT, LIMIT_MIN),
@@ -241,7 +241,11 @@
             (false, false) => (SCATTERED_LIMIT, SCATTERED_LIMIT),
             (false, true) => (LONG_RUNNING_SCATTERED_LIMIT, LONG_RUNNING_SCATTERED_LIMIT),
         };
-        if decides { deciding } else { less.max(least) }
+        if decides {
+            deciding
+        } else {
+            reduced.max(least)
+        }
     }
 
     /// Whether the crashes in isolation came after about the same running time each: crashes
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/upkeep.rs
@@ -16,8 +16,8 @@
     runner::RunnerKey,
     task::{
         TaskEntry,
-        TaskRef, //
-        TaskState,
+        TaskRef,
+        TaskState, //
     }, //
 };
 
@@ -139,11 +139,12 @@
                 return true;
             };
             let tasks = job.tasks_of(round, step);
-            let away = tasks
+            let unavailable = tasks
                 .filter(|(slot, task)| slots.contains(slot) || !self.is_available(task))
                 .count();
             job.phase.is_final()
-                || u32::try_from(away).is_ok_and(|away| away <= spec.max_unavailable)
+                || u32::try_from(unavailable)
+                    .is_ok_and(|unavailable| unavailable <= spec.max_unavailable)
         })
     }
 
@@ -152,8 +153,8 @@
         let TaskState::Running(key) = task.state else {
             return false;
         };
-        let heard = self.runners.get(key).is_some_and(|runner| runner.ready);
-        heard && task.unavailable_since.is_none()
+        let responds = self.runners.get(key).is_some_and(|runner| runner.ready);
+        responds && task.unavailable_since.is_none()
     }
 
     /// Moves one long-running task off a runner that has more tasks of its step than may be
@@ -167,10 +168,10 @@
         }
         let tasks: Vec<TaskRef> = runner.tasks.iter().copied().collect();
         let crowded = tasks.iter().copied().find(|task| {
-            let at_work = self
+            let available = self
                 .task(*task)
                 .is_some_and(|entry| self.is_available(entry));
-            at_work && self.is_crowded(*task, &tasks) && self.may_disrupt(&[*task])
+            available && self.is_crowded(*task, &tasks) && self.may_disrupt(&[*task])
         });
         let Some(task) = crowded else {
             return false;
