--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -98,7 +98,8 @@
             .filter_map(|(task, _)| {
                 let job = self.jobs.get(task.job)?;
                 let step = job.step_of(task.slot)?;
-                job.is_ready(task.slot).then_some(step.room().cpu_milli)
+                job.is_ready(task.slot)
+                    .then_some(step.reservation().cpu_milli)
             })
             .sum();
         free.saturating_sub(requested)
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -64,8 +64,8 @@
 
 impl FullResources {
     fn rules_out(&self, step: &StepSpec) -> bool {
-        let room = step.room();
-        self.needs.iter().any(|full| room.covers(*full))
+        let reservation = step.reservation();
+        self.needs.iter().any(|full| reservation.covers(*full))
     }
 }
 
@@ -229,7 +229,7 @@
         let chosen = self.choose_runner(task, None, now);
         let advised = self.jobs.get(task.job)?.policy.advised;
         if chosen.is_none() && !advised && is_unbound(step) {
-            full.needs.push(step.room());
+            full.needs.push(step.reservation());
         }
         chosen
     }
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -146,8 +146,8 @@
     pub lease_until: Millis,
     /// Time until which it has a lease of this owner for certain; none before the first lease.
     pub lease_confirmed_until: Option<Millis>,
-    /// Time until which a long-running task that was moved off it may take to become available
-    /// elsewhere.
+    /// Time until which no further long-running task is moved off it, because the last one may
+    /// not be available elsewhere yet.
     pub relocating_until: Millis,
     /// Whether it has responded to this owner, and so refuses earlier ones.
     pub fenced: bool,
@@ -245,17 +245,19 @@
 
     /// Whether a task of the step fits beside what it runs.
     pub fn fits(&self, step: &StepSpec) -> bool {
-        self.facts.capacity.covers(self.used.plus(step.room()))
+        self.facts
+            .capacity
+            .covers(self.used.plus(step.reservation()))
     }
 
     /// Whether a task of the step would fit if nothing else ran there.
     pub fn could_fit(&self, step: &StepSpec) -> bool {
-        self.facts.capacity.covers(step.room())
+        self.facts.capacity.covers(step.reservation())
     }
 
     /// Share of its processors that is reserved once a task of the step is added.
     pub fn load_with(&self, step: &StepSpec) -> f64 {
-        let taken = as_f64(self.used.cpu_milli + step.room().cpu_milli);
+        let taken = as_f64(self.used.cpu_milli + step.reservation().cpu_milli);
         taken / as_f64(self.facts.capacity.cpu_milli.max(1))
     }
 
@@ -268,7 +270,7 @@
     pub fn add(&mut self, task: TaskRef, step: &StepSpec) {
         if self.tasks.insert(task) {
             self.lasting += u32::from(step.long_running);
-            self.used = self.used.plus(step.room());
+            self.used = self.used.plus(step.reservation());
         }
     }
 
@@ -277,7 +279,7 @@
         if self.tasks.remove(&task) {
             self.isolated_task = self.isolated_task.filter(|isolated| *isolated != task);
             self.lasting = self.lasting.saturating_sub(u32::from(step.long_running));
-            self.used = self.used.minus(step.room());
+            self.used = self.used.minus(step.reservation());
         }
     }
 
--- a/crates/hoisthitch-jobs/src/spec.rs
+++ b/crates/hoisthitch-jobs/src/spec.rs
@@ -94,7 +94,7 @@
 impl StepSpec {
     /// Resources that a task of the step reserves on its runner; a best-effort task reserves
     /// no processor.
-    pub(crate) fn room(&self) -> ResourceAmounts {
+    pub(crate) fn reservation(&self) -> ResourceAmounts {
         let cpu_milli = if self.best_effort {
             0
         } else {
