--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -287,7 +287,7 @@
     }
 
     fn record_lost_runs(&mut self, lost: &LostRunner, key: Option<RunnerKey>) {
-        let share_of = |task: &TaskRef| {
+        let inverse_time = |task: &TaskRef| {
             let ran = self
                 .task(*task)
                 .map(|entry| entry.running_time_at(lost.ended_at));
@@ -298,7 +298,7 @@
         let mut by_step: HashMap<RoundStep, f64> = HashMap::new();
         for task in &lost.tasks {
             if let Some(step) = self.round_step(*task) {
-                *by_step.entry(step).or_default() += share_of(task);
+                *by_step.entry(step).or_default() += inverse_time(task);
             }
         }
         let all: f64 = by_step.values().sum();
@@ -321,7 +321,7 @@
         let Some(entry) = self.task(task) else {
             return;
         };
-        if entry.suspicion.is_noted(entry.current_run()) {
+        if entry.suspicion.is_counted(entry.current_run()) {
             return;
         }
         let (run, ran) = (entry.current_run(), entry.running_time_at(lost.ended_at));
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -166,8 +166,10 @@
         let suspects: Vec<TaskRef> = self.suspects.iter().copied().collect();
         for task in suspects {
             let job = self.jobs.get(task.job);
-            let goes_on = job.is_some_and(|job| !job.phase.is_final());
-            let entry = self.task(task).filter(|entry| !entry.is_done() && goes_on);
+            let has_active_job = job.is_some_and(|job| !job.phase.is_final());
+            let entry = self
+                .task(task)
+                .filter(|entry| !entry.is_done() && has_active_job);
             let Some(entry) = entry else {
                 self.drop_suspect(task);
                 continue;
@@ -191,13 +193,13 @@
         };
         let ran = last_heartbeat_at.min(now).saturating_sub(entry.began_at);
         let cleared = ran >= entry.suspicion.clear_time();
-        let alone = ran < entry.suspicion.alone_time();
+        let still_isolated = ran < entry.suspicion.alone_time();
         if cleared {
             entry.suspicion.clear();
             self.drop_suspect(task);
             self.mark_dirty(task.job);
         }
-        if (cleared || !alone)
+        if (cleared || !still_isolated)
             && let Some(runner) = self.runners.get_mut(runner)
             && runner.isolated_task == Some(task)
         {
@@ -266,8 +268,8 @@
         step_is_free && isolated().count() < self.max_isolated(ISOLATED_DIVISOR)
     }
 
-    fn max_isolated(&self, part: usize) -> usize {
-        ISOLATED_MIN.max(self.runners.len() / part)
+    fn max_isolated(&self, divisor: usize) -> usize {
+        ISOLATED_MIN.max(self.runners.len() / divisor)
     }
 
     /// Whether the isolation of suspects allows the task on the runner; `isolate` is whether
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -265,7 +265,7 @@
     }
 
     /// Whether the loss of a run is counted already.
-    pub(crate) fn is_noted(&self, run: u32) -> bool {
+    pub(crate) fn is_counted(&self, run: u32) -> bool {
         self.losses > 0 && self.last_run == run
     }
 
