--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -1,10 +1,10 @@
 //! Team quotas: limits on what a team may have running over all pools.
 //!
-//! A limit is divided into parts, one for each pool that runs work of the team. The parts are
-//! stored in one record of the team, which pool owners change by compare-and-swap, so that
-//! their sum never exceeds the limit whoever owns the pools. An owner only starts work that
-//! fits its pool's part. It takes more of what is free before that is needed, and releases
-//! what it does not use.
+//! A limit is divided into allocations, one for each pool that runs work of the team. The
+//! allocations are stored in one record of the team, which pool owners change by
+//! compare-and-swap, so that their sum never exceeds the limit whoever owns the pools. An
+//! owner only starts work that fits its pool's allocation. It allocates more of what is free
+//! before that is needed, and releases what it does not use.
 
 use std::collections::{
     BTreeMap,
@@ -26,12 +26,12 @@
     task::TaskState, //
 };
 
-/// Extra part taken beyond the current need, so that the next task need not wait for a write
-/// of the record: the need divided by this number.
+/// Extra amount allocated beyond the current need, so that the next task need not wait for a
+/// write of the record: the need divided by this number.
 const EXTRA_DIVISOR: u64 = 4;
 
-/// Least extra part that a pool with any work of the team takes: the limit divided by this
-/// number.
+/// Least extra amount that is allocated to a pool with any work of the team: the limit divided
+/// by this number.
 const LIMIT_DIVISOR: u64 = 64;
 
 /// Resources of a pool that a team uses or waits for.
@@ -43,7 +43,7 @@
     pub waiting: ResourceAmounts,
 }
 
-/// Parts of a team's limit, by pool.
+/// Allocations of a team's limit, by pool.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct QuotaAllocations {
@@ -51,12 +51,12 @@
 }
 
 impl QuotaAllocations {
-    /// The pool's part.
+    /// The pool's allocation.
     pub fn allocation(&self, pool: &str) -> ResourceAmounts {
         self.parts.get(pool).copied().unwrap_or_default()
     }
 
-    /// Sets the pool's part.
+    /// Sets the pool's allocation.
     pub fn set(&mut self, pool: &str, part: ResourceAmounts) {
         if part == ResourceAmounts::default() {
             self.parts.remove(pool);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The sum of all parts.
+    /// The sum of all allocations.
     pub fn total(&self) -> ResourceAmounts {
         let parts = self.parts.values();
         parts.fold(ResourceAmounts::default(), |sum, part| sum.plus(*part))
@@ -76,8 +76,8 @@
         others.fold(ResourceAmounts::default(), |sum, (_, part)| sum.plus(*part))
     }
 
-    /// The part that the pool should have now. An amount whose limit is zero is not limited,
-    /// and its part is zero.
+    /// The allocation that the pool should have now. An amount whose limit is zero is not
+    /// limited, and its allocation is zero.
     pub fn next_allocation(
         &self,
         pool: &str,
@@ -96,7 +96,8 @@
     }
 
     /// What the team may have running in the pool. After the limit was lowered below the sum
-    /// of the parts, every part is scaled down in proportion until the stored parts follow.
+    /// of the allocations, each of them is scaled down in proportion until the stored
+    /// allocations follow.
     pub fn allowed(&self, pool: &str, limit: ResourceAmounts) -> ResourceAmounts {
         let limits = limit.amounts();
         let parts = self.allocation(pool).amounts();
@@ -112,9 +113,9 @@
     }
 }
 
-/// The part of one amount that a pool should have: its need and some extra, as far as the
-/// other pools leave that much, and never less than it uses. A part that is close enough stays
-/// as it is. Without a limit (zero) the part is zero.
+/// The allocation of one amount that a pool should have: its need and some extra, as far as
+/// the other pools leave that much, and never less than it uses. An allocation that is close
+/// enough stays as it is. Without a limit (zero) it is zero.
 fn next_amount(limit: u64, part: u64, free: u64, used: u64, need: u64) -> u64 {
     if limit == 0 || need == 0 {
         return 0;
