--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -64,7 +64,7 @@
         let Some(obstacle) = self.start_obstacle(task, runner, is_first, now) else {
             return StartAdmission::Send;
         };
-        let may_stop = is_first || !self.lasts(task) || self.may_disrupt(&[task]);
+        let may_stop = is_first || !self.is_long_running(task) || self.may_disrupt(&[task]);
         match obstacle {
             StartObstacle::Draining => StartAdmission::Withdraw,
             _ if may_stop => StartAdmission::Withdraw,
@@ -115,7 +115,8 @@
     /// lowered.
     fn is_over_limit(&self, job: JobKey) -> bool {
         let team = self.jobs.get(job).map(|job| job.team.as_str());
-        let Some((team, allowed)) = team.and_then(|team| Some((team, self.allowances.get(team)?)))
+        let Some((team, allowed)) =
+            team.and_then(|team| Some((team, self.quota_allocations.get(team)?)))
         else {
             return false;
         };
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -101,7 +101,7 @@
     fn needs_ticket(&self, task: TaskRef, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
         let leaves = runner.is_some_and(|runner| runner.facts.draining);
-        entry.state == TaskState::Waiting || (leaves && self.lasts(task))
+        entry.state == TaskState::Waiting || (leaves && self.is_long_running(task))
     }
 
     /// A task that needs a ticket, of a step for which a request may be sent, and the number
--- a/crates/hoisthitch-jobs/src/demand.rs
+++ b/crates/hoisthitch-jobs/src/demand.rs
@@ -48,7 +48,7 @@
 #[derive(Default)]
 struct DemandSums {
     running: u64,
-    lasting: u64,
+    long_running: u64,
     backlog: u64,
     /// Number of VMs needed to spread long-running tasks.
     spread: u32,
@@ -68,7 +68,7 @@
         }
         let arriving = self.arrivals.rate(now) * HEADROOM_PERCENT / 100;
         let steady = sums.running.max(arriving);
-        let cores = steady + sums.lasting;
+        let cores = steady + sums.long_running;
         let capacity = self
             .runners
             .values()
@@ -89,7 +89,7 @@
     fn add_demand(&self, sums: &mut DemandSums, job: &JobEntry, now: Millis) {
         let time = self.task_time(&job.queue);
         let late = self.latest_start(job) < now;
-        let missed = self.has_missed_objective(job, now);
+        let has_missed = self.has_missed_objective(job, now);
         let wait = if late { LATE_BACKLOG_MS } else { BACKLOG_MS };
         for step in job.spec.steps.iter().filter(|step| step.long_running) {
             let vms = step.count.div_ceil(step.max_together());
@@ -103,8 +103,8 @@
             let runs = task.runner().is_some();
             let waits = job.waits_for_runner(slot);
             match (step.long_running, runs, waits) {
-                (true, true, _) | (true, _, true) => sums.lasting += cpu,
-                (false, true, _) if missed => sums.backlog += cpu * time / (wait + time),
+                (true, true, _) | (true, _, true) => sums.long_running += cpu,
+                (false, true, _) if has_missed => sums.backlog += cpu * time / (wait + time),
                 (false, true, _) => sums.running += cpu,
                 (false, _, true) => sums.backlog += cpu * time / (wait + time),
                 _ => {}
--- a/crates/hoisthitch-jobs/src/drain.rs
+++ b/crates/hoisthitch-jobs/src/drain.rs
@@ -17,18 +17,18 @@
     /// unavailable until the lease of the runner that shut down has ended. Tasks for which no
     /// other runner has free capacity stay until the end.
     pub fn move_off_draining(&mut self, now: Millis) {
-        let leaving: Vec<TaskRef> = self
+        let draining_tasks: Vec<TaskRef> = self
             .runners
             .values()
             .filter(|runner| runner.facts.draining && runner.ready)
             .flat_map(|runner| runner.tasks.iter().copied())
-            .filter(|task| self.lasts(*task) && !self.is_gang(*task))
+            .filter(|task| self.is_long_running(*task) && !self.is_gang(*task))
             .collect();
-        if leaving.is_empty() {
+        if draining_tasks.is_empty() {
             return;
         }
         let mut moving = self.count_moving();
-        for task in leaving {
+        for task in draining_tasks {
             let runs = self.task(task).is_some_and(TaskEntry::is_running);
             // Each task that is being moved may take all the capacity of a runner.
             if runs
@@ -46,7 +46,7 @@
         self.active_tasks()
             .filter(|(task, entry)| {
                 let is_moving = matches!(entry.state, TaskState::Stopping(_) | TaskState::Waiting);
-                is_moving && self.lasts(*task)
+                is_moving && self.is_long_running(*task)
             })
             .count()
     }
--- a/crates/hoisthitch-jobs/src/job.rs
+++ b/crates/hoisthitch-jobs/src/job.rs
@@ -58,7 +58,7 @@
     /// How its time was spent.
     pub account: TimeAccount,
     /// Number of tasks that are not done, by round and step.
-    open: Vec<u32>,
+    remaining: Vec<u32>,
 }
 
 impl JobEntry {
@@ -82,21 +82,21 @@
             ended_at: None,
             tasks: Vec::new(),
             account: TimeAccount::default(),
-            open: Vec::new(),
+            remaining: Vec::new(),
         }
     }
 
     /// Number of rounds that have begun.
     pub fn rounds_begun(&self) -> u32 {
         let steps = self.spec.steps.len().max(1);
-        u32::try_from(self.open.len() / steps).unwrap_or(u32::MAX)
+        u32::try_from(self.remaining.len() / steps).unwrap_or(u32::MAX)
     }
 
     /// Begins the next round: adds its tasks, all of them waiting.
     pub fn begin_round(&mut self, now: Millis) {
         let round = self.rounds_begun();
         for (step, spec) in (0..).zip(&self.spec.steps) {
-            self.open.push(spec.count);
+            self.remaining.push(spec.count);
             let tasks = (0..spec.count).map(|index| TaskEntry::new(round, step, index, now));
             self.tasks.extend(tasks);
         }
@@ -168,24 +168,25 @@
 
     /// Number of tasks of a step that are not done.
     pub fn remaining_tasks(&self, round: u32, step: u32) -> u32 {
-        self.open_index(round, step)
-            .and_then(|index| self.open.get(index))
+        self.remaining_index(round, step)
+            .and_then(|index| self.remaining.get(index))
             .copied()
             .unwrap_or(0)
     }
 
     /// Records that a task of the step is done.
     pub fn record_done(&mut self, round: u32, step: u32) {
-        if let Some(index) = self.open_index(round, step)
-            && let Some(open) = self.open.get_mut(index)
+        if let Some(index) = self.remaining_index(round, step)
+            && let Some(remaining) = self.remaining.get_mut(index)
         {
-            *open = open.saturating_sub(1);
+            *remaining = remaining.saturating_sub(1);
         }
     }
 
     /// Whether every task of every round is done.
     pub fn is_done(&self) -> bool {
-        self.rounds_begun() >= self.spec.rounds() && self.open.iter().all(|open| *open == 0)
+        self.rounds_begun() >= self.spec.rounds()
+            && self.remaining.iter().all(|remaining| *remaining == 0)
     }
 
     /// Whether any task was ever planned to run.
@@ -224,7 +225,7 @@
         }
     }
 
-    fn open_index(&self, round: u32, step: u32) -> Option<usize> {
+    fn remaining_index(&self, round: u32, step: u32) -> Option<usize> {
         let steps = u32::try_from(self.spec.steps.len()).ok()?;
         usize::try_from(round.checked_mul(steps)? + step).ok()
     }
--- a/crates/hoisthitch-jobs/src/lib.rs
+++ b/crates/hoisthitch-jobs/src/lib.rs
@@ -19,8 +19,8 @@
 mod forecast;
 mod gang;
 mod job;
-mod lives;
 mod losses;
+mod maintenance;
 mod observe;
 mod pace;
 mod place;
@@ -31,6 +31,7 @@
 mod record;
 mod report;
 mod resources;
+mod restarts;
 mod runner;
 mod silent;
 mod spec;
@@ -39,7 +40,6 @@
 mod suspects;
 mod suspicion;
 mod task;
-mod upkeep;
 mod wave;
 
 pub use account::{
@@ -64,11 +64,11 @@
     JobEntry,
     JobKey, //
 };
-pub use lives::RestartedRunner;
 pub use losses::{
     LostRun,
     RunnerLoss, //
 };
+pub use maintenance::EvacuationStatus;
 pub use pace::PaceOrder;
 pub use plan::FlushPlan;
 pub use pool::{
@@ -95,6 +95,7 @@
     StartOutcome, //
 };
 pub use resources::ResourceAmounts;
+pub use restarts::RestartedRunner;
 pub use runner::{
     RunnerEntry,
     RunnerFacts,
@@ -108,7 +109,7 @@
 pub use spec::{
     JobSchedule,
     JobSpec,
-    SPEC_LIMIT,
+    PAYLOAD_MAX_BYTES,
     SpecError,
     StepSpec, //
 };
@@ -122,7 +123,6 @@
     TaskRef,
     TaskState, //
 };
-pub use upkeep::EvacuationStatus;
 pub use wave::{
     WaveChange,
     WaveProgress, //
--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -291,7 +291,7 @@
             let ran = self
                 .task(*task)
                 .map(|entry| entry.running_time_at(lost.ended_at));
-            seconds(time_of(ran.flatten(), self.lasts(*task))).recip()
+            seconds(time_of(ran.flatten(), self.is_long_running(*task))).recip()
         };
         // Tasks of a step may be alike, and any of them the cause; so their step shares the
         // blame as a whole.
@@ -330,7 +330,7 @@
             loss: lost.loss,
             ran,
             timed: lost.moment.known,
-            lasts: self.lasts(task),
+            long_running: self.is_long_running(task),
             // Members of a gang on the same runner count as one suspect.
             share: if alone { 1.0 } else { share },
             silent: lost.moment.known && !lost.moment.reset,
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/maintenance.rs
@@ -73,12 +73,18 @@
         if !runner.ready {
             return EvacuationStatus::Held;
         }
-        let short = runner.tasks.iter().filter(|task| !self.lasts(**task));
+        let short = runner
+            .tasks
+            .iter()
+            .filter(|task| !self.is_long_running(**task));
         let short = short.count();
-        let lasting = runner.tasks.iter().filter(|task| self.lasts(**task));
-        let lasting: Vec<TaskRef> = lasting.copied().collect();
-        let together: Vec<TaskRef> = ending.iter().chain(&lasting).copied().collect();
-        if !lasting.is_empty() && !self.may_disrupt(&together) {
+        let long_running = runner
+            .tasks
+            .iter()
+            .filter(|task| self.is_long_running(**task));
+        let long_running: Vec<TaskRef> = long_running.copied().collect();
+        let together: Vec<TaskRef> = ending.iter().chain(&long_running).copied().collect();
+        if !long_running.is_empty() && !self.may_disrupt(&together) {
             return EvacuationStatus::Held;
         }
         if short > 0 {
@@ -99,7 +105,7 @@
             if !here {
                 continue;
             }
-            if self.lasts(task) {
+            if self.is_long_running(task) {
                 return Some(EvacuationStatus::Held);
             }
             short += 1;
@@ -108,7 +114,7 @@
     }
 
     /// Whether the task's step is long-running.
-    pub(crate) fn lasts(&self, task: TaskRef) -> bool {
+    pub(crate) fn is_long_running(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(task.job);
         job.and_then(|job| job.step_of(task.slot))
             .is_some_and(|step| step.long_running)
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -342,13 +342,13 @@
         };
         job.dirty = true;
         let limit = job.policy.max_attempts.max(1);
-        let lasting = job.step_of(task.slot).is_some_and(|step| step.long_running);
+        let long_running = job.step_of(task.slot).is_some_and(|step| step.long_running);
         let Some(entry) = job.tasks.get_mut(task.slot) else {
             return;
         };
         entry.failed += 1;
         entry.failed_on = Some(key);
-        let attempts_used_up = entry.failed >= limit && !lasting;
+        let attempts_used_up = entry.failed >= limit && !long_running;
         if attempts_used_up {
             self.end_job(task.job, JobPhase::Failed, now);
         }
--- a/crates/hoisthitch-jobs/src/pace.rs
+++ b/crates/hoisthitch-jobs/src/pace.rs
@@ -65,12 +65,12 @@
             .iter()
             .filter_map(|task| self.latency_percent(*task))
             .max();
-        let fillers: Vec<TaskRef> = tasks
+        let best_effort: Vec<TaskRef> = tasks
             .into_iter()
             .filter(|task| self.is_running_best_effort(*task))
             .collect();
         let mut orders = Vec::new();
-        for task in fillers {
+        for task in best_effort {
             let Some(entry) = self.task(task) else {
                 continue;
             };
--- a/crates/hoisthitch-jobs/src/pool.rs
+++ b/crates/hoisthitch-jobs/src/pool.rs
@@ -106,7 +106,7 @@
     /// Work that arrived lately.
     pub(crate) arrivals: ArrivalLog,
     /// Quota allocations of this pool, by team; a team without one is not limited.
-    pub(crate) allowances: HashMap<String, ResourceAmounts>,
+    pub(crate) quota_allocations: HashMap<String, ResourceAmounts>,
     /// Whether some task found no runner when starts were last planned.
     pub(crate) lacked_capacity: bool,
     /// Weights of teams, by name.
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -47,33 +47,37 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct QuotaAllocations {
-    parts: BTreeMap<String, ResourceAmounts>,
+    allocations: BTreeMap<String, ResourceAmounts>,
 }
 
 impl QuotaAllocations {
     /// The pool's allocation.
     pub fn allocation(&self, pool: &str) -> ResourceAmounts {
-        self.parts.get(pool).copied().unwrap_or_default()
+        self.allocations.get(pool).copied().unwrap_or_default()
     }
 
     /// Sets the pool's allocation.
-    pub fn set(&mut self, pool: &str, part: ResourceAmounts) {
-        if part == ResourceAmounts::default() {
-            self.parts.remove(pool);
+    pub fn set(&mut self, pool: &str, allocation: ResourceAmounts) {
+        if allocation == ResourceAmounts::default() {
+            self.allocations.remove(pool);
         } else {
-            self.parts.insert(pool.to_owned(), part);
+            self.allocations.insert(pool.to_owned(), allocation);
         }
     }
 
     /// The sum of all allocations.
     pub fn total(&self) -> ResourceAmounts {
-        let parts = self.parts.values();
-        parts.fold(ResourceAmounts::default(), |sum, part| sum.plus(*part))
+        let allocations = self.allocations.values();
+        allocations.fold(ResourceAmounts::default(), |sum, allocation| {
+            sum.plus(*allocation)
+        })
     }
 
     fn others(&self, pool: &str) -> ResourceAmounts {
-        let others = self.parts.iter().filter(|(other, _)| *other != pool);
-        others.fold(ResourceAmounts::default(), |sum, (_, part)| sum.plus(*part))
+        let others = self.allocations.iter().filter(|(other, _)| *other != pool);
+        others.fold(ResourceAmounts::default(), |sum, (_, allocation)| {
+            sum.plus(*allocation)
+        })
     }
 
     /// The allocation that the pool should have now. An amount whose limit is zero is not
@@ -85,13 +89,19 @@
         needs: TeamUsage,
     ) -> ResourceAmounts {
         let limits = limit.amounts();
-        let parts = self.allocation(pool).amounts();
+        let allocations = self.allocation(pool).amounts();
         let others = self.others(pool).amounts();
         let used = needs.used.amounts();
         let need = needs.used.plus(needs.waiting).amounts();
         ResourceAmounts::each(|index| {
             let free = limits[index].saturating_sub(others[index]);
-            next_amount(limits[index], parts[index], free, used[index], need[index])
+            next_amount(
+                limits[index],
+                allocations[index],
+                free,
+                used[index],
+                need[index],
+            )
         })
     }
 
@@ -100,14 +110,16 @@
     /// allocations follow.
     pub fn allowed(&self, pool: &str, limit: ResourceAmounts) -> ResourceAmounts {
         let limits = limit.amounts();
-        let parts = self.allocation(pool).amounts();
+        let allocations = self.allocation(pool).amounts();
         let sums = self.allocation(pool).plus(self.others(pool)).amounts();
         ResourceAmounts::each(|index| match limits[index] {
             0 => u64::MAX,
             limit => {
-                let part = u128::from(parts[index]) * u128::from(limit);
-                let part = part / u128::from(sums[index].max(1));
-                u64::try_from(part).unwrap_or(u64::MAX).min(parts[index])
+                let allocation = u128::from(allocations[index]) * u128::from(limit);
+                let allocation = allocation / u128::from(sums[index].max(1));
+                u64::try_from(allocation)
+                    .unwrap_or(u64::MAX)
+                    .min(allocations[index])
             }
         })
     }
@@ -116,14 +128,15 @@
 /// The allocation of one amount that a pool should have: its need and some extra, as far as
 /// the other pools leave that much, and never less than it uses. An allocation that is close
 /// enough stays as it is. Without a limit (zero) it is zero.
-fn next_amount(limit: u64, part: u64, free: u64, used: u64, need: u64) -> u64 {
+fn next_amount(limit: u64, allocation: u64, free: u64, used: u64, need: u64) -> u64 {
     if limit == 0 || need == 0 {
         return 0;
     }
     let target = need + need / EXTRA_DIVISOR + limit / LIMIT_DIVISOR;
     let wanted = used.max(target.min(free));
-    let near = part >= need && part <= wanted.saturating_mul(2) && part <= free;
-    if near { part } else { wanted }
+    let close_enough =
+        allocation >= need && allocation <= wanted.saturating_mul(2) && allocation <= free;
+    if close_enough { allocation } else { wanted }
 }
 
 /// What limited teams may still start while a plan is made.
@@ -167,13 +180,13 @@
 impl PoolState {
     /// Sets what a team may have running in this pool.
     pub fn set_quota_allocation(&mut self, team: &str, allowed: ResourceAmounts) {
-        let before = self.allowances.insert(team.to_owned(), allowed);
+        let before = self.quota_allocations.insert(team.to_owned(), allowed);
         self.plan_needed |= before != Some(allowed);
     }
 
     /// Drops the limits of all teams but those for which `limited` is true.
     pub fn retain_quota_allocations(&mut self, limited: impl Fn(&str) -> bool) {
-        self.allowances.retain(|team, _| limited(team));
+        self.quota_allocations.retain(|team, _| limited(team));
     }
 
     /// Resources that each team uses or waits for in this pool.
@@ -203,7 +216,7 @@
 
     /// Uses of teams that a plan needs: none where no quota is set and the pool was not full.
     pub(crate) fn usage_for_plan(&self) -> HashMap<&str, TeamUsage> {
-        if self.allowances.is_empty() && !self.lacked_capacity {
+        if self.quota_allocations.is_empty() && !self.lacked_capacity {
             return HashMap::new();
         }
         self.team_usage()
@@ -212,7 +225,7 @@
     /// What each limited team may start beyond what it uses already.
     pub(crate) fn quota_budget(&self, uses: &HashMap<&str, TeamUsage>) -> QuotaBudget {
         let mut budget = QuotaBudget::default();
-        for (team, allowed) in &self.allowances {
+        for (team, allowed) in &self.quota_allocations {
             let found = uses.get(team.as_str()).copied().unwrap_or_default();
             budget.indexes.insert(team.clone(), budget.left.len());
             budget.left.push(allowed.minus(found.used));
@@ -225,8 +238,8 @@
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        let held = self.tasks_over_quota.entry(job.team.clone()).or_default();
-        *held += 1;
+        let count = self.tasks_over_quota.entry(job.team.clone()).or_default();
+        *count += 1;
     }
 }
 
--- a/crates/hoisthitch-jobs/src/rank.rs
+++ b/crates/hoisthitch-jobs/src/rank.rs
@@ -62,11 +62,11 @@
             .filter(|(_, job)| !job.phase.is_final())
             .map(|(key, job)| (key, job, self.latest_start(job)))
             .collect();
-        let missed = jobs.iter().filter(|(_, job, start)| {
+        let passed = jobs.iter().filter(|(_, job, start)| {
             let lately = *start < now && now < *start + OVERLOAD_WINDOW_MS;
             lately && !job.spec.is_long_running() && !job.has_begun()
         });
-        let overloaded: BTreeSet<u32> = missed.map(|(_, job, _)| job.policy.priority).collect();
+        let overloaded: BTreeSet<u32> = passed.map(|(_, job, _)| job.policy.priority).collect();
         let beyond = self.teams_beyond_share(uses);
         let mut order: Vec<(JobRank, JobKey)> = jobs
             .iter()
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -72,10 +72,10 @@
 
     /// Parses the text that [`Display`] writes; a text without a start time is a name alone.
     pub fn parse(text: &str) -> Self {
-        let told = text.rsplit_once('@');
-        let told = told.and_then(|(name, started_at)| Some((name, started_at.parse().ok()?)));
+        let parsed = text.rsplit_once('@');
+        let parsed = parsed.and_then(|(name, started_at)| Some((name, started_at.parse().ok()?)));
         let (name, started_at) =
-            told.map_or((text, None), |(name, started_at)| (name, Some(started_at)));
+            parsed.map_or((text, None), |(name, started_at)| (name, Some(started_at)));
         Self {
             name: name.to_owned(),
             started_at,
@@ -168,7 +168,7 @@
     pub tasks: HashSet<TaskRef>,
     /// Number of those tasks that are long-running. Kept as a counter because each choice of a
     /// runner reads it for all runners.
-    lasting: u32,
+    long_running: u32,
     /// Number of the last end that was processed.
     pub last_seen_end: u64,
     /// Whether its connections were reset when it was last lost: its process has ended.
@@ -207,7 +207,7 @@
             first_seen_at: now,
             used: ResourceAmounts::default(),
             tasks: HashSet::new(),
-            lasting: 0,
+            long_running: 0,
             last_seen_end: 0,
             was_reset: false,
             loss_recorded: false,
@@ -263,13 +263,13 @@
 
     /// Whether it has long-running tasks.
     pub fn has_long_running(&self) -> bool {
-        self.lasting > 0
+        self.long_running > 0
     }
 
     /// Reserves resources for a task.
     pub fn add(&mut self, task: TaskRef, step: &StepSpec) {
         if self.tasks.insert(task) {
-            self.lasting += u32::from(step.long_running);
+            self.long_running += u32::from(step.long_running);
             self.used = self.used.plus(step.reservation());
         }
     }
@@ -278,7 +278,9 @@
     pub fn remove(&mut self, task: TaskRef, step: &StepSpec) {
         if self.tasks.remove(&task) {
             self.isolated_task = self.isolated_task.filter(|isolated| *isolated != task);
-            self.lasting = self.lasting.saturating_sub(u32::from(step.long_running));
+            self.long_running = self
+                .long_running
+                .saturating_sub(u32::from(step.long_running));
             self.used = self.used.minus(step.reservation());
         }
     }
--- a/crates/hoisthitch-jobs/src/spec.rs
+++ b/crates/hoisthitch-jobs/src/spec.rs
@@ -14,11 +14,11 @@
 use crate::resources::ResourceAmounts;
 
 /// Longest payload, in bytes; the platform's limit.
-pub const SPEC_LIMIT: usize = 4_000;
+pub const PAYLOAD_MAX_BYTES: usize = 4_000;
 
 /// Most tasks of a job over all its rounds. The record of a job with that many stays below the
 /// store's size limit for a value.
-const TASK_LIMIT: u64 = 4_000;
+const TASKS_MAX: u64 = 4_000;
 
 /// A job, as its caller submitted it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum SpecError {
     /// The payload is too long.
-    #[error("the payload has {0} bytes; {SPEC_LIMIT} are allowed")]
+    #[error("the payload has {0} bytes; {PAYLOAD_MAX_BYTES} are allowed")]
     PayloadTooLong(usize),
     /// The job has no steps.
     #[error("the job has no steps")]
@@ -120,7 +120,7 @@
     #[error("step {0} has no tasks; give a count of 1 or more")]
     NoTasks(usize),
     /// The job has too many tasks.
-    #[error("the job has {0} tasks; {TASK_LIMIT} are allowed")]
+    #[error("the job has {0} tasks; {TASKS_MAX} are allowed")]
     TooManyTasks(u64),
     /// A step depends on itself or on a later one.
     #[error("step {step} comes after step {after}, which is not an earlier step")]
@@ -145,7 +145,7 @@
     ///
     /// Returns the first problem found.
     pub fn check(&self) -> Result<(), SpecError> {
-        if self.payload.len() > SPEC_LIMIT {
+        if self.payload.len() > PAYLOAD_MAX_BYTES {
             return Err(SpecError::PayloadTooLong(self.payload.len()));
         }
         if self.steps.is_empty() {
@@ -155,7 +155,7 @@
             step.check(number)?;
         }
         let tasks = u64::from(self.tasks_per_round()) * u64::from(self.rounds());
-        if tasks > TASK_LIMIT {
+        if tasks > TASKS_MAX {
             return Err(SpecError::TooManyTasks(tasks));
         }
         match self.schedule {
--- a/crates/hoisthitch-jobs/src/stops.rs
+++ b/crates/hoisthitch-jobs/src/stops.rs
@@ -93,7 +93,7 @@
         let runs = self
             .task(task)
             .is_some_and(|entry| entry.reported && entry.earlier_run.is_none());
-        drains || !runs || !self.lasts(task) || self.may_disrupt(&[task])
+        drains || !runs || !self.is_long_running(task) || self.may_disrupt(&[task])
     }
 
     /// Sends stops again whose runs have not ended.
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -239,7 +239,7 @@
         let Some(entry) = self.task(task) else {
             return false;
         };
-        let wait = if self.lasts(task) {
+        let wait = if self.is_long_running(task) {
             LONG_RUNNING_ISOLATION_WAIT_MS
         } else {
             ISOLATION_WAIT_MS
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -180,7 +180,7 @@
     /// Whether the time of the loss is known.
     pub(crate) timed: bool,
     /// Whether the task is long-running.
-    pub(crate) lasts: bool,
+    pub(crate) long_running: bool,
     /// Part of the weight that the task gets among all that ran there: the shorter its running
     /// time, the larger.
     pub(crate) share: f64,
@@ -209,9 +209,9 @@
             self.counted += 1;
             self.longest = self.longest.max(ran);
         } else {
-            self.sum -= tenths_of_bits(seconds(time_of(None, evidence.lasts)));
+            self.sum -= tenths_of_bits(seconds(time_of(None, evidence.long_running)));
         }
-        let known = evidence.ran.is_some() || !evidence.lasts;
+        let known = evidence.ran.is_some() || !evidence.long_running;
         if evidence.alone && !evidence.silent && known {
             self.alone += 1;
             let ran = evidence.ran.filter(|_| evidence.timed);
@@ -235,7 +235,7 @@
         let alone = i32::try_from(self.alone).unwrap_or(i32::MAX);
         let reduced = initial.saturating_sub(alone.saturating_mul(LIMIT_REDUCTION));
         let decides = evidence.alone && self.recent >= DECIDING_LOSSES;
-        let (deciding, least) = match (self.crashes_alike(), evidence.lasts) {
+        let (deciding, least) = match (self.crashes_alike(), evidence.long_running) {
             (true, false) => (DECIDING_LIMIT, LIMIT_MIN),
             (true, true) => (LONG_RUNNING_DECIDING_LIMIT, LIMIT_MIN),
             (false, false) => (SCATTERED_LIMIT, SCATTERED_LIMIT),
@@ -309,8 +309,8 @@
 }
 
 /// Running time of a run as it is used for its weight, in milliseconds.
-pub(crate) fn time_of(ran: Option<Millis>, lasts: bool) -> Millis {
-    let unknown = if lasts {
+pub(crate) fn time_of(ran: Option<Millis>, long_running: bool) -> Millis {
+    let unknown = if long_running {
         LONG_RUNNING_UNKNOWN_MS
     } else {
         UNKNOWN_RUN_TIME_MS
