--- a/crates/hoisthitch-jobs/src/restarts.rs
+++ b/crates/hoisthitch-jobs/src/restarts.rs
@@ -28,7 +28,7 @@
     /// Number of runs that ended with the instance before.
     pub ended: usize,
     /// Number of starts that the next instance may have carried out, or may still carry out.
-    pub doubtful: usize,
+    pub unconfirmed: usize,
 }
 
 impl PoolState {
@@ -55,12 +55,12 @@
         let name = facts.name.clone();
         let until = until.max(runner.lease_until);
         let tasks = runner.tasks.iter().copied();
-        let (doubtful, ended): (Vec<TaskRef>, Vec<TaskRef>) =
+        let (unconfirmed, ended): (Vec<TaskRef>, Vec<TaskRef>) =
             tasks.partition(|task| self.may_run_on_next(*task, runner));
         for task in &ended {
             self.move_off_runner(*task, TaskState::Waiting, now);
         }
-        for task in &doubtful {
+        for task in &unconfirmed {
             let runner = name.clone();
             self.move_off_runner(
                 *task,
@@ -80,14 +80,14 @@
         self.runners.remove(key);
         let mut next = RunnerEntry::new(facts, until, now);
         next.unlisted = true;
-        next.renewed = true;
+        next.restarted = true;
         let key = self.runners.insert(next);
         self.runner_names.insert(name, key);
         self.fail_crashing_tasks(now);
         Some(RestartedRunner {
             key,
             ended: ended.len(),
-            doubtful: doubtful.len(),
+            unconfirmed: unconfirmed.len(),
         })
     }
 
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -157,7 +157,7 @@
     pub last_heartbeat_at: Option<Millis>,
     /// Whether it follows an earlier instance under the same name. Orders meant for that one
     /// may have given this one leases that are based on a clock that is not its own.
-    pub renewed: bool,
+    pub restarted: bool,
     /// Whether its responses contain its start time.
     pub reports_start_time: bool,
     /// When it was first seen.
@@ -202,7 +202,7 @@
             fenced: false,
             silent_since: Some(now),
             last_heartbeat_at: None,
-            renewed: false,
+            restarted: false,
             reports_start_time: false,
             first_seen_at: now,
             used: ResourceAmounts::default(),
--- a/crates/hoisthitch-jobs/tests/decisions/lives.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/lives.rs
@@ -66,7 +66,10 @@
     hear(&mut state, order.runner, 1_100);
     let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
     let renewed = renewed.ok_or_eyre("the runner is known")?;
-    ensure!((renewed.ended, renewed.doubtful) == (1, 0), "{renewed:?}");
+    ensure!(
+        (renewed.ended, renewed.unconfirmed) == (1, 0),
+        "{renewed:?}"
+    );
     ensure!(state.runner(order.runner).is_none(), "the life is over");
     let runner = state.runner(renewed.key).ok_or_eyre("the next life")?;
     ensure!(runner.last_seen_end == 0 && runner.tasks.is_empty());
@@ -77,7 +80,10 @@
     let (mut state, order) = one_started()?;
     let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
     let renewed = renewed.ok_or_eyre("the runner is known")?;
-    ensure!((renewed.ended, renewed.doubtful) == (0, 1), "{renewed:?}");
+    ensure!(
+        (renewed.ended, renewed.unconfirmed) == (0, 1),
+        "{renewed:?}"
+    );
     ensure!(decide(&mut state, 2_100).is_empty(), "started elsewhere");
     // The next life has it, and it goes on there.
     let row = RunningTask {
--- a/crates/hoisthitch-scheduler/src/owner/lives.rs
+++ b/crates/hoisthitch-scheduler/src/owner/lives.rs
@@ -156,7 +156,7 @@
         };
         let restarted_at = self.context.fleet.borrow().restarted_at(&runner.facts.name);
         let is_young = restarted_at.is_some_and(|at| at + STRAY_RUN_MS > now);
-        let longest = if runner.renewed || is_young {
+        let longest = if runner.restarted || is_young {
             STRAY_RUN_MS
         } else {
             FULL_RUN_MS
@@ -265,7 +265,7 @@
             runner = instance,
             before = before,
             ended = renewed.ended,
-            doubtful = renewed.doubtful
+            doubtful = renewed.unconfirmed
         );
         self.open_session(renewed.key, address);
     }
