--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -245,8 +245,8 @@
         self.record_lost_runs(&lost, None);
     }
 
-    /// Records a runner's first response: runs that an earlier owner ordered on a previous
-    /// instance of it were lost with that instance.
+    /// Records the losses that a runner's response shows: runs that an earlier owner ordered
+    /// on a previous instance of the runner were lost with that instance.
     pub(crate) fn record_earlier_instance_loss(&mut self, key: RunnerKey, now: Millis) {
         let Some(instance) = self.instance_of(key) else {
             return;
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -181,10 +181,10 @@
         }
     }
 
-    /// Whether a task yields to an earlier run of it that a runner has, because that run's
-    /// start was carried out late. No other run may begin meanwhile. If no start of the task
-    /// is under way, the task waits for the earlier run to stop. If a start is under way that
-    /// may not have begun, it is withdrawn first.
+    /// Lets a task yield to an earlier run of it that a runner has, because that run's start
+    /// was carried out late; returns whether it does. No other run may begin meanwhile. If no
+    /// start of the task is under way, the task waits for the earlier run to stop. If a start
+    /// is under way that may not have begun, it is withdrawn first.
     fn yields_to_earlier_run(
         &mut self,
         task: TaskRef,
