--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -120,8 +120,9 @@
         else {
             return false;
         };
-        let uses = self.team_usage();
-        uses.get(team)
-            .is_some_and(|found| !allowed.covers(found.used))
+        let usage = self.team_usage();
+        usage
+            .get(team)
+            .is_some_and(|team_usage| !allowed.covers(team_usage.used))
     }
 }
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -1,8 +1,8 @@
 //! Tickets: permissions of a queue's adviser to run a step on certain runners.
 //!
 //! A step of an advised queue only starts on a runner for which the adviser has issued a
-//! ticket that is still valid. [`PoolState::ask_advice`] returns the next request to send,
-//! [`PoolState::take_advice`] stores the tickets of a response.
+//! ticket that is still valid. [`PoolState::next_advice_request`] returns the next request to
+//! send, [`PoolState::record_advice`] stores the tickets of a response.
 
 use std::collections::HashMap;
 
--- a/crates/hoisthitch-jobs/src/balance.rs
+++ b/crates/hoisthitch-jobs/src/balance.rs
@@ -66,7 +66,7 @@
 /// State of a pool while moves are planned.
 struct PoolLevel<'a> {
     name: &'a String,
-    share: &'a VmBalance,
+    balance: &'a VmBalance,
     /// VMs in the pool that may still be given.
     staying: usize,
     /// VMs that the pool has or will get.
@@ -78,7 +78,7 @@
 impl PoolLevel<'_> {
     /// VMs that it needs for its own work.
     fn needed(&self) -> usize {
-        to_usize(self.share.keep.max(self.share.want))
+        to_usize(self.balance.keep.max(self.balance.want))
     }
 
     /// Part of `wanted` that it lacks, in thousandths.
@@ -92,23 +92,27 @@
 pub fn plan_moves(pools: &BTreeMap<String, VmBalance>) -> Vec<VmMove> {
     let mut levels: Vec<PoolLevel<'_>> = pools
         .iter()
-        .map(|(name, share)| PoolLevel {
+        .map(|(name, balance)| PoolLevel {
             name,
-            share,
-            staying: share.staying(),
+            balance,
+            staying: balance.staying(),
             have: count_vms(pools, name),
             gives: false,
         })
         .collect();
-    let vms: usize = pools.values().map(|share| share.vms.len()).sum();
-    let active = pools.values().filter(|share| !share.spare).count().max(1);
+    let vms: usize = pools.values().map(|balance| balance.vms.len()).sum();
+    let active = pools
+        .values()
+        .filter(|balance| !balance.spare)
+        .count()
+        .max(1);
     let floor = vms * KEEP_PERCENT / 100 / active;
     let level = vms.div_ceil(active);
     let mut moves = Vec::new();
     fill(
         &mut levels,
         &mut moves,
-        |pool| to_usize(pool.share.want).max(floor),
+        |pool| to_usize(pool.balance.want).max(floor),
         |pool| pool.needed().max(floor),
         Some(floor),
     );
@@ -152,8 +156,8 @@
     wanted: impl Fn(&PoolLevel<'_>) -> usize,
 ) -> Option<usize> {
     let candidates = levels.iter().enumerate();
-    let lacking =
-        candidates.filter(|(_, pool)| !pool.share.spare && !pool.gives && wanted(pool) > pool.have);
+    let lacking = candidates
+        .filter(|(_, pool)| !pool.balance.spare && !pool.gives && wanted(pool) > pool.have);
     lacking
         .max_by_key(|(_, pool)| (pool.missing_part(wanted(pool)), pool.name))
         .map(|(index, _)| index)
@@ -162,13 +166,13 @@
 /// The pool with the most VMs beyond those it keeps; a pool whose VMs are off comes first.
 fn most_spare(levels: &[PoolLevel<'_>], kept: impl Fn(&PoolLevel<'_>) -> usize) -> Option<usize> {
     let surplus = |pool: &PoolLevel<'_>| {
-        let kept = if pool.share.spare { 0 } else { kept(pool) };
+        let kept = if pool.balance.spare { 0 } else { kept(pool) };
         pool.staying.saturating_sub(kept)
     };
     let candidates = levels.iter().enumerate();
     candidates
         .filter(|(_, pool)| surplus(pool) > 0)
-        .max_by_key(|(_, pool)| (pool.share.spare, surplus(pool), pool.name))
+        .max_by_key(|(_, pool)| (pool.balance.spare, surplus(pool), pool.name))
         .map(|(index, _)| index)
 }
 
@@ -184,8 +188,8 @@
     let missing = lack(levels.get(taker)?);
     let candidates = levels.iter().enumerate();
     candidates
-        .filter(|(index, pool)| *index != taker && !pool.share.spare)
-        .filter(|(_, pool)| pool.staying > to_usize(pool.share.keep).max(least))
+        .filter(|(index, pool)| *index != taker && !pool.balance.spare)
+        .filter(|(_, pool)| pool.staying > to_usize(pool.balance.keep).max(least))
         .filter(|(_, pool)| lack(pool) + LACK_MARGIN_MILLI < missing)
         .min_by_key(|(_, pool)| (lack(pool), pool.name))
         .map(|(index, _)| index)
@@ -208,17 +212,17 @@
 
 /// Number of VMs that are in a pool or on their way to it.
 fn count_vms(pools: &BTreeMap<String, VmBalance>, pool: &str) -> usize {
-    let Some(share) = pools.get(pool) else {
+    let Some(balance) = pools.get(pool) else {
         return 0;
     };
-    let here: HashSet<&String> = share.vms.iter().collect();
+    let here: HashSet<&String> = balance.vms.iter().collect();
     let coming = pools
         .iter()
         .filter(|(from, _)| *from != pool)
         .flat_map(|(_, other)| &other.sent)
         .filter(|(vm, to)| *to == pool && !here.contains(vm))
         .count();
-    share.staying() + coming
+    balance.staying() + coming
 }
 
 fn to_usize(count: u32) -> usize {
--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -22,7 +22,7 @@
 /// tenths of a second.
 const TIME_LEFT_MIN_MS: Millis = 700;
 
-/// Progress from which a task's remaining time is extrapolated from it, in percent.
+/// Least progress from which the remaining time of a task is extrapolated, in percent.
 const EXTRAPOLATE_PERCENT: u32 = 10;
 
 impl PoolState {
--- a/crates/hoisthitch-jobs/src/fair.rs
+++ b/crates/hoisthitch-jobs/src/fair.rs
@@ -30,17 +30,20 @@
     /// Teams that use more of a full pool than their share.
     pub(crate) fn teams_beyond_share<'a>(
         &self,
-        uses: &HashMap<&'a str, TeamUsage>,
+        usage: &HashMap<&'a str, TeamUsage>,
     ) -> HashSet<&'a str> {
         if self.weights.is_empty() || !self.lacked_capacity {
             return HashSet::new();
         }
         let weight = |team: &str| self.weights.get(team).copied().unwrap_or(1.0);
-        let all_weights: f64 = uses.keys().map(|team| weight(team)).sum();
-        let all_used: u64 = uses.values().map(|found| found.used.cpu_milli).sum();
-        let beyond = uses.iter().filter(|(team, found)| {
+        let all_weights: f64 = usage.keys().map(|team| weight(team)).sum();
+        let all_used: u64 = usage
+            .values()
+            .map(|team_usage| team_usage.used.cpu_milli)
+            .sum();
+        let beyond = usage.iter().filter(|(team, team_usage)| {
             let share = weight(team) * BEYOND_SHARE_PERCENT / 100.0 / all_weights;
-            as_f64(found.used.cpu_milli) > as_f64(all_used) * share
+            as_f64(team_usage.used.cpu_milli) > as_f64(all_used) * share
         });
         beyond.map(|(team, _)| *team).collect()
     }
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -110,9 +110,9 @@
         self.plan_needed = false;
         let mut planned = 0;
         let mut full = FullResources::default();
-        let uses = self.usage_for_plan();
-        let mut budget = self.quota_budget(&uses);
-        let order = self.plan_order(&uses, now);
+        let usage = self.usage_for_plan();
+        let mut budget = self.quota_budget(&usage);
+        let order = self.plan_order(&usage, now);
         self.tasks_over_quota.clear();
         for key in order {
             planned += self.plan_job(key, &mut full, &mut budget, now);
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -191,21 +191,21 @@
 
     /// Resources that each team uses or waits for in this pool.
     pub fn team_usage(&self) -> HashMap<&str, TeamUsage> {
-        let mut uses: HashMap<&str, TeamUsage> = HashMap::new();
+        let mut usage: HashMap<&str, TeamUsage> = HashMap::new();
         let active = self.active.iter().filter_map(|key| self.jobs.get(*key));
         for job in active.filter(|job| !job.team.is_empty()) {
-            let found = uses.entry(&job.team).or_default();
+            let team_usage = usage.entry(&job.team).or_default();
             for (slot, task) in job.tasks.iter().enumerate() {
                 let need = || job.step_of(slot).map(|step| step.need).unwrap_or_default();
                 match task.state {
                     TaskState::Done => {}
                     TaskState::Waiting if job.phase.is_final() || !job.is_ready(slot) => {}
-                    TaskState::Waiting => found.waiting = found.waiting.plus(need()),
-                    _ => found.used = found.used.plus(need()),
+                    TaskState::Waiting => team_usage.waiting = team_usage.waiting.plus(need()),
+                    _ => team_usage.used = team_usage.used.plus(need()),
                 }
             }
         }
-        uses
+        usage
     }
 
     /// Number of tasks, by team, that a quota kept from starting when starts were last
@@ -223,12 +223,12 @@
     }
 
     /// What each limited team may start beyond what it uses already.
-    pub(crate) fn quota_budget(&self, uses: &HashMap<&str, TeamUsage>) -> QuotaBudget {
+    pub(crate) fn quota_budget(&self, usage: &HashMap<&str, TeamUsage>) -> QuotaBudget {
         let mut budget = QuotaBudget::default();
         for (team, allowed) in &self.quota_allocations {
-            let found = uses.get(team.as_str()).copied().unwrap_or_default();
+            let team_usage = usage.get(team.as_str()).copied().unwrap_or_default();
             budget.indexes.insert(team.clone(), budget.left.len());
-            budget.left.push(allowed.minus(found.used));
+            budget.left.push(allowed.minus(team_usage.used));
         }
         budget
     }
--- a/crates/hoisthitch-jobs/src/rank.rs
+++ b/crates/hoisthitch-jobs/src/rank.rs
@@ -54,7 +54,7 @@
 
 impl PoolState {
     /// Active jobs in the order in which they are to be served.
-    pub(crate) fn plan_order(&self, uses: &HashMap<&str, TeamUsage>, now: Millis) -> Vec<JobKey> {
+    pub(crate) fn plan_order(&self, usage: &HashMap<&str, TeamUsage>, now: Millis) -> Vec<JobKey> {
         let jobs: Vec<(JobKey, &JobEntry, Millis)> = self
             .active
             .iter()
@@ -67,7 +67,7 @@
             lately && !job.spec.is_long_running() && !job.has_begun()
         });
         let overloaded: BTreeSet<u32> = passed.map(|(_, job, _)| job.policy.priority).collect();
-        let beyond = self.teams_beyond_share(uses);
+        let beyond = self.teams_beyond_share(usage);
         let mut order: Vec<(JobRank, JobKey)> = jobs
             .iter()
             .map(|(key, job, start)| {
