--- a/crates/hoisthitch-jobs/src/evict.rs
+++ b/crates/hoisthitch-jobs/src/evict.rs
@@ -1,11 +1,11 @@
-//! Empties a runner sooner than its tasks end, when another pool needs its VM.
+//! Evicts resumable tasks from a runner when another pool needs its VM, instead of waiting for
+//! their ends.
 //!
-//! A task that saves its progress is stopped and goes on elsewhere from where it
-//! was. That costs its job the stop and a start, and brings the VM the time that
-//! the task would have run on: 1 in 100 more of what is owed where demand goes from
-//! pool to pool (40 plays, docs/decisions.md). Tasks for which no room is free
-//! elsewhere stay, unless their job is late anyway, and so do those that would begin
-//! anew.
+//! A task that saves its progress is stopped and resumes on another runner. This costs its job
+//! a stop and a start, and frees the VM earlier by the time that the task would have run on;
+//! it brings 1 percent more of the attainable value where demand goes from pool to pool (40
+//! simulated days, docs/decisions.md). Tasks that would have to begin from the start stay, and
+//! so do tasks for which no other runner has free capacity, unless their job is late anyway.
 
 use crate::{
     Millis,
@@ -13,20 +13,20 @@
     runner::RunnerKey,
     task::{
         TaskEntry,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
-/// Time that a task has to run on for at least to be moved, in milliseconds: a stop
-/// takes up to nine tenths of a second.
-const LEFT_MS: Millis = 700;
+/// Least remaining time of a task that is moved, in milliseconds: a stop takes up to nine
+/// tenths of a second.
+const TIME_LEFT_MIN_MS: Millis = 700;
 
-/// Share of a task's work from which on the time left is judged by it, in percent.
-const TOLD_PERCENT: u32 = 10;
+/// Least progress from which the remaining time of a task is extrapolated, in percent.
+const EXTRAPOLATE_PERCENT: u32 = 10;
 
 impl PoolState {
-    /// Stops tasks of a leaving runner that can go on elsewhere.
+    /// Stops tasks of an evacuating runner that can resume elsewhere.
     pub fn evict_resumable(&mut self, key: RunnerKey, now: Millis) {
         let Some(runner) = self.runners.get(key) else {
             return;
@@ -37,12 +37,13 @@
         let tasks: Vec<(TaskRef, u64)> = runner
             .tasks
             .iter()
-            .filter(|task| self.can_go_on(**task, now))
+            .filter(|task| self.can_resume(**task, now))
             .filter_map(|task| {
                 let job = self.jobs.get(task.job)?;
                 let step = job.step_of(task.slot)?;
-                // What is late waits for room elsewhere; other pools' work must not.
-                let late = self.is_missed(job, now);
+                // Tasks of a late job may wait for capacity elsewhere; the other pool's work
+                // must not wait.
+                let late = self.has_missed_objective(job, now);
                 Some((*task, if late { 0 } else { step.need.cpu_milli }))
             })
             .collect();
@@ -59,8 +60,9 @@
         }
     }
 
-    /// Whether the task keeps its work when it is stopped, and runs on for long.
-    fn can_go_on(&self, task: TaskRef, now: Millis) -> bool {
+    /// Whether the task keeps its progress when it is stopped, and has enough time left to be
+    /// worth moving.
+    fn can_resume(&self, task: TaskRef, now: Millis) -> bool {
         let Some(job) = self.jobs.get(task.job).filter(|job| !job.phase.is_final()) else {
             return false;
         };
@@ -71,17 +73,17 @@
             && step.checkpoints
             && !step.long_running
             && !step.gang
-            && time_left(entry, self.expected_time(job), now) > LEFT_MS
+            && remaining_time(entry, self.expected_time(job), now) > TIME_LEFT_MIN_MS
     }
 
-    /// Processor time that runners have free, beyond what waits for it, in
-    /// thousandths of a core.
+    /// Free processors of runners that take tasks, less those that waiting and stopping tasks
+    /// need, in thousandths of a core.
     fn free_cpu(&self, now: Millis) -> u64 {
-        let takers = self
+        let accepting = self
             .runners
             .values()
             .filter(|runner| runner.takes_tasks(now));
-        let free: u64 = takers
+        let free: u64 = accepting
             .map(|runner| {
                 runner
                     .facts
@@ -90,23 +92,25 @@
                     .saturating_sub(runner.used.cpu_milli)
             })
             .sum();
-        let due: u64 = self
+        let requested: u64 = self
             .active_tasks()
-            .filter(|(_, entry)| matches!(entry.place, TaskPlace::Waiting | TaskPlace::Stopping(_)))
+            .filter(|(_, entry)| matches!(entry.state, TaskState::Waiting | TaskState::Stopping(_)))
             .filter_map(|(task, _)| {
                 let job = self.jobs.get(task.job)?;
                 let step = job.step_of(task.slot)?;
-                job.is_ready(task.slot).then_some(step.room().cpu_milli)
+                job.is_ready(task.slot)
+                    .then_some(step.reservation().cpu_milli)
             })
             .sum();
-        free.saturating_sub(due)
+        free.saturating_sub(requested)
     }
 }
 
-/// Time that a task runs on, by the share of its work that is done.
-fn time_left(entry: &TaskEntry, expected: Millis, now: Millis) -> Millis {
+/// Remaining time of a task: extrapolated from its progress, or the expected time less the
+/// time it ran.
+fn remaining_time(entry: &TaskEntry, expected: Millis, now: Millis) -> Millis {
     let ran = now.saturating_sub(entry.began_at);
-    if entry.percent < TOLD_PERCENT {
+    if entry.percent < EXTRAPOLATE_PERCENT {
         return expected.saturating_sub(ran);
     }
     let percent = Millis::from(entry.percent.min(100));
--- a/crates/hoisthitch-jobs/src/lib.rs
+++ b/crates/hoisthitch-jobs/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decisions about jobs: which task runs where, and what is known of it.
+//! Scheduling decisions for the jobs of a pool: which task runs where, and what is known about
+//! it.
 //!
-//! A job is a set of steps, a step a set of tasks. One process owns a pool and
-//! keeps its [`PoolState`]: it plans starts, takes in what runners report, and
-//! tells which records have to be written before anything is ordered or
-//! acknowledged. Nothing here does input or output; times are milliseconds of
-//! the owner's steady clock.
+//! A job is a set of steps, and a step is a number of equal tasks. One process owns a pool and
+//! keeps its [`PoolState`]. The state plans starts, applies what runners report, and returns
+//! the records that must be written before anything is ordered or acknowledged. This crate
+//! does no input or output; all times are milliseconds of the owner's monotonic clock, unless
+//! their names or docs say otherwise.
 
 mod account;
 mod admission;
@@ -18,8 +19,8 @@
 mod forecast;
 mod gang;
 mod job;
-mod lives;
 mod losses;
+mod maintenance;
 mod observe;
 mod pace;
 mod place;
@@ -30,6 +31,7 @@
 mod record;
 mod report;
 mod resources;
+mod restarts;
 mod runner;
 mod silent;
 mod spec;
@@ -38,7 +40,6 @@
 mod suspects;
 mod suspicion;
 mod task;
-mod upkeep;
 mod wave;
 
 pub use account::{
@@ -63,11 +64,11 @@
     JobEntry,
     JobKey, //
 };
-pub use lives::RestartedRunner;
 pub use losses::{
     LostRun,
     RunnerLoss, //
 };
+pub use maintenance::EvacuationStatus;
 pub use pace::PaceOrder;
 pub use plan::FlushPlan;
 pub use pool::{
@@ -94,6 +95,7 @@
     StartOutcome, //
 };
 pub use resources::ResourceAmounts;
+pub use restarts::RestartedRunner;
 pub use runner::{
     RunnerEntry,
     RunnerFacts,
@@ -107,7 +109,7 @@
 pub use spec::{
     JobSchedule,
     JobSpec,
-    SPEC_LIMIT,
+    PAYLOAD_MAX_BYTES,
     SpecError,
     StepSpec, //
 };
@@ -118,14 +120,13 @@
     StopOrder,
     TaskEntry,
     TaskName,
-    TaskPlace,
-    TaskRef, //
+    TaskRef,
+    TaskState, //
 };
-pub use upkeep::EvacuationStatus;
 pub use wave::{
     WaveChange,
     WaveProgress, //
 };
 
-/// Milliseconds of the owner's steady clock.
+/// Milliseconds of the owner's monotonic clock.
 pub type Millis = u64;
--- a/crates/hoisthitch-jobs/src/upkeep.rs
+++ b/crates/hoisthitch-jobs/src/maintenance.rs
@@ -1,4 +1,7 @@
-//! Says when a runner's VM may go down for upkeep or a move.
+//! Decides when a runner's VM may go down for maintenance or a move.
+//!
+//! A VM may go down once no short task runs on it, and if no long-running step would then have
+//! more tasks unavailable than it allows (its disruption budget).
 
 use std::collections::{
     HashMap,
@@ -13,28 +16,28 @@
     runner::RunnerKey,
     task::{
         TaskEntry,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
-/// Time that a lasting task has to be at work elsewhere, in milliseconds: a
-/// stop, a start and the short time until it is at work.
-const RELOCATE_MS: Millis = 2_500;
+/// Time that a moved long-running task may take to become available elsewhere, in
+/// milliseconds: a stop, a start, and a short time until it serves.
+const RELOCATION_MS: Millis = 2_500;
 
 /// Whether a VM may go down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EvacuationStatus {
-    /// Nothing that may not be interrupted runs on it.
+    /// It may go down: nothing that must not be interrupted runs on it.
     Free,
-    /// This many short tasks still run on it.
+    /// Not yet: this many short tasks still run on it.
     Busy(usize),
-    /// A lasting step has too many tasks away already.
+    /// Not yet: a long-running step has too many tasks unavailable already.
     Held,
 }
 
 impl PoolState {
-    /// Says whether a runner is to be emptied.
+    /// Sets whether a runner is to be emptied.
     pub fn set_evacuating(&mut self, key: RunnerKey, evacuating: bool) {
         if let Some(runner) = self.runners.get_mut(key)
             && runner.evacuating != evacuating
@@ -51,30 +54,37 @@
             .unwrap_or(EvacuationStatus::Free)
     }
 
-    /// Which runners' VMs may go down now: those that are free, all together.
+    /// Which of these runners' VMs may go down now; those that are free may all go down
+    /// together.
     pub fn evacuation_statuses(&self, keys: &[RunnerKey]) -> Vec<EvacuationStatus> {
         let mut ending = Vec::new();
         keys.iter()
-            .map(|key| self.view_beside(*key, &mut ending))
+            .map(|key| self.status_beside(*key, &mut ending))
             .collect()
     }
 
-    /// Whether a runner's VM may go down beside those whose tasks are `ending`; adds
-    /// its tasks if so.
-    fn view_beside(&self, key: RunnerKey, ending: &mut Vec<TaskRef>) -> EvacuationStatus {
+    /// Whether a runner's VM may go down beside those whose tasks are in `ending`; adds its
+    /// tasks if so.
+    fn status_beside(&self, key: RunnerKey, ending: &mut Vec<TaskRef>) -> EvacuationStatus {
         let Some(runner) = self.runners.get(key) else {
             return EvacuationStatus::Free;
         };
-        // What an earlier owner ordered there shows in the runner's answers.
+        // Tasks that an earlier owner ordered there are only known once the runner responds.
         if !runner.ready {
             return EvacuationStatus::Held;
         }
-        let short = runner.tasks.iter().filter(|task| !self.lasts(**task));
+        let short = runner
+            .tasks
+            .iter()
+            .filter(|task| !self.is_long_running(**task));
         let short = short.count();
-        let lasting = runner.tasks.iter().filter(|task| self.lasts(**task));
-        let lasting: Vec<TaskRef> = lasting.copied().collect();
-        let together: Vec<TaskRef> = ending.iter().chain(&lasting).copied().collect();
-        if !lasting.is_empty() && !self.may_end(&together) {
+        let long_running = runner
+            .tasks
+            .iter()
+            .filter(|task| self.is_long_running(**task));
+        let long_running: Vec<TaskRef> = long_running.copied().collect();
+        let together: Vec<TaskRef> = ending.iter().chain(&long_running).copied().collect();
+        if !long_running.is_empty() && !self.may_disrupt(&together) {
             return EvacuationStatus::Held;
         }
         if short > 0 {
@@ -84,18 +94,18 @@
         EvacuationStatus::Free
     }
 
-    /// Whether the VM of a runner that is not in the list may go down now, by
-    /// the tasks that were recorded there; none when there are none. A runner's
-    /// record lapses in an outage of the store while the runner works on.
+    /// Whether the VM of a runner that is not listed may go down now, by the tasks that are
+    /// recorded there; none if there are no such tasks. A runner's record lapses during an
+    /// outage of the store while the runner keeps working.
     pub fn unlisted_evacuation_status(&self, name: &str) -> Option<EvacuationStatus> {
         let mut short = 0;
         for (task, entry) in self.active_tasks() {
             let here =
-                matches!(&entry.place, TaskPlace::Unlocated { runner, .. } if runner == name);
+                matches!(&entry.state, TaskState::Unconfirmed { runner, .. } if runner == name);
             if !here {
                 continue;
             }
-            if self.lasts(task) {
+            if self.is_long_running(task) {
                 return Some(EvacuationStatus::Held);
             }
             short += 1;
@@ -103,23 +113,23 @@
         (short > 0).then_some(EvacuationStatus::Busy(short))
     }
 
-    /// Whether the task is of a step that lasts.
-    pub(crate) fn lasts(&self, task: TaskRef) -> bool {
+    /// Whether the task's step is long-running.
+    pub(crate) fn is_long_running(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(task.job);
         job.and_then(|job| job.step_of(task.slot))
             .is_some_and(|step| step.long_running)
     }
 
-    /// Whether these tasks may be ended together, beside those that are away.
-    /// Each of them counts, for it may have come to work since its runner last
-    /// told.
-    pub(crate) fn may_end(&self, tasks: &[TaskRef]) -> bool {
+    /// Whether these tasks may be ended together, given those that are unavailable already.
+    /// Each of them counts, even if it was unavailable in its runner's last report, because it
+    /// may have become available since.
+    pub(crate) fn may_disrupt(&self, tasks: &[TaskRef]) -> bool {
         let mut ending: HashMap<(JobKey, u32, u32), HashSet<usize>> = HashMap::new();
         for task in tasks {
             let Some(entry) = self.task(*task) else {
                 continue;
             };
-            if is_ordered(&entry.place) {
+            if may_be_running(&entry.state) {
                 let step = (task.job, entry.round, entry.step);
                 ending.entry(step).or_default().insert(task.slot);
             }
@@ -135,25 +145,26 @@
                 return true;
             };
             let tasks = job.tasks_of(round, step);
-            let away = tasks
-                .filter(|(slot, task)| slots.contains(slot) || !self.is_at_work(task))
+            let unavailable = tasks
+                .filter(|(slot, task)| slots.contains(slot) || !self.is_available(task))
                 .count();
             job.phase.is_final()
-                || u32::try_from(away).is_ok_and(|away| away <= spec.max_unavailable)
+                || u32::try_from(unavailable)
+                    .is_ok_and(|unavailable| unavailable <= spec.max_unavailable)
         })
     }
 
-    /// Whether a lasting task works, as far as its runner has said of late.
-    pub(crate) fn is_at_work(&self, task: &TaskEntry) -> bool {
-        let TaskPlace::Running(key) = task.place else {
+    /// Whether a long-running task is available, as far as its runner reported lately.
+    pub(crate) fn is_available(&self, task: &TaskEntry) -> bool {
+        let TaskState::Running(key) = task.state else {
             return false;
         };
-        let heard = self.runners.get(key).is_some_and(|runner| runner.ready);
-        heard && task.away_since.is_none()
+        let responds = self.runners.get(key).is_some_and(|runner| runner.ready);
+        responds && task.unavailable_since.is_none()
     }
 
-    /// Moves one lasting task off a runner that holds more of a step than may be
-    /// away at once; answers whether it did, or did a moment ago.
+    /// Moves one long-running task off a runner that has more tasks of its step than may be
+    /// unavailable at the same time; returns whether it did, or did so a moment ago.
     pub fn relocate_task(&mut self, key: RunnerKey, now: Millis) -> bool {
         let Some(runner) = self.runners.get(key).filter(|runner| runner.ready) else {
             return false;
@@ -163,21 +174,23 @@
         }
         let tasks: Vec<TaskRef> = runner.tasks.iter().copied().collect();
         let crowded = tasks.iter().copied().find(|task| {
-            let at_work = self.task(*task).is_some_and(|entry| self.is_at_work(entry));
-            at_work && self.is_crowded(*task, &tasks) && self.may_end(&[*task])
+            let available = self
+                .task(*task)
+                .is_some_and(|entry| self.is_available(entry));
+            available && self.is_crowded(*task, &tasks) && self.may_disrupt(&[*task])
         });
         let Some(task) = crowded else {
             return false;
         };
         self.stop_task(task, now);
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.relocating_until = now + RELOCATE_MS;
+            runner.relocating_until = now + RELOCATION_MS;
         }
         true
     }
 
-    /// Whether these tasks hold more of the task's lasting step than may be
-    /// away at once.
+    /// Whether these tasks include more of the task's long-running step than may be
+    /// unavailable at the same time.
     fn is_crowded(&self, task: TaskRef, tasks: &[TaskRef]) -> bool {
         let Some(job) = self.jobs.get(task.job) else {
             return false;
@@ -195,7 +208,7 @@
             && u32::try_from(alike).is_ok_and(|alike| alike > step.max_unavailable)
     }
 
-    /// Takes the lasting tasks of a runner as away: its VM goes down now.
+    /// Releases all tasks of a runner, because its VM goes down now.
     pub fn record_planned_shutdown(&mut self, key: RunnerKey, now: Millis) {
         self.release_runner(key, RunnerLoss::Planned, now);
         if let Some(runner) = self.runners.get_mut(key) {
@@ -204,10 +217,10 @@
     }
 }
 
-/// Whether a runner may run the task by now.
-fn is_ordered(place: &TaskPlace) -> bool {
+/// Whether the runner may be running the task by now.
+fn may_be_running(state: &TaskState) -> bool {
     matches!(
-        place,
-        TaskPlace::Ordered(_) | TaskPlace::Running(_) | TaskPlace::Stopping(_)
+        state,
+        TaskState::Ordered(_) | TaskState::Running(_) | TaskState::Stopping(_)
     )
 }
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -1,4 +1,9 @@
-//! Takes in what runners report and answer.
+//! Applies what runners report: responses to heartbeats, ends of runs, and answers to start
+//! and stop orders.
+//!
+//! A response to a heartbeat lists all runs of a runner, so a run that is missing from it is
+//! not there. It only tells about orders that were answered before the heartbeat was sent; the
+//! others may still be carried out.
 
 use std::collections::HashSet;
 
@@ -21,22 +26,22 @@
         StopOrder,
         TaskEntry,
         TaskName,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
-/// Time for which a runner that refused a start gets no tasks, in
-/// milliseconds; about the time of a short task, after which room is free.
-const REFUSED_SHUN_MS: Millis = 300;
+/// Backoff of a runner that refused a start, in milliseconds; about the time of a short task,
+/// after which resources are free again.
+const REFUSED_BACKOFF_MS: Millis = 300;
 
-/// Time for which a runner that did not answer a start gets no tasks, in
-/// milliseconds; two holds are answered meanwhile if it is well.
-const UNCLEAR_SHUN_MS: Millis = 1_500;
+/// Backoff of a runner that did not answer a start, in milliseconds; a healthy one answers two
+/// heartbeats meanwhile.
+const UNANSWERED_BACKOFF_MS: Millis = 1_500;
 
 impl PoolState {
-    /// Takes in a runner's answer to a hold that was sent at `asked_at`;
-    /// answers with the starts to send again.
+    /// Records a runner's response to the heartbeat that was sent at `asked_at`; returns the
+    /// starts to send again.
     pub fn record_heartbeat(
         &mut self,
         key: RunnerKey,
@@ -47,28 +52,28 @@
         let Some(runner) = self.runners.get_mut(key) else {
             return Vec::new();
         };
-        self.heard_since.get_or_insert(now);
+        self.responding_since.get_or_insert(now);
         runner.silent_since = None;
-        runner.loss_noted = false;
-        runner.heard_at = runner.heard_at.max(Some(asked_at));
+        runner.loss_recorded = false;
+        runner.last_heartbeat_at = runner.last_heartbeat_at.max(Some(asked_at));
         let seen = runner.last_seen_end;
         let mut present = HashSet::new();
         for row in &report.running {
-            present.extend(self.take_running(key, row, now));
+            present.extend(self.record_running(key, row, now));
         }
         for row in report.ended.iter().filter(|row| row.number > seen) {
-            present.extend(self.take_ended(key, row, now));
+            present.extend(self.record_ended(key, row, now));
         }
         if let Some(last) = report.ended.iter().map(|row| row.number).max()
             && let Some(runner) = self.runners.get_mut(key)
         {
             runner.last_seen_end = runner.last_seen_end.max(last);
         }
-        self.settle_located(key, now);
-        self.take_absent(key, &present, asked_at, now)
+        self.release_unreported(key, now);
+        self.resolve_missing_runs(key, &present, asked_at, now)
     }
 
-    /// Takes in that the runner has a lease of this owner.
+    /// Records that the runner has a lease of this owner.
     pub fn mark_runner_ready(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
             self.plan_needed |= !runner.ready;
@@ -76,15 +81,15 @@
         }
     }
 
-    /// Takes in until when the runner has a lease of this owner for certain.
+    /// Records the time until which the runner has a lease of this owner for certain.
     pub fn confirm_runner_lease(&mut self, key: RunnerKey, until: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.lease_confirmed_until = Some(until);
         }
     }
 
-    /// Takes in that a hold got no answer.
-    /// `reset`, at once, since nothing listens there any more.
+    /// Records that a heartbeat got no response; `reset` if this was known at once, because
+    /// nothing listens there any more.
     pub fn record_missed_heartbeat(&mut self, key: RunnerKey, reset: bool, now: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.ready = false;
@@ -95,66 +100,71 @@
         }
     }
 
-    /// Takes a runner as one that may be down, until it answers again.
+    /// Treats a runner as one that may be down, until it responds again.
     pub fn mark_runner_unreachable(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.ready = false;
         }
     }
 
-    /// Notes until when the runner may run what it was told to.
+    /// Extends the time until which the runner may run what it was ordered to.
     pub fn extend_lease(&mut self, key: RunnerKey, until: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.lease_until = runner.lease_until.max(until);
         }
     }
 
-    fn locate(&self, name: &str) -> Option<TaskRef> {
+    fn find_task(&self, name: &str) -> Option<TaskRef> {
         let name = TaskName::parse(name)?;
         let job = *self.job_ids.get(&name.job)?;
         let slot = self.jobs.get(job)?.slot_of(&name)?;
         Some(TaskRef { job, slot })
     }
 
-    /// Takes in a run that goes on; answers with its task if it is the one
-    /// that the owner wants there.
-    fn take_running(&mut self, key: RunnerKey, row: &RunningTask, now: Millis) -> Option<TaskRef> {
-        let Some(task) = self.locate(&row.name) else {
-            self.stop_stray(key, &row.name, row.run);
+    /// Records a run that is running; returns its task if the run is the one that the owner
+    /// expects there.
+    fn record_running(
+        &mut self,
+        key: RunnerKey,
+        row: &RunningTask,
+        now: Millis,
+    ) -> Option<TaskRef> {
+        let Some(task) = self.find_task(&row.name) else {
+            self.stop_unexpected_run(key, &row.name, row.run);
             return None;
         };
         let job_ended = self.jobs.get(task.job)?.phase.is_final();
         let name = self.runners.get(key)?.facts.name.as_str();
         let entry = self.task(task)?;
-        let expected = match &entry.place {
-            TaskPlace::Ordered(at) | TaskPlace::Running(at) | TaskPlace::Stopping(at) => *at == key,
-            TaskPlace::Unlocated { runner, .. } => runner == name,
-            TaskPlace::Waiting | TaskPlace::Planned(_) | TaskPlace::Done => false,
+        let expected = match &entry.state {
+            TaskState::Ordered(at) | TaskState::Running(at) | TaskState::Stopping(at) => *at == key,
+            TaskState::Unconfirmed { runner, .. } => runner == name,
+            TaskState::Waiting | TaskState::Planned(_) | TaskState::Done => false,
         };
-        if !expected || entry.placed_run() != row.run {
-            if job_ended || !self.gives_way(task, key, row.run, now) {
-                self.stop_stray(key, &row.name, row.run);
+        if !expected || entry.current_run() != row.run {
+            if job_ended || !self.yields_to_earlier_run(task, key, row.run, now) {
+                self.stop_unexpected_run(key, &row.name, row.run);
             }
-            return self.task(task)?.stray_run.map(|_| task);
+            return self.task(task)?.earlier_run.map(|_| task);
         }
-        let found = matches!(entry.place, TaskPlace::Unlocated { .. });
-        let moved = row.percent != entry.percent;
-        let starts = matches!(entry.place, TaskPlace::Ordered(_));
+        let was_unconfirmed = matches!(entry.state, TaskState::Unconfirmed { .. });
+        let has_progress = row.percent != entry.percent;
+        let was_ordered = matches!(entry.state, TaskState::Ordered(_));
         let entry = self.task_mut(task)?;
         entry.load = row.load;
-        entry.shown = true;
-        entry.unclear = false;
+        entry.reported = true;
+        entry.outcome_unknown = false;
         entry.checkpoint.clone_from(&row.checkpoint);
-        let moved_at = if moved { now } else { entry.moved_at };
+        let changed_at = if has_progress { now } else { entry.changed_at };
         entry.percent = row.percent;
-        if found || starts {
-            self.set_place(task, TaskPlace::Running(key), now);
+        if was_unconfirmed || was_ordered {
+            self.set_task_state(task, TaskState::Running(key), now);
             self.begin_job(task.job);
         }
         let entry = self.task_mut(task)?;
-        entry.moved_at = entry.moved_at.max(moved_at);
+        entry.changed_at = entry.changed_at.max(changed_at);
         if row.percent >= 100 && entry.is_running() {
-            entry.away_since = None;
+            entry.unavailable_since = None;
         }
         if job_ended {
             self.stop_task(task, now);
@@ -171,81 +181,88 @@
         }
     }
 
-    /// Whether no other run of a task begins while a runner has an earlier one, whose start
-    /// was carried out late: it is waited for, as one that stops, where no start is under
-    /// way, and one that may not have begun is withdrawn for it.
-    fn gives_way(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) -> bool {
+    /// Lets a task yield to an earlier run of it that a runner has, because that run's start
+    /// was carried out late; returns whether it does. No other run may begin meanwhile. If no
+    /// start of the task is under way, the task waits for the earlier run to stop. If a start
+    /// is under way that may not have begun, it is withdrawn first.
+    fn yields_to_earlier_run(
+        &mut self,
+        task: TaskRef,
+        key: RunnerKey,
+        run: u32,
+        now: Millis,
+    ) -> bool {
         let name = self.runners.get(key).map(|runner| &runner.facts.name);
         let Some(entry) = self.task(task) else {
             return false;
         };
-        match &entry.place {
-            TaskPlace::Waiting | TaskPlace::Planned(_) => {}
-            TaskPlace::Unlocated { runner, .. } if name == Some(runner) => {}
-            TaskPlace::Ordered(other) if *other != key && !self.is_gang(task) => {
+        match &entry.state {
+            TaskState::Waiting | TaskState::Planned(_) => {}
+            TaskState::Unconfirmed { runner, .. } if name == Some(runner) => {}
+            TaskState::Ordered(other) if *other != key && !self.is_gang(task) => {
                 self.stop_task(task, now);
                 return true;
             }
-            TaskPlace::Stopping(other) => return *other != key && !self.is_gang(task),
+            TaskState::Stopping(other) => return *other != key && !self.is_gang(task),
             _ => return false,
         }
-        self.await_stray(task, key, run, now);
+        self.wait_for_earlier_run(task, key, run, now);
         true
     }
 
-    /// Stops an earlier run of a task, and starts no other before it is gone.
-    fn await_stray(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) {
-        self.set_place(task, TaskPlace::Stopping(key), now);
+    /// Stops an earlier run of a task; no other run starts before it has ended.
+    fn wait_for_earlier_run(&mut self, task: TaskRef, key: RunnerKey, run: u32, now: Millis) {
+        self.set_task_state(task, TaskState::Stopping(key), now);
         if let Some(entry) = self.task_mut(task) {
-            entry.stray_run = Some(run);
+            entry.earlier_run = Some(run);
         }
         self.mark_dirty(task.job);
         self.order_stop(task, key, now);
     }
 
-    fn stop_stray(&mut self, runner: RunnerKey, name: &str, run: u32) {
+    fn stop_unexpected_run(&mut self, runner: RunnerKey, name: &str, run: u32) {
         if let Some(name) = TaskName::parse(name) {
             self.stops.push(StopOrder { runner, name, run });
         }
     }
 
-    fn take_ended(&mut self, key: RunnerKey, row: &EndedTask, now: Millis) -> Option<TaskRef> {
-        let task = self.locate(&row.name)?;
+    fn record_ended(&mut self, key: RunnerKey, row: &EndedTask, now: Millis) -> Option<TaskRef> {
+        let task = self.find_task(&row.name)?;
         let name = &self.runners.get(key)?.facts.name;
         let entry = self.task(task)?;
         if entry.is_done() {
             return None;
         }
-        let here = match &entry.place {
-            TaskPlace::Unlocated { runner, .. } => runner == name,
+        let is_here = match &entry.state {
+            TaskState::Unconfirmed { runner, .. } => runner == name,
             _ => entry.runner() == Some(key),
         };
-        let current = here && entry.placed_run() == row.run;
+        let is_current = is_here && entry.current_run() == row.run;
         match row.kind {
             EndKind::Done => {
-                self.note_runner_done(key);
-                if !current {
+                self.record_runner_done(key);
+                if !is_current {
                     self.stop_other_run(task, row.run);
                 }
-                // One member that is done stands for its whole gang.
-                let whole = if self.is_gang(task) {
+                // If one member is done, the whole gang is.
+                let members = if self.is_gang(task) {
                     self.members(task)
                 } else {
                     vec![task]
                 };
-                for member in whole {
+                for member in members {
                     self.finish_task(member, now);
                 }
             }
-            EndKind::Failed if current => {
-                self.note_runner_failed(key, now);
+            EndKind::Failed if is_current => {
+                self.record_runner_failed(key, now);
                 self.fail_task(task, key, &row.checkpoint, now);
                 self.break_gang(task, now);
             }
-            _ if current => {
+            _ if is_current => {
                 self.break_gang(task, now);
-                self.keep_checkpoint(task, &row.checkpoint);
-                self.set_place(task, TaskPlace::Waiting, now);
+                self.store_checkpoint(task, &row.checkpoint);
+                self.set_task_state(task, TaskState::Waiting, now);
                 self.mark_dirty(task.job);
             }
             _ => return None,
@@ -253,22 +270,22 @@
         Some(task)
     }
 
-    /// Stops the run of a task that another run has done. It may not have begun yet: a
-    /// runner that was told to stop a run does not begin it.
+    /// Stops the current run of a task after another run of it was done. The current run may
+    /// not have begun yet: a runner that was ordered to stop a run does not begin it.
     fn stop_other_run(&mut self, task: TaskRef, done: u32) {
-        let entry = self.task(task).filter(|entry| entry.placed_run() != done);
+        let entry = self.task(task).filter(|entry| entry.current_run() != done);
         let Some(entry) = entry else {
             return;
         };
-        let run = entry.placed_run();
-        let ordered = !matches!(entry.place, TaskPlace::Planned(_));
+        let run = entry.current_run();
+        let ordered = !matches!(entry.state, TaskState::Planned(_));
         let runner = entry.runner().filter(|_| ordered);
         if let Some((runner, name)) = runner.zip(self.name_of(task)) {
             self.stops.push(StopOrder { runner, name, run });
         }
     }
 
-    fn keep_checkpoint(&mut self, task: TaskRef, checkpoint: &str) {
+    fn store_checkpoint(&mut self, task: TaskRef, checkpoint: &str) {
         if let Some(entry) = self.task_mut(task)
             && !checkpoint.is_empty()
         {
@@ -276,15 +293,15 @@
         }
     }
 
-    fn note_runner_done(&mut self, key: RunnerKey) {
+    fn record_runner_done(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.note_done();
+            runner.record_success();
         }
     }
 
-    fn note_runner_failed(&mut self, key: RunnerKey, now: Millis) {
+    fn record_runner_failed(&mut self, key: RunnerKey, now: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.note_failed(now);
+            runner.record_failure(now);
         }
     }
 
@@ -296,9 +313,9 @@
         if let Some(time) = ran.map(|entry| now.saturating_sub(entry.began_at))
             && let Some(queue) = self.jobs.get(task.job).map(|job| job.queue.clone())
         {
-            self.learn_time(&queue, time);
+            self.learn_task_time(&queue, time);
         }
-        self.set_place(task, TaskPlace::Done, now);
+        self.set_task_state(task, TaskState::Done, now);
         self.begin_job(task.job);
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
@@ -306,41 +323,41 @@
         job.dirty = true;
         if let Some(entry) = job.tasks.get(task.slot) {
             let (round, step) = (entry.round, entry.step);
-            job.note_done(round, step);
+            job.record_done(round, step);
         }
         if job.is_done() && !job.phase.is_final() {
             job.phase = JobPhase::Completed;
             job.ended_at = Some(now);
-            self.note_ended(task.job, now);
+            self.record_job_end(task.job, now);
         }
         self.plan_needed = true;
     }
 
     fn fail_task(&mut self, task: TaskRef, key: RunnerKey, checkpoint: &str, now: Millis) {
-        self.keep_checkpoint(task, checkpoint);
-        self.set_place(task, TaskPlace::Waiting, now);
+        self.store_checkpoint(task, checkpoint);
+        self.set_task_state(task, TaskState::Waiting, now);
         self.begin_job(task.job);
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
         };
         job.dirty = true;
         let limit = job.policy.max_attempts.max(1);
-        let lasting = job.step_of(task.slot).is_some_and(|step| step.long_running);
+        let long_running = job.step_of(task.slot).is_some_and(|step| step.long_running);
         let Some(entry) = job.tasks.get_mut(task.slot) else {
             return;
         };
         entry.failed += 1;
         entry.failed_on = Some(key);
-        let spent = entry.failed >= limit && !lasting;
-        if spent {
+        let attempts_used_up = entry.failed >= limit && !long_running;
+        if attempts_used_up {
             self.end_job(task.job, JobPhase::Failed, now);
         }
         self.plan_needed = true;
     }
 
-    /// Lets go of runs that an earlier owner ordered on this runner, which has
-    /// answered and does not know them: it takes no orders of that owner now.
-    fn settle_located(&mut self, key: RunnerKey, now: Millis) {
+    /// Sets tasks back to waiting that an earlier owner ordered on this runner and that it did
+    /// not report. It accepts no orders of that owner any more.
+    fn release_unreported(&mut self, key: RunnerKey, now: Millis) {
         let Some(name) = self
             .runners
             .get(key)
@@ -348,14 +365,14 @@
         else {
             return;
         };
-        self.note_earlier_life(key, now);
-        self.settle_unlocated(|runner, _| runner == name, now);
-        self.give_up(now);
+        self.record_earlier_instance_loss(key, now);
+        self.release_unconfirmed(|runner, _| runner == name, now);
+        self.fail_crashing_tasks(now);
     }
 
-    /// Looks at tasks that should be on the runner and are not: starts that got no answer are
-    /// sent again, with the same run, while they may be.
-    fn take_absent(
+    /// Handles tasks that should be on the runner but are missing from its report. Starts
+    /// without an answer are sent again, under the same run number, if they may still be sent.
+    fn resolve_missing_runs(
         &mut self,
         key: RunnerKey,
         present: &HashSet<TaskRef>,
@@ -371,42 +388,41 @@
             .filter(|task| !present.contains(task))
             .copied()
             .collect();
-        let mut again = Vec::new();
+        let mut resent = Vec::new();
         for task in absent {
             let Some(entry) = self.task_mut(task) else {
                 continue;
             };
-            entry.shown = false;
-            match entry.place {
-                TaskPlace::Ordered(_) if entry.unclear && entry.ordered_at < asked_at => {
-                    again.extend(self.repeat_start(task, key, now));
+            entry.reported = false;
+            match entry.state {
+                TaskState::Ordered(_) if entry.outcome_unknown && entry.ordered_at < asked_at => {
+                    resent.extend(self.resend_start(task, key, now));
                 }
-                TaskPlace::Running(_) if entry.ordered_at < asked_at => {
-                    self.set_place(task, TaskPlace::Waiting, now);
+                TaskState::Running(_) if entry.ordered_at < asked_at => {
+                    self.set_task_state(task, TaskState::Waiting, now);
                     self.mark_dirty(task.job);
                 }
-                // A stop was answered before the hold was sent, so that the
-                // run can't begin any more; it may never have begun, and then
-                // no end of it is listed.
-                TaskPlace::Stopping(_) if entry.stopped_at.is_some_and(|at| at < asked_at) => {
-                    self.set_place(task, TaskPlace::Waiting, now);
+                // The stop was acknowledged before the heartbeat was sent, so the run can't
+                // begin any more. It may never have begun, and then no end of it is reported.
+                TaskState::Stopping(_) if entry.stopped_at.is_some_and(|at| at < asked_at) => {
+                    self.set_task_state(task, TaskState::Waiting, now);
                     self.mark_dirty(task.job);
                 }
                 _ => {}
             }
         }
-        again
+        resent
     }
 
-    /// The start of a task again, of which no copy was answered and whose run its runner does
-    /// not have, where it may be sent.
-    fn repeat_start(&mut self, task: TaskRef, key: RunnerKey, now: Millis) -> Option<StartOrder> {
+    /// Sends the start of a task again, after no copy of it was answered and the runner does
+    /// not report the run; none if it may not be sent.
+    fn resend_start(&mut self, task: TaskRef, key: RunnerKey, now: Millis) -> Option<StartOrder> {
         match self.admit_start(task, key, now) {
             StartAdmission::Send => {
                 if let Some(entry) = self.task_mut(task) {
-                    entry.unclear = false;
+                    entry.outcome_unknown = false;
                 }
-                self.copy_start(task, key)
+                self.next_start_order(task, key)
             }
             StartAdmission::Wait => None,
             StartAdmission::Withdraw => {
@@ -417,18 +433,18 @@
         }
     }
 
-    /// Takes in that a runner answered a stop: the run does not begin any more.
+    /// Records that a runner acknowledged a stop: the run does not begin any more.
     pub fn record_stop_ack(&mut self, order: &StopOrder, now: Millis) {
-        let task = self.locate(&order.name.to_string());
+        let task = self.find_task(&order.name.to_string());
         if let Some(entry) = task.and_then(|task| self.task_mut(task))
-            && entry.place == TaskPlace::Stopping(order.runner)
-            && entry.placed_run() == order.run
+            && entry.state == TaskState::Stopping(order.runner)
+            && entry.current_run() == order.run
         {
             entry.stopped_at = entry.stopped_at.or(Some(now));
         }
     }
 
-    /// Takes in what became of an order to start a task.
+    /// Records the outcome of a start order.
     pub fn record_start_outcome(&mut self, order: &StartOrder, outcome: StartOutcome, now: Millis) {
         let task = order.task;
         let Some(entry) = self.task_mut(task) else {
@@ -438,30 +454,32 @@
             return;
         }
         entry.ordered_at = now;
-        let ordered = entry.place == TaskPlace::Ordered(order.runner);
-        let unanswered = entry.unanswered;
+        let ordered = entry.state == TaskState::Ordered(order.runner);
+        let any_start_unanswered = entry.any_start_unanswered;
         match outcome {
             StartOutcome::Started if ordered => {
                 if let Some(runner) = self.runners.get_mut(order.runner) {
-                    runner.note_accepted();
+                    runner.record_acceptance();
                 }
-                self.set_place(task, TaskPlace::Running(order.runner), now);
+                self.set_task_state(task, TaskState::Running(order.runner), now);
                 self.begin_job(task.job);
             }
-            // Nothing is known that was not known before: the next hold tells of an earlier
-            // copy, and what stays absent is sent again. To stop it would end a lasting task
-            // that has come to work meanwhile.
-            StartOutcome::NotSent if ordered && unanswered => entry.unclear = true,
-            // An earlier copy may still be carried out, until a stop is answered.
+            // This outcome adds nothing: an earlier copy shows in the next heartbeat, and a
+            // missing run is sent again. Stopping the run would end a long-running task that
+            // has become available meanwhile.
+            StartOutcome::NotSent if ordered && any_start_unanswered => {
+                entry.outcome_unknown = true
+            }
+            // An earlier copy may still be carried out, until a stop is acknowledged.
             StartOutcome::NoRoom
             | StartOutcome::Refused
             | StartOutcome::Late
             | StartOutcome::NoTicket
-                if ordered && unanswered =>
+                if ordered && any_start_unanswered =>
             {
                 self.stop_task(task, now);
                 self.break_gang(task, now);
-                self.shun_refusing(order.runner, outcome, now);
+                self.back_off_refusing(order.runner, outcome, now);
             }
             StartOutcome::NoRoom
             | StartOutcome::Refused
@@ -469,39 +487,39 @@
             | StartOutcome::NotSent
                 if ordered =>
             {
-                self.set_place(task, TaskPlace::Waiting, now);
+                self.set_task_state(task, TaskState::Waiting, now);
                 self.break_gang(task, now);
-                self.shun_refusing(order.runner, outcome, now);
+                self.back_off_refusing(order.runner, outcome, now);
             }
             StartOutcome::NoTicket if ordered => {
-                self.set_place(task, TaskPlace::Waiting, now);
+                self.set_task_state(task, TaskState::Waiting, now);
                 self.break_gang(task, now);
                 self.drop_advice(task);
             }
             StartOutcome::Unclear | StartOutcome::Old if ordered => {
-                entry.unclear = true;
-                entry.unanswered = true;
-                self.shun(order.runner, now, UNCLEAR_SHUN_MS);
+                entry.outcome_unknown = true;
+                entry.any_start_unanswered = true;
+                self.back_off(order.runner, now, UNANSWERED_BACKOFF_MS);
             }
             _ => {}
         }
     }
 
-    fn shun_refusing(&mut self, key: RunnerKey, outcome: StartOutcome, now: Millis) {
+    fn back_off_refusing(&mut self, key: RunnerKey, outcome: StartOutcome, now: Millis) {
         let Some(runner) = self.runners.get_mut(key) else {
             return;
         };
-        // Want of room is over with the next end, and a late order is the owner's
-        // slowness: neither is a sickness of the runner.
+        // A lack of resources ends with the next end of a run, and a late order is due to the
+        // owner's slowness: neither is a fault of the runner.
         if outcome == StartOutcome::Refused {
-            runner.note_refused(now);
+            runner.record_refusal(now);
         }
-        runner.shun(now, REFUSED_SHUN_MS);
+        runner.back_off(now, REFUSED_BACKOFF_MS);
     }
 
-    fn shun(&mut self, key: RunnerKey, now: Millis, time: Millis) {
+    fn back_off(&mut self, key: RunnerKey, now: Millis, time: Millis) {
         if let Some(runner) = self.runners.get_mut(key) {
-            runner.shun(now, time);
+            runner.back_off(now, time);
         }
     }
 }
--- a/crates/hoisthitch-jobs/src/pace.rs
+++ b/crates/hoisthitch-jobs/src/pace.rs
@@ -1,8 +1,9 @@
-//! Paces fillers beside serving tasks.
+//! Throttles best-effort tasks that run beside serving tasks.
 //!
-//! A filler uses what others leave, and slows those beside it. When the tail of
-//! a serving task comes near its target, the fillers of its runner are slowed
-//! at once; when it is far below, they are let on in small steps.
+//! A best-effort task (a filler) uses the processor time that others leave idle, and slows the
+//! tasks beside it. When the tail latency of a serving task comes near its target, the
+//! best-effort tasks on its runner are slowed at once; when it is far below the target, they
+//! are sped up in small steps.
 
 use crate::{
     Millis,
@@ -15,33 +16,32 @@
     }, //
 };
 
-/// Share of the target, in percent, above which fillers are slowed. The figures
-/// that runners give are rough, so that the bound lies well below the target.
+/// Tail latency, in percent of the target, from which best-effort tasks are slowed. The
+/// figures that runners report are rough, so the bound is well below the target.
 const HIGH_PERCENT: u64 = 85;
 
-/// Share of the target, in percent, below which fillers are let on.
+/// Tail latency, in percent of the target, below which best-effort tasks are sped up.
 const LOW_PERCENT: u64 = 60;
 
-/// Step by which fillers are let on, in percent.
-const RISE_PERCENT: u32 = 20;
+/// Step by which a best-effort task's share is raised, in percent.
+const RAISE_PERCENT: u32 = 20;
 
-/// Stands for a share that is not known, since an order had no answer or an
-/// earlier owner set it; no decision comes out at it, so that the next one is
-/// ordered.
+/// Marks a share that is not known, because an order got no answer or an earlier owner set it.
+/// No decision ever equals this value, so the next decision is always ordered.
 pub(crate) const UNKNOWN_PACE: u32 = 101;
 
-/// Time after an order without an answer in which it may still be carried out,
-/// after newer ones, in milliseconds; the platform speaks of seconds. Until then
-/// the share is ordered anew with each report.
-const LATE_MS: Millis = 10_000;
+/// Time after an order without an answer during which it may still be carried out, even after
+/// newer orders, in milliseconds; the platform's figure is some seconds. Until then the share
+/// is ordered again after each report.
+const LATE_ORDER_MS: Millis = 10_000;
 
-/// Share at which a filler is set at least before it is set to nothing.
-const LEAST_PERCENT: u32 = 10;
+/// Smallest share other than zero at which a best-effort task is run, in percent.
+const MIN_PERCENT: u32 = 10;
 
-/// Sets the share at which a filler works.
+/// Order to set the share at which a best-effort task works.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PaceOrder {
-    /// Its runner.
+    /// Runner of the task.
     pub runner: RunnerKey,
     /// The task.
     pub task: TaskRef,
@@ -49,45 +49,49 @@
     pub name: TaskName,
     /// Number of the run.
     pub run: u32,
-    /// The share, in percent.
+    /// Share of full speed, in percent.
     pub percent: u32,
 }
 
 impl PoolState {
-    /// Decides the pace of a runner's fillers, after a fresh report of it.
+    /// Decides the shares of a runner's best-effort tasks after a new report from it; returns
+    /// the orders for those that change.
     pub fn pace(&mut self, key: RunnerKey, now: Millis) -> Vec<PaceOrder> {
         let Some(runner) = self.runners.get(key) else {
             return Vec::new();
         };
         let tasks: Vec<TaskRef> = runner.tasks.iter().copied().collect();
-        let strain = tasks.iter().filter_map(|task| self.strain(*task)).max();
-        let fillers: Vec<TaskRef> = tasks
+        let latency = tasks
+            .iter()
+            .filter_map(|task| self.latency_percent(*task))
+            .max();
+        let best_effort: Vec<TaskRef> = tasks
             .into_iter()
-            .filter(|task| self.is_running_filler(*task))
+            .filter(|task| self.is_running_best_effort(*task))
             .collect();
         let mut orders = Vec::new();
-        for task in fillers {
+        for task in best_effort {
             let Some(entry) = self.task(task) else {
                 continue;
             };
-            let percent = next_pace(entry.pace, strain);
-            let doubtful = now < entry.pace_doubt_until && percent != UNKNOWN_PACE;
-            if percent != entry.pace || doubtful {
+            let percent = next_pace(entry.pace, latency);
+            let uncertain = now < entry.pace_unconfirmed_until && percent != UNKNOWN_PACE;
+            if percent != entry.pace || uncertain {
                 orders.extend(self.set_pace(key, task, percent));
             }
         }
         orders
     }
 
-    /// Tail of a serving task, in percent of its target.
-    fn strain(&self, task: TaskRef) -> Option<u64> {
+    /// Tail latency of a serving task, in percent of its target; none for other tasks.
+    fn latency_percent(&self, task: TaskRef) -> Option<u64> {
         let step = self.jobs.get(task.job)?.step_of(task.slot)?;
         let entry = self.task(task)?;
         let serving = step.target_ms > 0 && entry.is_running();
         serving.then(|| entry.load * 100 / step.target_ms)
     }
 
-    fn is_running_filler(&self, task: TaskRef) -> bool {
+    fn is_running_best_effort(&self, task: TaskRef) -> bool {
         let step = self
             .jobs
             .get(task.job)
@@ -109,29 +113,30 @@
         })
     }
 
-    /// Takes in that a pace was not set, so that it is decided anew.
+    /// Records that an order failed, so that the share is decided again.
     pub fn record_pace_failure(&mut self, order: &PaceOrder, now: Millis) {
         if let Some(entry) = self.task_mut(order.task)
             && entry.run == order.run
         {
             entry.pace = UNKNOWN_PACE;
-            entry.pace_doubt_until = now + LATE_MS;
+            entry.pace_unconfirmed_until = now + LATE_ORDER_MS;
         }
     }
 }
 
-/// The pace after a report, given the strain of the serving tasks in percent.
-fn next_pace(pace: u32, strain: Option<u64>) -> u32 {
-    match strain {
+/// The next share of a best-effort task, given the highest tail latency of the serving tasks
+/// beside it in percent of their target.
+fn next_pace(pace: u32, latency: Option<u64>) -> u32 {
+    match latency {
         None => 100,
-        Some(strain) if strain >= 100 => 0,
-        // Half of an unknown share may be more than it is.
-        Some(strain) if strain >= HIGH_PERCENT && pace == UNKNOWN_PACE => 0,
-        Some(strain) if strain >= HIGH_PERCENT => {
+        Some(latency) if latency >= 100 => 0,
+        // Half of an unknown share may be more than the best-effort task has now.
+        Some(latency) if latency >= HIGH_PERCENT && pace == UNKNOWN_PACE => 0,
+        Some(latency) if latency >= HIGH_PERCENT => {
             let half = pace / 2;
-            if half < LEAST_PERCENT { 0 } else { half }
+            if half < MIN_PERCENT { 0 } else { half }
         }
-        Some(strain) if strain < LOW_PERCENT => (pace + RISE_PERCENT).min(100),
+        Some(latency) if latency < LOW_PERCENT => (pace + RAISE_PERCENT).min(100),
         Some(_) => pace,
     }
 }
--- a/crates/hoisthitch-jobs/src/place.rs
+++ b/crates/hoisthitch-jobs/src/place.rs
@@ -1,4 +1,4 @@
-//! Chooses the runner of a task.
+//! Chooses the runner of a task: the cheapest of the runners that fit it.
 
 use crate::{
     Millis,
@@ -11,27 +11,27 @@
     task::TaskRef, //
 };
 
-/// What a runner on another rack than the data costs, in shares of a runner's
-/// load: work there takes twice as long, which even an empty runner can't make
-/// up for.
-const FAR_COST: f64 = 2.0;
+/// Cost of a runner on another rack than the data, in shares of a runner's load: work takes
+/// twice as long there, and even an empty runner does not make up for that.
+const OTHER_RACK_COST: f64 = 2.0;
 
-/// What a lasting task costs on a runner that holds as many of its step as may
-/// be away at once: more than any load, so that it goes there last.
-const TOGETHER_COST: f64 = 4.0;
+/// Cost of placing a long-running task on a runner that already holds as many of its step as
+/// may be unavailable at the same time: more than any load, so that such a runner is the last
+/// choice.
+const CROWDED_COST: f64 = 4.0;
 
-/// What a task costs on a runner without lasting ones: lasting tasks stay together,
-/// short ones go beside them, and other runners can leave the pool. The latter buys
-/// less than 1 in 100 of what is owed, within chance (80 plays, docs/decisions.md).
-const APART_COST: f64 = 1.0;
+/// Cost of placing a task on a runner without long-running tasks: long-running tasks stay
+/// together, short tasks are placed beside them, and the other runners can be moved out of the
+/// pool. The latter brings less than 1 percent of the attainable value, which is within chance
+/// (80 simulated days, docs/decisions.md).
+const NO_LONG_RUNNING_COST: f64 = 1.0;
 
-/// What each filler beside a serving task costs, in shares of a runner's load:
-/// enough to spread the two kinds over runners while there are any.
-const MIXED_COST: f64 = 0.5;
+/// Cost of each best-effort task beside a serving task, in shares of a runner's load: enough
+/// to keep the two kinds on different runners while there are any.
+const INTERFERENCE_COST: f64 = 0.5;
 
 impl PoolState {
-    /// The runner for a task, on the rack where one is named; none while none
-    /// has room.
+    /// The runner for a task, on the given rack if there is one; none if no runner fits.
     pub(crate) fn choose_runner(
         &self,
         task: TaskRef,
@@ -41,11 +41,11 @@
         let job = self.jobs.get(task.job)?;
         let step = job.step_of(task.slot)?;
         let failed_on = job.tasks.get(task.slot)?.failed_on;
-        if self.is_on_trial(task, now) && !self.may_try(task) {
+        if self.must_isolate(task, now) && !self.may_isolate(task) {
             return None;
         }
         let best = |avoid: Option<RunnerKey>| {
-            self.fitting(task, step, now)
+            self.fitting_runners(task, step, now)
                 .filter(|(_, runner)| rack.is_none_or(|rack| runner.facts.rack == rack))
                 .filter(|(key, _)| Some(*key) != avoid)
                 .map(|(key, runner)| (self.cost(task, runner, step, now), key))
@@ -55,31 +55,31 @@
         best(failed_on).or_else(|| failed_on.and_then(|_| best(None)))
     }
 
-    /// Runners that could take a task now.
-    pub(crate) fn rooms(&self, task: TaskRef, now: Millis) -> usize {
+    /// Number of runners that could take the task now.
+    pub(crate) fn count_fitting_runners(&self, task: TaskRef, now: Millis) -> usize {
         let step = self
             .jobs
             .get(task.job)
             .and_then(|job| job.step_of(task.slot));
-        step.map_or(0, |step| self.fitting(task, step, now).count())
+        step.map_or(0, |step| self.fitting_runners(task, step, now).count())
     }
 
-    fn fitting<'a>(
+    fn fitting_runners<'a>(
         &'a self,
         task: TaskRef,
         step: &'a StepSpec,
         now: Millis,
     ) -> impl Iterator<Item = (RunnerKey, &'a RunnerEntry)> {
-        let trial = self.is_on_trial(task, now);
+        let isolate = self.must_isolate(task, now);
         self.runners
             .iter()
             .filter(move |(_, runner)| runner.takes_tasks(now) && runner.fits(step))
-            .filter(move |(_, runner)| self.is_apart(task, trial, runner, now))
-            .filter(|(_, runner)| !runner.is_on_trial() || runner.tasks.is_empty())
+            .filter(move |(_, runner)| self.allows_isolation(task, isolate, runner, now))
+            .filter(|(_, runner)| !runner.is_on_probation() || runner.tasks.is_empty())
             .filter(move |(_, runner)| has_label(runner, step))
             .filter(move |(_, runner)| self.is_advised(task, runner, now))
             .filter(move |(_, runner)| {
-                step.max_per_runner == 0 || self.alike(task, runner) < step.max_per_runner
+                step.max_per_runner == 0 || self.count_same_step(task, runner) < step.max_per_runner
             })
     }
 
@@ -89,49 +89,49 @@
         let Some(step) = job.and_then(|job| job.step_of(task.slot)) else {
             return false;
         };
-        runner.could_hold(step) && has_label(runner, step) && self.is_advised(task, runner, now)
+        runner.could_fit(step) && has_label(runner, step) && self.is_advised(task, runner, now)
     }
 
-    /// Tasks of the same step on the runner.
-    fn alike(&self, task: TaskRef, runner: &RunnerEntry) -> u32 {
+    /// Number of tasks of the same step on the runner.
+    fn count_same_step(&self, task: TaskRef, runner: &RunnerEntry) -> u32 {
         let Some(entry) = self.task(task) else {
             return 0;
         };
-        let alike = runner
+        let count = runner
             .tasks
             .iter()
             .filter(|other| other.job == task.job)
             .filter_map(|other| self.task(*other))
             .filter(|other| other.step == entry.step && other.round == entry.round)
             .count();
-        u32::try_from(alike).unwrap_or(u32::MAX)
+        u32::try_from(count).unwrap_or(u32::MAX)
     }
 
     fn cost(&self, task: TaskRef, runner: &RunnerEntry, step: &StepSpec, now: Millis) -> f64 {
-        let far = step
+        let on_other_rack = step
             .data_rack
             .as_ref()
             .is_some_and(|rack| *rack != runner.facts.rack);
         let load = runner.load_with(step);
-        // Short tasks are packed, so that other VMs are empty when a pool needs
-        // them: 1 to 4 in 100 more of what is owed is earned (70 plays before what
-        // else empties VMs, 40 after, docs/decisions.md).
+        // Short tasks are packed, so that other VMs are empty when a pool needs them: this
+        // earns 1 to 4 percent more of the attainable value (70 simulated days before the
+        // other rules that empty VMs, 40 after them, docs/decisions.md).
         let mut cost = if step.long_running { load } else { 1.0 - load };
         cost += self.suspect_cost(task, runner, now);
-        if far {
-            cost += FAR_COST;
+        if on_other_rack {
+            cost += OTHER_RACK_COST;
         }
-        if step.long_running && self.alike(task, runner) >= step.most_together() {
-            cost += TOGETHER_COST;
+        if step.long_running && self.count_same_step(task, runner) >= step.max_together() {
+            cost += CROWDED_COST;
         }
-        if !runner.holds_lasting() {
-            cost += APART_COST;
+        if !runner.has_long_running() {
+            cost += NO_LONG_RUNNING_COST;
         }
-        cost + MIXED_COST * f64::from(self.mixed_neighbours(runner, step))
+        cost + INTERFERENCE_COST * f64::from(self.count_interfering(runner, step))
     }
 
-    /// Tasks on the runner that would disturb the step's, or be disturbed.
-    fn mixed_neighbours(&self, runner: &RunnerEntry, step: &StepSpec) -> u32 {
+    /// Number of tasks on the runner that would slow the step's tasks or be slowed by them.
+    fn count_interfering(&self, runner: &RunnerEntry, step: &StepSpec) -> u32 {
         let serves = step.target_ms > 0;
         if !serves && !step.best_effort {
             return 0;
--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -1,4 +1,10 @@
-//! Plans starts, and gathers what has to be recorded before they are ordered.
+//! Plans task starts, and collects the job records that must be written before a start may be
+//! ordered.
+//!
+//! [`PoolState::plan`] places ready tasks on runners. [`PoolState::begin_flush`] collects the
+//! records that changed, and [`PoolState::finish_flush`] returns the start orders once those
+//! records are written. No start is ordered before the record that names its runner is
+//! written.
 
 use std::collections::HashSet;
 
@@ -21,54 +27,56 @@
     spec::StepSpec,
     task::{
         StartOrder,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
-/// Records that are written together, and what may be done once they are.
+/// Records that are written together, and what may be done after the write.
 #[derive(Clone, Debug, Default)]
 pub struct FlushPlan {
-    /// Records by identifier of the job.
+    /// Records, by job identifier.
     pub records: Vec<(String, JobProgress)>,
-    /// Ends that runners may forget, by number.
+    /// Last recorded end of each runner, by number; the runner may forget it and those before
+    /// it.
     pub acked_ends: Vec<(RunnerKey, u64)>,
     starts: Vec<(TaskRef, u32)>,
 }
 
-/// Records that were behind at a time, and the ends that runners had listed by then.
-/// Under load some records are always behind; without rounds runners would list the
-/// same ends again and again.
+/// Records that were behind at one time, and the ends that runners had reported by then. Under
+/// load some record is always behind; without batches no end would count as recorded, and
+/// runners would report the same ends again and again.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FlushRound {
-    /// Jobs that are to be written yet.
+pub(crate) struct FlushBatch {
+    /// Jobs whose record is still to be written.
     left: HashSet<JobKey>,
-    /// Last end taken in, by runner.
+    /// Number of the last end that was processed, by runner.
     acked_ends: Vec<(RunnerKey, u64)>,
 }
 
-/// Needs for which no runner has room. Room only shrinks while a plan is made, so
-/// that whatever needs as much finds none either, and under a backlog the
-/// runners need not be looked through for each task that waits.
+/// Requested resources for which no runner has free capacity. Free capacity only shrinks while
+/// a plan is made, so a task that requests at least as much fits nowhere either. Under a
+/// backlog this saves a search over all runners for each waiting task.
 #[derive(Default)]
-struct FullNeeds {
+struct FullResources {
     needs: Vec<ResourceAmounts>,
 }
 
-impl FullNeeds {
-    fn rule_out(&self, step: &StepSpec) -> bool {
-        let room = step.room();
-        self.needs.iter().any(|full| room.covers(*full))
+impl FullResources {
+    fn rules_out(&self, step: &StepSpec) -> bool {
+        let reservation = step.reservation();
+        self.needs.iter().any(|full| reservation.covers(*full))
     }
 }
 
-/// Whether any runner with room may run a task of the step.
+/// Whether any runner with enough free capacity may run the step's tasks: no label, no limit
+/// for each runner.
 fn is_unbound(step: &StepSpec) -> bool {
     step.label.is_none() && step.max_per_runner == 0
 }
 
 impl PoolState {
-    /// Begins rounds that are due by the time of day `unix_ms`.
+    /// Begins the rounds that are due at `unix_ms`, a time of day in milliseconds since 1970.
     pub fn begin_due_rounds(&mut self, now: Millis, unix_ms: u64) {
         for key in &self.active {
             let Some(job) = self.jobs.get_mut(*key) else {
@@ -92,31 +100,31 @@
         }
     }
 
-    /// Whether planning may change anything.
+    /// Whether a new plan may change anything.
     pub fn needs_plan(&self) -> bool {
         self.plan_needed
     }
 
-    /// Places tasks that are ready; answers how many.
+    /// Places ready tasks; returns how many.
     pub fn plan(&mut self, now: Millis) -> usize {
         self.plan_needed = false;
         let mut planned = 0;
-        let mut full = FullNeeds::default();
-        let uses = self.uses_for_plan();
-        let mut budget = self.quota_budget(&uses);
-        let order = self.plan_order(&uses, now);
+        let mut full = FullResources::default();
+        let usage = self.usage_for_plan();
+        let mut budget = self.quota_budget(&usage);
+        let order = self.plan_order(&usage, now);
         self.tasks_over_quota.clear();
         for key in order {
             planned += self.plan_job(key, &mut full, &mut budget, now);
         }
-        self.was_full = !full.needs.is_empty();
+        self.lacked_capacity = !full.needs.is_empty();
         planned
     }
 
     fn plan_job(
         &mut self,
         key: JobKey,
-        full: &mut FullNeeds,
+        full: &mut FullResources,
         budget: &mut QuotaBudget,
         now: Millis,
     ) -> usize {
@@ -139,27 +147,27 @@
                 budget.take(team, gangs_planned(job));
             }
         }
-        let mut full_step = None;
+        let mut unplaceable_step = None;
         for task in ready {
             let step = self.task(task).map(|entry| (entry.round, entry.step));
-            if self.is_gang(task) || step == full_step {
+            if self.is_gang(task) || step == unplaceable_step {
                 continue;
             }
             let need = self.need_of(task);
             if !budget.allows(team, need) {
-                self.hold_back(key);
+                self.count_over_quota(key);
                 continue;
             }
-            if self.is_on_trial(task, now) {
-                if self.plan_trial(task, now) {
+            if self.must_isolate(task, now) {
+                if self.plan_isolated(task, now) {
                     budget.take(team, need);
                     planned += 1;
                 }
                 continue;
             }
-            let Some(runner) = self.choose_unless_full(task, full, now) else {
-                // What one task of a step finds no room for, none does.
-                full_step = step;
+            let Some(runner) = self.choose_runner_unless_full(task, full, now) else {
+                // If one task of a step fits on no runner, the others don't either.
+                unplaceable_step = step;
                 continue;
             };
             self.plan_task(task, runner, now);
@@ -178,16 +186,16 @@
     }
 
     fn plan_task(&mut self, task: TaskRef, runner: RunnerKey, now: Millis) {
-        self.set_place(task, TaskPlace::Planned(runner), now);
+        self.set_task_state(task, TaskState::Planned(runner), now);
         if let Some(entry) = self.task_mut(task) {
             entry.run += 1;
         }
         self.mark_dirty(task.job);
     }
 
-    /// Places a suspect on a runner alone, or has one kept free for it; answers whether
+    /// Places a suspect on a runner of its own, or reserves a runner for it; returns whether
     /// it was placed.
-    fn plan_trial(&mut self, task: TaskRef, now: Millis) -> bool {
+    fn plan_isolated(&mut self, task: TaskRef, now: Millis) -> bool {
         let Some(runner) = self.choose_runner(task, None, now) else {
             self.reserve_runner(task, now);
             return false;
@@ -196,44 +204,44 @@
         true
     }
 
-    /// Drops what was planned and not written: it will not be ordered.
+    /// Cancels planned starts whose records were not written: they will not be ordered.
     pub fn cancel_planned_starts(&mut self, now: Millis) {
         let planned: Vec<TaskRef> = self
             .active_tasks()
-            .filter(|(_, entry)| matches!(entry.place, TaskPlace::Planned(_)))
+            .filter(|(_, entry)| matches!(entry.state, TaskState::Planned(_)))
             .map(|(task, _)| task)
             .collect();
         for task in planned {
-            self.set_place(task, TaskPlace::Waiting, now);
+            self.set_task_state(task, TaskState::Waiting, now);
         }
     }
 
-    fn choose_unless_full(
+    fn choose_runner_unless_full(
         &self,
         task: TaskRef,
-        full: &mut FullNeeds,
+        full: &mut FullResources,
         now: Millis,
     ) -> Option<RunnerKey> {
         let step = self.jobs.get(task.job)?.step_of(task.slot)?;
-        if full.rule_out(step) {
+        if full.rules_out(step) {
             return None;
         }
         let chosen = self.choose_runner(task, None, now);
         let advised = self.jobs.get(task.job)?.policy.advised;
         if chosen.is_none() && !advised && is_unbound(step) {
-            full.needs.push(step.room());
+            full.needs.push(step.reservation());
         }
         chosen
     }
 
-    /// Whether anything has to be written.
+    /// Whether any record has to be written.
     pub fn needs_flush(&self) -> bool {
         self.active
             .iter()
             .any(|key| self.jobs.get(*key).is_some_and(|job| job.dirty))
     }
 
-    /// Whether more has to be written than `limit` records.
+    /// Whether more than `limit` records have to be written.
     pub fn is_behind(&self, limit: usize) -> bool {
         let dirty = self.active.iter().filter(|key| self.is_dirty(**key));
         dirty.take(limit + 1).count() > limit
@@ -243,7 +251,8 @@
         self.jobs.get(key).is_some_and(|job| job.dirty)
     }
 
-    /// Gathers records to write, at most `limit`, the longest behind in front.
+    /// Collects at most `limit` records to write; those that have been behind the longest come
+    /// first.
     pub fn begin_flush(&mut self, limit: usize) -> FlushPlan {
         let dirty: Vec<JobKey> = self
             .active
@@ -251,34 +260,35 @@
             .filter(|key| self.is_dirty(**key))
             .copied()
             .collect();
-        let mut round = self.begin_round_of(&dirty);
+        let mut batch = self.begin_batch(&dirty);
         let (first, later): (Vec<JobKey>, Vec<JobKey>) =
-            dirty.into_iter().partition(|key| round.left.contains(key));
+            dirty.into_iter().partition(|key| batch.left.contains(key));
         let mut plan = FlushPlan::default();
         for key in first.into_iter().chain(later).take(limit) {
             self.add_record(&mut plan, key);
-            round.left.remove(&key);
+            batch.left.remove(&key);
         }
-        // Ends count as recorded once no record that they changed is behind any more.
-        if round.left.is_empty() {
-            plan.acked_ends = round.acked_ends;
+        // An end counts as recorded once every record that it changed is written.
+        if batch.left.is_empty() {
+            plan.acked_ends = batch.acked_ends;
         } else {
-            self.flush_round = Some(round);
+            self.flush_batch = Some(batch);
         }
         plan
     }
 
-    /// The round of records that is under way, or a new one of all that are behind.
-    fn begin_round_of(&mut self, dirty: &[JobKey]) -> FlushRound {
+    /// The records of the batch under way that are still behind, or a new batch of all that
+    /// are.
+    fn begin_batch(&mut self, dirty: &[JobKey]) -> FlushBatch {
         let jobs = &self.jobs;
-        if let Some(mut round) = self.flush_round.take() {
-            round
+        if let Some(mut batch) = self.flush_batch.take() {
+            batch
                 .left
                 .retain(|key| jobs.get(*key).is_some_and(|job| job.dirty));
-            return round;
+            return batch;
         }
         let runners = self.runners.iter();
-        FlushRound {
+        FlushBatch {
             left: dirty.iter().copied().collect(),
             acked_ends: runners
                 .map(|(key, runner)| (key, runner.last_seen_end))
@@ -292,8 +302,8 @@
             return;
         };
         job.dirty = false;
-        let progress = job.progress(|task| match &task.place {
-            TaskPlace::Unlocated {
+        let progress = job.progress(|task| match &task.state {
+            TaskState::Unconfirmed {
                 runner, started_at, ..
             } => Some(RunnerInstance {
                 name: runner.clone(),
@@ -307,20 +317,20 @@
         plan.records.push((job.id.clone(), progress));
         let starts = job.tasks.iter().enumerate();
         plan.starts.extend(starts.filter_map(|(slot, task)| {
-            let planned = matches!(task.place, TaskPlace::Planned(_));
+            let planned = matches!(task.state, TaskState::Planned(_));
             planned.then_some((TaskRef { job: key, slot }, task.run))
         }));
     }
 
-    /// Takes in that the records are written; answers with the starts that may
-    /// be ordered now.
+    /// Records that the plan's records are written; returns the starts that may be ordered
+    /// now.
     pub fn finish_flush(&mut self, plan: &FlushPlan, now: Millis) -> Vec<StartOrder> {
         let mut orders = Vec::new();
         for (task, run) in &plan.starts {
             let Some(entry) = self.task(*task) else {
                 continue;
             };
-            let TaskPlace::Planned(runner) = entry.place else {
+            let TaskState::Planned(runner) = entry.state else {
                 continue;
             };
             if entry.run != *run {
@@ -331,18 +341,18 @@
                 entry.copies = 0;
             }
             if self.admit_start(*task, runner, now) != StartAdmission::Send {
-                self.set_place(*task, TaskPlace::Waiting, now);
+                self.set_task_state(*task, TaskState::Waiting, now);
                 self.break_gang(*task, now);
                 continue;
             }
-            self.set_place(*task, TaskPlace::Ordered(runner), now);
-            orders.extend(self.copy_start(*task, runner));
+            self.set_task_state(*task, TaskState::Ordered(runner), now);
+            orders.extend(self.next_start_order(*task, runner));
         }
         self.drop_settled();
         orders
     }
 
-    /// Takes in that the records were not written.
+    /// Marks the plan's records as unwritten after a failed write.
     pub fn fail_flush(&mut self, plan: &FlushPlan) {
         for (id, _) in &plan.records {
             if let Some(key) = self.job_ids.get(id).copied() {
@@ -351,8 +361,12 @@
         }
     }
 
-    /// The next copy of the start of a task's last run.
-    pub(crate) fn copy_start(&mut self, task: TaskRef, runner: RunnerKey) -> Option<StartOrder> {
+    /// The next copy of the start order for a task's last run.
+    pub(crate) fn next_start_order(
+        &mut self,
+        task: TaskRef,
+        runner: RunnerKey,
+    ) -> Option<StartOrder> {
         let ticket = self.ticket(task, runner).unwrap_or_default();
         let entry = self.task_mut(task)?;
         entry.copies += 1;
--- a/crates/hoisthitch-jobs/src/pool.rs
+++ b/crates/hoisthitch-jobs/src/pool.rs
@@ -1,4 +1,8 @@
-//! State of a pool: its jobs, its runners, and what runs where.
+//! State of a pool: its jobs, its runners, and which task runs where.
+//!
+//! [`PoolState`] belongs to the pool's owner. A task in it changes its state by
+//! [`PoolState::set_task_state`] alone, which also keeps the resources that are reserved on
+//! runners.
 
 use std::collections::{
     HashMap,
@@ -23,7 +27,7 @@
         RunnerLoss, //
     },
     pace::UNKNOWN_PACE,
-    plan::FlushRound,
+    plan::FlushBatch,
     record::{
         JobPhase,
         JobProgress,
@@ -44,25 +48,25 @@
         StopOrder,
         TaskEntry,
         TaskName,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
-/// A job that the owner takes over from the records.
+/// A job that the owner loads from its records.
 #[derive(Clone, Debug)]
 pub struct NewJob {
     /// Identifier.
     pub id: String,
     /// The submission.
     pub submission: JobSubmission,
-    /// Progress, where any is recorded.
+    /// Recorded progress, if there is any.
     pub progress: Option<JobProgress>,
     /// When it was accepted.
     pub accepted_at: Millis,
 }
 
-/// What the owner of a pool knows.
+/// What the owner of a pool knows of its jobs and runners.
 #[derive(Debug, Default)]
 pub struct PoolState {
     pub(crate) jobs: SlotMap<JobKey, JobEntry>,
@@ -72,44 +76,45 @@
     /// Jobs that have not ended, or of which something may still run.
     pub(crate) active: Vec<JobKey>,
     pub(crate) stops: Vec<StopOrder>,
-    /// Whether a job without records was taken in, or a task became free.
+    /// Whether a new plan may change anything, because a job was added or resources became
+    /// free.
     pub(crate) plan_needed: bool,
-    /// Tasks of which it is not known whether they run, and where.
-    unlocated: usize,
-    /// What earlier owners ordered, as far as they left word of it.
+    /// Number of tasks that may run on a runner which has not confirmed it.
+    unconfirmed: usize,
+    /// What earlier owners ordered, as far as they published it.
     inherited: InheritedRuns,
     /// Mean time of a task, by queue, in milliseconds.
     pub(crate) task_times: HashMap<String, Millis>,
-    /// Leave of the advisers, by job, round and step.
+    /// Tickets of the advisers, by job, round and step.
     pub(crate) advice: HashMap<(JobKey, u32, u32), StepAdvice>,
-    /// Jobs that ended and were not taken yet.
+    /// Jobs that ended since they were last read.
     pub(crate) ended_jobs: Vec<EndedJob>,
-    /// Runs that were lost with their runners and were not taken yet.
+    /// Runs that were lost with their runners since they were last read.
     pub(crate) lost_runs: Vec<LostRun>,
-    /// Runners that were lost of late.
+    /// Runners that were lost lately.
     pub(crate) recent_losses: Vec<RecentLoss>,
-    /// Since when runners are heard; none before the first.
-    pub(crate) heard_since: Option<Millis>,
-    /// Tasks that something counts against.
+    /// Since when runners have responded to this owner; none before the first response.
+    pub(crate) responding_since: Option<Millis>,
+    /// Tasks that losses of runners count against.
     pub(crate) suspects: HashSet<TaskRef>,
-    /// Steps that several runners were lost under right after their begin.
-    pub(crate) doubtful_steps: HashSet<RoundStep>,
-    /// Tasks that are to be given up.
-    pub(crate) condemned: Vec<TaskRef>,
-    /// Tasks that were given up and were not taken yet.
-    pub(crate) given_up: Vec<CrashingTask>,
-    /// Work that came in of late.
+    /// Steps of which several runners were lost right after they had begun a task of it.
+    pub(crate) suspect_steps: HashSet<RoundStep>,
+    /// Tasks whose jobs are to be failed, because they crash their runners.
+    pub(crate) tasks_to_fail: Vec<TaskRef>,
+    /// Tasks that were failed as the cause of crashes since they were last read.
+    pub(crate) crashing_tasks: Vec<CrashingTask>,
+    /// Work that arrived lately.
     pub(crate) arrivals: ArrivalLog,
-    /// What teams with a limit may have running here, by name.
-    pub(crate) allowances: HashMap<String, ResourceAmounts>,
-    /// Whether some task found no room when starts were last planned.
-    pub(crate) was_full: bool,
+    /// Quota allocations of this pool, by team; a team without one is not limited.
+    pub(crate) quota_allocations: HashMap<String, ResourceAmounts>,
+    /// Whether some task found no runner when starts were last planned.
+    pub(crate) lacked_capacity: bool,
     /// Weights of teams, by name.
     pub(crate) weights: HashMap<String, f64>,
-    /// Tasks that limits held back when starts were last planned, by team.
+    /// Number of tasks that a quota kept from starting when starts were last planned, by team.
     pub(crate) tasks_over_quota: HashMap<String, u32>,
-    /// Records that are being written, where one write does not take them all.
-    pub(crate) flush_round: Option<FlushRound>,
+    /// Batch of records that is being written, where one write does not take them all.
+    pub(crate) flush_batch: Option<FlushBatch>,
 }
 
 impl PoolState {
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Takes a job in; answers whether it is new.
+    /// Adds a job; returns whether it is new.
     pub fn add_job(&mut self, new: NewJob, now: Millis) -> bool {
         if self.job_ids.contains_key(&new.id) {
             return false;
@@ -143,16 +148,16 @@
         if let Some(progress) = progress {
             self.restore(&mut job, progress, now);
         }
-        let settled = job.phase.is_final() && job.tasks.iter().all(|task| is_settled(&task.place));
+        let settled = job.phase.is_final() && job.tasks.iter().all(|task| is_settled(&task.state));
         if settled {
             job.ended_at = Some(now);
         }
         if !settled {
-            // What a new owner finds came in before it.
-            self.note_arrival(&job, accepted_at.min(now), now);
+            // Jobs that a new owner finds arrived before it took over.
+            self.record_arrival(&job, accepted_at.min(now), now);
         }
-        job.keep_account(now);
-        self.unlocated += count_unlocated(&job);
+        job.update_account(now);
+        self.unconfirmed += count_unconfirmed(&job);
         let suspects: Vec<usize> = suspects_of(&job).collect();
         let key = self.jobs.insert(job);
         let suspects = suspects.into_iter().map(|slot| TaskRef { job: key, slot });
@@ -186,23 +191,23 @@
                     let runner = recorded.runner;
                     task.pace = UNKNOWN_PACE;
                     let started_at = recorded.started_at;
-                    task.place = TaskPlace::Unlocated {
+                    task.state = TaskState::Unconfirmed {
                         runner,
                         started_at,
                         until,
                     };
                 }
                 TaskPhase::Done => {
-                    task.place = TaskPlace::Done;
-                    task.away_since = None;
-                    job.note_done(round, step);
+                    task.state = TaskState::Done;
+                    task.unavailable_since = None;
+                    job.record_done(round, step);
                 }
             }
         }
     }
 
-    /// Takes a runner in, or what changed of it; another life of one that is known comes
-    /// in by [`Self::replace_restarted_runner`].
+    /// Adds a runner, or updates its facts. A new instance of a known runner is added by
+    /// [`Self::replace_restarted_runner`].
     pub fn set_runner(&mut self, facts: RunnerFacts, now: Millis) -> RunnerKey {
         self.plan_needed = true;
         if let Some(key) = self.runner_names.get(&facts.name).copied()
@@ -223,14 +228,14 @@
         key
     }
 
-    /// Gives a runner no more tasks; it is listed no more.
+    /// Marks a runner that is no longer listed; it gets no more tasks.
     pub fn unlist_runner(&mut self, key: RunnerKey) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.unlisted = true;
         }
     }
 
-    /// Forgets a runner that was lost, whose runs have all ended.
+    /// Removes a lost runner whose runs have all ended.
     pub fn remove_runner(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
         self.release_runner(key, loss, now);
         if let Some(runner) = self.runners.remove(key) {
@@ -238,39 +243,40 @@
         }
     }
 
-    /// Takes in that everything on the runner has ended, for it was lost.
+    /// Records that everything on a runner has ended because it was lost.
     pub fn release_runner(&mut self, key: RunnerKey, loss: RunnerLoss, now: Millis) {
-        self.note_loss(key, loss, now);
+        self.record_loss(key, loss, now);
         let Some(runner) = self.runners.get_mut(key) else {
             return;
         };
         let tasks: Vec<TaskRef> = runner.tasks.iter().copied().collect();
         for task in tasks {
-            self.leave_runner(task, TaskPlace::Waiting, now);
+            self.move_off_runner(task, TaskState::Waiting, now);
         }
         let name = self
             .runners
             .get(key)
             .map(|runner| runner.facts.name.clone());
         if let Some(name) = name {
-            self.settle_unlocated(|runner, _| runner == name, now);
+            self.release_unconfirmed(|runner, _| runner == name, now);
         }
-        self.give_up(now);
+        self.fail_crashing_tasks(now);
     }
 
-    /// Takes in that a life of a runner that is not in the list has ended.
+    /// Records that an instance of a runner that is not listed has ended.
     pub fn record_unlisted_loss(&mut self, name: &str, now: Millis) {
-        self.note_unknown_loss(name, RunnerLoss::Crashed, now);
-        self.settle_unlocated(|runner, _| runner == name, now);
-        self.give_up(now);
+        self.record_unknown_loss(name, RunnerLoss::Crashed, now);
+        self.release_unconfirmed(|runner, _| runner == name, now);
+        self.fail_crashing_tasks(now);
     }
 
-    /// Lets go of runs that have ended for certain by now.
+    /// Sets tasks back to waiting whose runs have ended for certain by now, because the leases
+    /// of their runners ended; returns those runners.
     pub fn expire_leases(&mut self, now: Millis) -> Vec<RunnerKey> {
-        self.note_expired(now);
-        self.settle_unlocated(|_, until| until <= now, now);
-        self.give_up(now);
-        let lapsed: Vec<RunnerKey> = self
+        self.record_expired(now);
+        self.release_unconfirmed(|_, until| until <= now, now);
+        self.fail_crashing_tasks(now);
+        let expired: Vec<RunnerKey> = self
             .runners
             .iter()
             .filter(|(_, runner)| {
@@ -278,26 +284,30 @@
             })
             .map(|(key, _)| key)
             .collect();
-        for key in &lapsed {
+        for key in &expired {
             self.release_runner(*key, RunnerLoss::Silent, now);
         }
-        lapsed
+        expired
     }
 
-    pub(crate) fn settle_unlocated(&mut self, ended: impl Fn(&str, Millis) -> bool, now: Millis) {
-        if self.unlocated == 0 {
+    pub(crate) fn release_unconfirmed(
+        &mut self,
+        ended: impl Fn(&str, Millis) -> bool,
+        now: Millis,
+    ) {
+        if self.unconfirmed == 0 {
             return;
         }
         let settled: Vec<TaskRef> = self
             .active_tasks()
-            .filter(|(_, task)| match &task.place {
-                TaskPlace::Unlocated { runner, until, .. } => ended(runner, *until),
+            .filter(|(_, task)| match &task.state {
+                TaskState::Unconfirmed { runner, until, .. } => ended(runner, *until),
                 _ => false,
             })
             .map(|(task, _)| task)
             .collect();
         for task in settled {
-            self.set_place(task, TaskPlace::Waiting, now);
+            self.set_task_state(task, TaskState::Waiting, now);
             self.mark_dirty(task.job);
         }
     }
@@ -318,7 +328,7 @@
         }
     }
 
-    /// A task.
+    /// A task's entry.
     pub fn task(&self, task: TaskRef) -> Option<&TaskEntry> {
         self.jobs.get(task.job)?.tasks.get(task.slot)
     }
@@ -332,45 +342,45 @@
         self.jobs.get_mut(task.job)?.tasks.get_mut(task.slot)
     }
 
-    /// Moves a task, with the room that it takes.
-    pub(crate) fn set_place(&mut self, task: TaskRef, place: TaskPlace, now: Millis) {
-        let suspect = self.is_suspect(task);
+    /// Changes the state of a task, and the resources that are reserved for it.
+    pub(crate) fn set_task_state(&mut self, task: TaskRef, state: TaskState, now: Millis) {
+        let suspect = self.needs_isolation(task);
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
         };
         let Some(step) = job.step_of(task.slot).cloned() else {
             return;
         };
-        job.keep_account(now);
+        job.update_account(now);
         let Some(entry) = job.tasks.get_mut(task.slot) else {
             return;
         };
         let before = entry.runner();
-        if matches!(entry.place, TaskPlace::Unlocated { .. }) {
-            self.unlocated = self.unlocated.saturating_sub(1);
+        if matches!(entry.state, TaskState::Unconfirmed { .. }) {
+            self.unconfirmed = self.unconfirmed.saturating_sub(1);
         }
-        self.unlocated += usize::from(matches!(place, TaskPlace::Unlocated { .. }));
-        if matches!(place, TaskPlace::Running(_)) {
+        self.unconfirmed += usize::from(matches!(state, TaskState::Unconfirmed { .. }));
+        if matches!(state, TaskState::Running(_)) {
             entry.began_at = now;
         }
-        entry.place = place;
-        entry.moved_at = now;
+        entry.state = state;
+        entry.changed_at = now;
         entry.stopped_at = None;
-        entry.stray_run = None;
+        entry.earlier_run = None;
         let after = entry.runner();
 
         if after.is_none() {
-            entry.shown = false;
-            entry.unclear = false;
-            entry.unanswered = false;
+            entry.reported = false;
+            entry.outcome_unknown = false;
+            entry.any_start_unanswered = false;
             entry.percent = 0;
             entry.pace = 100;
-            entry.pace_doubt_until = 0;
+            entry.pace_unconfirmed_until = 0;
         }
-        match entry.place {
-            TaskPlace::Running(_) if entry.percent >= 100 => entry.away_since = None,
-            TaskPlace::Done => entry.away_since = None,
-            _ => entry.away_since = entry.away_since.or(Some(now)),
+        match entry.state {
+            TaskState::Running(_) if entry.percent >= 100 => entry.unavailable_since = None,
+            TaskState::Done => entry.unavailable_since = None,
+            _ => entry.unavailable_since = entry.unavailable_since.or(Some(now)),
         }
         if before != after {
             if let Some(runner) = before.and_then(|key| self.runners.get_mut(key)) {
@@ -380,16 +390,16 @@
             if let Some(runner) = after.and_then(|key| self.runners.get_mut(key)) {
                 runner.add(task, &step);
                 if suspect {
-                    runner.trial.get_or_insert(task);
+                    runner.isolated_task.get_or_insert(task);
                     runner.reserved_until = 0;
                 }
             }
         }
     }
 
-    /// Whether it is not known of some task whether it runs.
-    pub(crate) fn has_unlocated(&self) -> bool {
-        self.unlocated > 0
+    /// Whether any task may run on a runner which has not confirmed it.
+    pub(crate) fn has_unconfirmed(&self) -> bool {
+        self.unconfirmed > 0
     }
 
     /// A job by its identifier.
@@ -402,23 +412,23 @@
         self.runners.get(key)
     }
 
-    /// A runner by its name.
+    /// Key of a runner, by its name.
     pub fn runner_key(&self, name: &str) -> Option<RunnerKey> {
         self.runner_names.get(name).copied()
     }
 
-    /// The life that is known of a runner.
+    /// The known instance of a runner.
     pub fn instance_of(&self, key: RunnerKey) -> Option<RunnerInstance> {
         self.runner(key).map(|runner| runner.facts.instance())
     }
 
-    /// The life that is known under a name; one without a birth where none is.
+    /// The known instance of a runner, by its name; without a start time where none is known.
     pub fn instance_by_name(&self, name: &str) -> RunnerInstance {
         let known = self.runner_key(name).and_then(|key| self.instance_of(key));
         known.unwrap_or_else(|| RunnerInstance::without_start_time(name))
     }
 
-    /// Key of a runner whose life is that one, as far as births tell.
+    /// Key of the runner whose known instance may be the given one.
     pub fn key_of_instance(&self, instance: &RunnerInstance) -> Option<RunnerKey> {
         let key = self.runner_key(&instance.name)?;
         let is_same = self
@@ -432,8 +442,8 @@
         self.runners.iter()
     }
 
-    /// Jobs of which nothing is known to have begun, by queue: a start that got no answer
-    /// may be carried out seconds later.
+    /// Number of jobs of which nothing is known to have begun, by queue. A start without an
+    /// answer may be carried out seconds later.
     pub fn waiting_jobs(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         for job in self.active.iter().filter_map(|key| self.jobs.get(*key)) {
@@ -444,7 +454,7 @@
         counts
     }
 
-    /// Puts the policies in force on the jobs of their queues.
+    /// Updates the policies of jobs from those of their queues that are in effect.
     pub fn set_policies(&mut self, policies: &HashMap<String, QueuePolicy>) {
         for job in self.jobs.values_mut() {
             if let Some(policy) = policies.get(&job.queue) {
@@ -453,18 +463,19 @@
         }
     }
 
-    /// Drops jobs from the active ones that have ended everywhere.
+    /// Drops jobs from the active ones that have ended and of which nothing runs.
     pub(crate) fn drop_settled(&mut self) {
         let jobs = &self.jobs;
         self.active.retain(|key| {
             jobs.get(*key).is_some_and(|job| {
-                let settled = || job.tasks.iter().all(|task| is_settled(&task.place));
+                let settled = || job.tasks.iter().all(|task| is_settled(&task.state));
                 job.dirty || !job.phase.is_final() || !settled()
             })
         });
     }
 
-    /// Jobs that ended before `time`, to be forgotten.
+    /// Identifiers of jobs that ended before `time` and whose records are written, to be
+    /// forgotten.
     pub fn ended_before(&self, time: Millis) -> Vec<String> {
         self.jobs
             .values()
@@ -473,11 +484,11 @@
             .collect()
     }
 
-    /// Forgets a job.
+    /// Drops a job from memory.
     pub fn forget_job(&mut self, id: &str) {
         if let Some(key) = self.job_ids.remove(id) {
             if let Some(job) = self.jobs.remove(key) {
-                self.unlocated = self.unlocated.saturating_sub(count_unlocated(&job));
+                self.unconfirmed = self.unconfirmed.saturating_sub(count_unconfirmed(&job));
             }
             self.advice.retain(|(job, _, _), _| *job != key);
             self.active.retain(|active| *active != key);
@@ -485,20 +496,20 @@
     }
 }
 
-/// Tasks of a job that something counts against.
+/// Slots of a job's tasks that losses of runners count against.
 fn suspects_of(job: &JobEntry) -> impl Iterator<Item = usize> {
     let tasks = job.tasks.iter().enumerate();
     let suspects = tasks.filter(|(_, task)| task.suspicion.is_suspect());
     suspects.map(|(slot, _)| slot)
 }
 
-fn count_unlocated(job: &JobEntry) -> usize {
+fn count_unconfirmed(job: &JobEntry) -> usize {
     let tasks = job.tasks.iter();
     tasks
-        .filter(|task| matches!(task.place, TaskPlace::Unlocated { .. }))
+        .filter(|task| matches!(task.state, TaskState::Unconfirmed { .. }))
         .count()
 }
 
-fn is_settled(place: &TaskPlace) -> bool {
-    matches!(place, TaskPlace::Waiting | TaskPlace::Done)
+fn is_settled(state: &TaskState) -> bool {
+    matches!(state, TaskState::Waiting | TaskState::Done)
 }
--- a/crates/hoisthitch-jobs/src/quota.rs
+++ b/crates/hoisthitch-jobs/src/quota.rs
@@ -1,9 +1,10 @@
-//! Limits of what teams may have running, over all pools.
+//! Team quotas: limits on what a team may have running over all pools.
 //!
-//! A limit is cut into parts, one for each pool that runs work of the team. The parts lie in
-//! one record of the team, which owners change by compare-and-swap, so that their sum never
-//! passes the limit whoever owns the pools. An owner starts work within its pool's part
-//! alone; it takes more of what is free ahead of need, and gives back what it does not use.
+//! A limit is divided into allocations, one for each pool that runs work of the team. The
+//! allocations are stored in one record of the team, which pool owners change by
+//! compare-and-swap, so that their sum never exceeds the limit whoever owns the pools. An
+//! owner only starts work that fits its pool's allocation. It allocates more of what is free
+//! before that is needed, and releases what it does not use.
 
 use std::collections::{
     BTreeMap,
@@ -22,59 +23,65 @@
     },
     pool::PoolState,
     resources::ResourceAmounts,
-    task::TaskPlace, //
+    task::TaskState, //
 };
 
-/// Part of the need that is taken beside it, so that what comes next need not wait for a
-/// write: one in this many.
-const AHEAD_PART: u64 = 4;
+/// Extra amount allocated beyond the current need, so that the next task need not wait for a
+/// write of the record: the need divided by this number.
+const EXTRA_DIVISOR: u64 = 4;
 
-/// Part of the limit that a pool with any work of the team takes at least: one in this many.
-const LEAST_PART: u64 = 64;
+/// Least extra amount that is allocated to a pool with any work of the team: the limit divided
+/// by this number.
+const LIMIT_DIVISOR: u64 = 64;
 
-/// What a pool has of a team's work.
+/// Resources of a pool that a team uses or waits for.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TeamUsage {
-    /// Taken by tasks that run, or may.
+    /// Reserved by tasks that run or may run.
     pub used: ResourceAmounts,
-    /// Asked for by tasks that could start.
+    /// Requested by ready tasks that wait.
     pub waiting: ResourceAmounts,
 }
 
-/// Parts of a team's limit, by pool.
+/// Allocations of a team's limit, by pool.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct QuotaAllocations {
-    parts: BTreeMap<String, ResourceAmounts>,
+    allocations: BTreeMap<String, ResourceAmounts>,
 }
 
 impl QuotaAllocations {
-    /// The part of a pool.
+    /// The pool's allocation.
     pub fn allocation(&self, pool: &str) -> ResourceAmounts {
-        self.parts.get(pool).copied().unwrap_or_default()
+        self.allocations.get(pool).copied().unwrap_or_default()
     }
 
-    /// Changes the part of a pool.
-    pub fn set(&mut self, pool: &str, part: ResourceAmounts) {
-        if part == ResourceAmounts::default() {
-            self.parts.remove(pool);
+    /// Sets the pool's allocation.
+    pub fn set(&mut self, pool: &str, allocation: ResourceAmounts) {
+        if allocation == ResourceAmounts::default() {
+            self.allocations.remove(pool);
         } else {
-            self.parts.insert(pool.to_owned(), part);
+            self.allocations.insert(pool.to_owned(), allocation);
         }
     }
 
-    /// The sum of all parts.
+    /// The sum of all allocations.
     pub fn total(&self) -> ResourceAmounts {
-        let parts = self.parts.values();
-        parts.fold(ResourceAmounts::default(), |sum, part| sum.plus(*part))
+        let allocations = self.allocations.values();
+        allocations.fold(ResourceAmounts::default(), |sum, allocation| {
+            sum.plus(*allocation)
+        })
     }
 
     fn others(&self, pool: &str) -> ResourceAmounts {
-        let others = self.parts.iter().filter(|(other, _)| *other != pool);
-        others.fold(ResourceAmounts::default(), |sum, (_, part)| sum.plus(*part))
+        let others = self.allocations.iter().filter(|(other, _)| *other != pool);
+        others.fold(ResourceAmounts::default(), |sum, (_, allocation)| {
+            sum.plus(*allocation)
+        })
     }
 
-    /// The part that a pool should have now.
+    /// The allocation that the pool should have now. An amount whose limit is zero is not
+    /// limited, and its allocation is zero.
     pub fn next_allocation(
         &self,
         pool: &str,
@@ -82,54 +89,64 @@
         needs: TeamUsage,
     ) -> ResourceAmounts {
         let limits = limit.amounts();
-        let parts = self.allocation(pool).amounts();
+        let allocations = self.allocation(pool).amounts();
         let others = self.others(pool).amounts();
         let used = needs.used.amounts();
         let need = needs.used.plus(needs.waiting).amounts();
-        ResourceAmounts::each(|place| {
-            let free = limits[place].saturating_sub(others[place]);
-            next_amount(limits[place], parts[place], free, used[place], need[place])
+        ResourceAmounts::each(|index| {
+            let free = limits[index].saturating_sub(others[index]);
+            next_amount(
+                limits[index],
+                allocations[index],
+                free,
+                used[index],
+                need[index],
+            )
         })
     }
 
-    /// What a pool may have running by its part. Where a limit was lowered below the sum of
-    /// the parts, each is lowered alike until the parts follow.
+    /// What the team may have running in the pool. After the limit was lowered below the sum
+    /// of the allocations, each of them is scaled down in proportion until the stored
+    /// allocations follow.
     pub fn allowed(&self, pool: &str, limit: ResourceAmounts) -> ResourceAmounts {
         let limits = limit.amounts();
-        let parts = self.allocation(pool).amounts();
+        let allocations = self.allocation(pool).amounts();
         let sums = self.allocation(pool).plus(self.others(pool)).amounts();
-        ResourceAmounts::each(|place| match limits[place] {
+        ResourceAmounts::each(|index| match limits[index] {
             0 => u64::MAX,
             limit => {
-                let part = u128::from(parts[place]) * u128::from(limit);
-                let part = part / u128::from(sums[place].max(1));
-                u64::try_from(part).unwrap_or(u64::MAX).min(parts[place])
+                let allocation = u128::from(allocations[index]) * u128::from(limit);
+                let allocation = allocation / u128::from(sums[index].max(1));
+                u64::try_from(allocation)
+                    .unwrap_or(u64::MAX)
+                    .min(allocations[index])
             }
         })
     }
 }
 
-/// The amount of a limit that a pool should have: what it needs and some ahead, as far as
-/// others leave it, and never less than it uses; the same as before where that is near
-/// enough. Without a limit, where that is zero, nothing is taken.
-fn next_amount(limit: u64, part: u64, free: u64, used: u64, need: u64) -> u64 {
+/// The allocation of one amount that a pool should have: its need and some extra, as far as
+/// the other pools leave that much, and never less than it uses. An allocation that is close
+/// enough stays as it is. Without a limit (zero) it is zero.
+fn next_amount(limit: u64, allocation: u64, free: u64, used: u64, need: u64) -> u64 {
     if limit == 0 || need == 0 {
         return 0;
     }
-    let target = need + need / AHEAD_PART + limit / LEAST_PART;
+    let target = need + need / EXTRA_DIVISOR + limit / LIMIT_DIVISOR;
     let wanted = used.max(target.min(free));
-    let near = part >= need && part <= wanted.saturating_mul(2) && part <= free;
-    if near { part } else { wanted }
+    let close_enough =
+        allocation >= need && allocation <= wanted.saturating_mul(2) && allocation <= free;
+    if close_enough { allocation } else { wanted }
 }
 
-/// What teams may have started yet, while a plan is made.
+/// What limited teams may still start while a plan is made.
 #[derive(Default)]
 pub(crate) struct QuotaBudget {
-    places: HashMap<String, usize>,
+    indexes: HashMap<String, usize>,
     left: Vec<ResourceAmounts>,
 }
 
-/// A team in a budget; none has no limit.
+/// A team in a [`QuotaBudget`]; `None` is a team without a limit.
 #[derive(Clone, Copy)]
 pub(crate) struct BudgetKey(Option<usize>);
 
@@ -141,105 +158,105 @@
 }
 
 impl QuotaBudget {
-    /// The key of a team.
+    /// Looks up a team.
     pub(crate) fn find(&self, team: &str) -> BudgetKey {
-        BudgetKey(self.places.get(team).copied())
+        BudgetKey(self.indexes.get(team).copied())
     }
 
-    /// Whether a job's team may start so much more.
+    /// Whether the team may start tasks with this much need.
     pub(crate) fn allows(&self, team: BudgetKey, need: ResourceAmounts) -> bool {
-        let left = team.0.and_then(|place| self.left.get(place));
+        let left = team.0.and_then(|index| self.left.get(index));
         left.is_none_or(|left| left.covers(need))
     }
 
-    /// Takes in that it was started.
+    /// Deducts the need of planned tasks.
     pub(crate) fn take(&mut self, team: BudgetKey, need: ResourceAmounts) {
-        if let Some(left) = team.0.and_then(|place| self.left.get_mut(place)) {
+        if let Some(left) = team.0.and_then(|index| self.left.get_mut(index)) {
             *left = left.minus(need);
         }
     }
 }
 
 impl PoolState {
-    /// Limits what a team may have running in this pool.
+    /// Sets what a team may have running in this pool.
     pub fn set_quota_allocation(&mut self, team: &str, allowed: ResourceAmounts) {
-        let before = self.allowances.insert(team.to_owned(), allowed);
+        let before = self.quota_allocations.insert(team.to_owned(), allowed);
         self.plan_needed |= before != Some(allowed);
     }
 
-    /// Limits no team but those.
+    /// Drops the limits of all teams but those for which `limited` is true.
     pub fn retain_quota_allocations(&mut self, limited: impl Fn(&str) -> bool) {
-        self.allowances.retain(|team, _| limited(team));
+        self.quota_allocations.retain(|team, _| limited(team));
     }
 
-    /// What the pool has of each team's work.
+    /// Resources that each team uses or waits for in this pool.
     pub fn team_usage(&self) -> HashMap<&str, TeamUsage> {
-        let mut uses: HashMap<&str, TeamUsage> = HashMap::new();
+        let mut usage: HashMap<&str, TeamUsage> = HashMap::new();
         let active = self.active.iter().filter_map(|key| self.jobs.get(*key));
         for job in active.filter(|job| !job.team.is_empty()) {
-            let found = uses.entry(&job.team).or_default();
+            let team_usage = usage.entry(&job.team).or_default();
             for (slot, task) in job.tasks.iter().enumerate() {
                 let need = || job.step_of(slot).map(|step| step.need).unwrap_or_default();
-                match task.place {
-                    TaskPlace::Done => {}
-                    TaskPlace::Waiting if job.phase.is_final() || !job.is_ready(slot) => {}
-                    TaskPlace::Waiting => found.waiting = found.waiting.plus(need()),
-                    _ => found.used = found.used.plus(need()),
+                match task.state {
+                    TaskState::Done => {}
+                    TaskState::Waiting if job.phase.is_final() || !job.is_ready(slot) => {}
+                    TaskState::Waiting => team_usage.waiting = team_usage.waiting.plus(need()),
+                    _ => team_usage.used = team_usage.used.plus(need()),
                 }
             }
         }
-        uses
+        usage
     }
 
-    /// Work that limits held back when starts were last planned, in tasks by team.
+    /// Number of tasks, by team, that a quota kept from starting when starts were last
+    /// planned.
     pub fn tasks_over_quota(&self) -> &HashMap<String, u32> {
         &self.tasks_over_quota
     }
 
-    /// What a plan has to know of teams' work: nothing where neither limits nor shares
-    /// are to be looked at.
-    pub(crate) fn uses_for_plan(&self) -> HashMap<&str, TeamUsage> {
-        if self.allowances.is_empty() && !self.was_full {
+    /// Uses of teams that a plan needs: none where no quota is set and the pool was not full.
+    pub(crate) fn usage_for_plan(&self) -> HashMap<&str, TeamUsage> {
+        if self.quota_allocations.is_empty() && !self.lacked_capacity {
             return HashMap::new();
         }
         self.team_usage()
     }
 
-    /// What teams may have started by now, besides what they have.
-    pub(crate) fn quota_budget(&self, uses: &HashMap<&str, TeamUsage>) -> QuotaBudget {
+    /// What each limited team may start beyond what it uses already.
+    pub(crate) fn quota_budget(&self, usage: &HashMap<&str, TeamUsage>) -> QuotaBudget {
         let mut budget = QuotaBudget::default();
-        for (team, allowed) in &self.allowances {
-            let found = uses.get(team.as_str()).copied().unwrap_or_default();
-            budget.places.insert(team.clone(), budget.left.len());
-            budget.left.push(allowed.minus(found.used));
+        for (team, allowed) in &self.quota_allocations {
+            let team_usage = usage.get(team.as_str()).copied().unwrap_or_default();
+            budget.indexes.insert(team.clone(), budget.left.len());
+            budget.left.push(allowed.minus(team_usage.used));
         }
         budget
     }
 
-    /// Notes that a limit held a task back.
-    pub(crate) fn hold_back(&mut self, key: JobKey) {
+    /// Counts a task that a quota kept from starting.
+    pub(crate) fn count_over_quota(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        let held = self.tasks_over_quota.entry(job.team.clone()).or_default();
-        *held += 1;
+        let count = self.tasks_over_quota.entry(job.team.clone()).or_default();
+        *count += 1;
     }
 }
 
-/// What a job's gangs would take that wait.
+/// Resources that the waiting members of a job's gangs need.
 pub(crate) fn gangs_waiting(job: &JobEntry) -> ResourceAmounts {
-    gang_needs(job, |place| *place == TaskPlace::Waiting)
+    gang_needs(job, |state| *state == TaskState::Waiting)
 }
 
-/// What a job's gangs take that are placed and not ordered yet.
+/// Resources that the members of a job's gangs need which are planned and not ordered yet.
 pub(crate) fn gangs_planned(job: &JobEntry) -> ResourceAmounts {
-    gang_needs(job, |place| matches!(place, TaskPlace::Planned(_)))
+    gang_needs(job, |state| matches!(state, TaskState::Planned(_)))
 }
 
-fn gang_needs(job: &JobEntry, counts: impl Fn(&TaskPlace) -> bool) -> ResourceAmounts {
+fn gang_needs(job: &JobEntry, counts: impl Fn(&TaskState) -> bool) -> ResourceAmounts {
     let tasks = job.tasks.iter().enumerate();
     let needs = tasks
-        .filter(|(_, task)| counts(&task.place))
+        .filter(|(_, task)| counts(&task.state))
         .filter_map(|(slot, _)| {
             let step = job.step_of(slot).filter(|step| step.gang)?;
             Some(step.need)
--- a/crates/hoisthitch-jobs/src/rank.rs
+++ b/crates/hoisthitch-jobs/src/rank.rs
@@ -1,16 +1,16 @@
 //! The order in which a pool's jobs are served.
 //!
-//! Jobs go by paid priority, then lasting work, then what can still be in time,
-//! then by the time at which it has to start. What can't be in time earns little
-//! more, and goes last: otherwise all would be a little late when there is too
-//! much.
+//! Jobs are ordered by paid priority, then long-running jobs first, then jobs that can still
+//! meet their objective, then by latest start. A job that can't be in time any more earns
+//! little, and goes last: otherwise, when there is too much work, all jobs would be a little
+//! late.
 //!
-//! Under overload the order by latest start is the worst one: each job gets its
-//! turn when it has no time to spare, and any task that takes longer than the mean
-//! makes it late. So while jobs pass their latest start without having begun, those
-//! that have not begun are served newest first: they have time to spare, as many
-//! are in time as there is room for, and the others are late as they would have
-//! been. Jobs that have begun go before them, for their work is lost if they wait.
+//! Under overload the order by latest start is the worst one: each job gets its turn when it
+//! has no slack left, and any task that takes longer than the mean makes it late. So while
+//! jobs pass their latest start without having begun, jobs that have not begun are served
+//! newest first. The newest have slack, so that as many are in time as there is capacity for,
+//! and the others are late as they would have been anyway. Jobs that have begun go before
+//! them, because their work would be lost if they waited.
 
 use std::collections::{
     BTreeSet,
@@ -27,34 +27,34 @@
     quota::TeamUsage, //
 };
 
-/// Time of a job beside its tasks', in milliseconds: records, orders, reports
-/// and the caller's question.
-const ANSWER_MS: Millis = 150;
+/// Time of a job besides that of its tasks, in milliseconds: records, orders, reports and the
+/// caller's query.
+const OVERHEAD_MS: Millis = 150;
 
-/// Time after a job passed its latest start without having begun for which its
-/// priority counts as overloaded, in milliseconds: rises last several seconds, and
-/// jobs come some tens in a second.
-const OVERLOAD_MS: Millis = 1_000;
+/// Time after a job passed its latest start without having begun during which its priority
+/// class counts as overloaded, in milliseconds. Rises of demand last several seconds, and jobs
+/// arrive at some tens a second.
+const OVERLOAD_WINDOW_MS: Millis = 1_000;
 
-/// Place of a job; the least is served first.
+/// Sort key of a job; the smallest is served first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct JobRank {
     /// Paid priority.
     priority: u32,
-    /// Whether it ends by itself.
-    short: bool,
-    /// Whether it waits for its first task, and its team has more than its share.
+    /// Whether the job ends by itself, that is, is not long-running.
+    finite: bool,
+    /// Whether it has not begun, and its team uses more than its share.
     beyond_share: bool,
-    /// Whether it can't be in time.
+    /// Whether it can't meet its objective any more.
     late: bool,
-    /// Whether it waits for its first task under overload.
-    passed_over: bool,
+    /// Whether it has not begun, and its priority class is overloaded: newest first.
+    newest_first: bool,
     turn: Millis,
 }
 
 impl PoolState {
-    /// Jobs with work, the one to serve first in front.
-    pub(crate) fn plan_order(&self, uses: &HashMap<&str, TeamUsage>, now: Millis) -> Vec<JobKey> {
+    /// Active jobs in the order in which they are to be served.
+    pub(crate) fn plan_order(&self, usage: &HashMap<&str, TeamUsage>, now: Millis) -> Vec<JobKey> {
         let jobs: Vec<(JobKey, &JobEntry, Millis)> = self
             .active
             .iter()
@@ -62,12 +62,12 @@
             .filter(|(_, job)| !job.phase.is_final())
             .map(|(key, job)| (key, job, self.latest_start(job)))
             .collect();
-        let missed = jobs.iter().filter(|(_, job, start)| {
-            let lately = *start < now && now < *start + OVERLOAD_MS;
+        let passed = jobs.iter().filter(|(_, job, start)| {
+            let lately = *start < now && now < *start + OVERLOAD_WINDOW_MS;
             lately && !job.spec.is_long_running() && !job.has_begun()
         });
-        let overloaded: BTreeSet<u32> = missed.map(|(_, job, _)| job.policy.priority).collect();
-        let beyond = self.teams_beyond_share(uses);
+        let overloaded: BTreeSet<u32> = passed.map(|(_, job, _)| job.policy.priority).collect();
+        let beyond = self.teams_beyond_share(usage);
         let mut order: Vec<(JobRank, JobKey)> = jobs
             .iter()
             .map(|(key, job, start)| {
@@ -80,28 +80,28 @@
         order.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// When what is left of a job has to start to be done in time, by the times
-    /// that its queue's tasks take.
+    /// When the remaining work of a job has to start for the job to be in time, given the mean
+    /// task time of its queue.
     pub(crate) fn latest_start(&self, job: &JobEntry) -> Millis {
         let time = self.task_time(&job.queue);
         let left = job.spec.critical_path(|step| {
             let round = job.rounds_begun().saturating_sub(1);
-            if job.open_tasks(round, step) > 0 {
+            if job.remaining_tasks(round, step) > 0 {
                 time
             } else {
                 0
             }
         });
-        self.due_at(job).saturating_sub(left + ANSWER_MS)
+        self.due_at(job).saturating_sub(left + OVERHEAD_MS)
     }
 
-    /// When a job has to be done to be in time.
+    /// When a job has to be done to meet its objective.
     fn due_at(&self, job: &JobEntry) -> Millis {
         job.accepted_at + job.objective(self.task_time(&job.queue))
     }
 
-    /// Whether a job that has not ended is not in time any more.
-    pub(crate) fn is_missed(&self, job: &JobEntry, now: Millis) -> bool {
+    /// Whether a job that has not ended has passed its objective.
+    pub(crate) fn has_missed_objective(&self, job: &JobEntry, now: Millis) -> bool {
         self.due_at(job) < now
     }
 }
@@ -113,16 +113,16 @@
     beyond: bool,
     now: Millis,
 ) -> JobRank {
-    let short = !job.spec.is_long_running();
-    let late = short && latest_start < now;
-    let passed_over = overload && short && !late && !job.has_begun();
+    let finite = !job.spec.is_long_running();
+    let late = finite && latest_start < now;
+    let newest_first = overload && finite && !late && !job.has_begun();
     JobRank {
         priority: job.policy.priority,
-        short,
-        beyond_share: beyond && short && !job.has_begun(),
+        finite,
+        beyond_share: beyond && finite && !job.has_begun(),
         late,
-        passed_over,
-        turn: if passed_over {
+        newest_first,
+        turn: if newest_first {
             Millis::MAX - latest_start
         } else {
             latest_start
--- /dev/null
+++ b/crates/hoisthitch-jobs/src/restarts.rs
@@ -0,0 +1,156 @@
+//! Runners that restart under the same name.
+//!
+//! A name does not identify a process. The next instance has none of the runs of the one
+//! before, and all of its counters begin again: its ends, its clock, the highest fencing token
+//! that it has seen, and the runs that it knows to be over. So what is known about one
+//! instance must never be applied to the next; here each instance has an entry of its own.
+
+use crate::{
+    Millis,
+    losses::RunnerLoss,
+    pool::PoolState,
+    runner::{
+        RunnerEntry,
+        RunnerFacts,
+        RunnerKey, //
+    },
+    task::{
+        TaskRef,
+        TaskState, //
+    }, //
+};
+
+/// The next instance of a runner, and what became of the tasks of the one before.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub struct RestartedRunner {
+    /// Key of the next instance.
+    pub key: RunnerKey,
+    /// Number of runs that ended with the instance before.
+    pub ended: usize,
+    /// Number of starts that the next instance may have carried out, or may still carry out.
+    pub unconfirmed: usize,
+}
+
+impl PoolState {
+    /// Records that an instance of a runner has ended, and that another one, started at
+    /// `started_at`, has replaced it.
+    ///
+    /// Runs that the instance before was seen to have ended with it. A start whose answer came
+    /// after its last report, or never, may have reached the next instance: such a task stays
+    /// unconfirmed until that instance has responded, or until `until`. The next instance gets
+    /// no tasks before the platform lists it, for it may have other properties.
+    pub fn replace_restarted_runner(
+        &mut self,
+        key: RunnerKey,
+        started_at: u64,
+        until: Millis,
+        now: Millis,
+    ) -> Option<RestartedRunner> {
+        self.record_loss(key, RunnerLoss::Crashed, now);
+        let runner = self.runners.get(key)?;
+        let facts = RunnerFacts {
+            started_at: Some(started_at),
+            ..runner.facts.clone()
+        };
+        let name = facts.name.clone();
+        let until = until.max(runner.lease_until);
+        let tasks = runner.tasks.iter().copied();
+        let (unconfirmed, ended): (Vec<TaskRef>, Vec<TaskRef>) =
+            tasks.partition(|task| self.may_run_on_next(*task, runner));
+        for task in &ended {
+            self.move_off_runner(*task, TaskState::Waiting, now);
+        }
+        for task in &unconfirmed {
+            let runner = name.clone();
+            self.move_off_runner(
+                *task,
+                TaskState::Unconfirmed {
+                    runner,
+                    started_at: None,
+                    until,
+                },
+                now,
+            );
+        }
+        self.stops.retain(|stop| stop.runner != key);
+        // A ticket is only valid for one instance of a runner.
+        for advice in self.advice.values_mut() {
+            advice.forget_runner(&name);
+        }
+        self.runners.remove(key);
+        let mut next = RunnerEntry::new(facts, until, now);
+        next.unlisted = true;
+        next.restarted = true;
+        let key = self.runners.insert(next);
+        self.runner_names.insert(name, key);
+        self.fail_crashing_tasks(now);
+        Some(RestartedRunner {
+            key,
+            ended: ended.len(),
+            unconfirmed: unconfirmed.len(),
+        })
+    }
+
+    /// Records that a runner's process has ended and that none has replaced it; returns how
+    /// many runs ended with it.
+    ///
+    /// A start without an answer may still be carried out by the next process there. Its task
+    /// stays where it is until that process has responded, or until the lease has ended.
+    pub fn record_process_exit(&mut self, key: RunnerKey, now: Millis) -> usize {
+        self.record_loss(key, RunnerLoss::Crashed, now);
+        let Some(runner) = self.runners.get(key) else {
+            return 0;
+        };
+        let is_over = |task: &&TaskRef| {
+            let entry = self.task(**task);
+            entry.is_some_and(|entry| {
+                let known = matches!(entry.state, TaskState::Running(_) | TaskState::Planned(_));
+                known && !entry.any_start_unanswered
+            })
+        };
+        let ended: Vec<TaskRef> = runner.tasks.iter().filter(is_over).copied().collect();
+        for task in &ended {
+            self.move_off_runner(*task, TaskState::Waiting, now);
+        }
+        self.stops.retain(|stop| stop.runner != key);
+        self.fail_crashing_tasks(now);
+        ended.len()
+    }
+
+    /// Whether a later instance of the runner may run the task, or may still get the order to
+    /// run it.
+    fn may_run_on_next(&self, task: TaskRef, runner: &RunnerEntry) -> bool {
+        let Some(entry) = self.task(task) else {
+            return false;
+        };
+        let was_reported = runner
+            .last_heartbeat_at
+            .is_some_and(|at| entry.ordered_at < at);
+        match entry.state {
+            TaskState::Ordered(_) => true,
+            TaskState::Running(_) | TaskState::Stopping(_) => {
+                entry.any_start_unanswered || !was_reported
+            }
+            TaskState::Waiting
+            | TaskState::Planned(_)
+            | TaskState::Unconfirmed { .. }
+            | TaskState::Done => false,
+        }
+    }
+
+    /// Moves a task off its runner, and breaks its gang.
+    pub(crate) fn move_off_runner(&mut self, task: TaskRef, state: TaskState, now: Millis) {
+        self.set_task_state(task, state, now);
+        self.mark_dirty(task.job);
+        self.break_gang(task, now);
+    }
+
+    /// Records the start time of the instance that responded, where the platform's record does
+    /// not have it.
+    pub fn record_start_time(&mut self, key: RunnerKey, started_at: u64) {
+        if let Some(runner) = self.runners.get_mut(key) {
+            runner.facts.started_at = runner.facts.started_at.or(Some(started_at));
+            runner.reports_start_time = true;
+        }
+    }
+}
--- a/crates/hoisthitch-jobs/src/stops.rs
+++ b/crates/hoisthitch-jobs/src/stops.rs
@@ -1,4 +1,4 @@
-//! Jobs that end before they are done, and the stops of what runs of them.
+//! Ends jobs before they are done, and stops their runs.
 
 use crate::{
     Millis,
@@ -8,16 +8,16 @@
     runner::RunnerKey,
     task::{
         StopOrder,
-        TaskPlace,
-        TaskRef, //
+        TaskRef,
+        TaskState, //
     }, //
 };
 
-/// Time after which a stop without an end is sent again, in milliseconds.
-const STOP_AGAIN_MS: Millis = 700;
+/// Time after which a stop is sent again if no end of the run was reported, in milliseconds.
+const RESEND_MS: Millis = 700;
 
 impl PoolState {
-    /// Takes in a cancel; answers whether it ended the job.
+    /// Cancels a job; returns whether this ended it.
     pub fn cancel(&mut self, id: &str, now: Millis) -> bool {
         let Some(key) = self.job_ids.get(id).copied() else {
             return false;
@@ -27,7 +27,7 @@
         ends
     }
 
-    /// Ends a job and stops what runs of it.
+    /// Ends a job and stops its runs.
     pub(crate) fn end_job(&mut self, key: JobKey, phase: JobPhase, now: Millis) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -41,24 +41,24 @@
         for slot in 0..job.tasks.len() {
             self.stop_task(TaskRef { job: key, slot }, now);
         }
-        self.note_ended(key, now);
+        self.record_job_end(key, now);
     }
 
-    /// Stops a task wherever it is.
+    /// Stops a task in whatever state it is.
     pub(crate) fn stop_task(&mut self, task: TaskRef, now: Millis) {
         let Some(entry) = self.task(task) else {
             return;
         };
-        match entry.place {
-            TaskPlace::Planned(_) => self.set_place(task, TaskPlace::Waiting, now),
-            TaskPlace::Ordered(runner) | TaskPlace::Running(runner) => {
-                self.set_place(task, TaskPlace::Stopping(runner), now);
+        match entry.state {
+            TaskState::Planned(_) => self.set_task_state(task, TaskState::Waiting, now),
+            TaskState::Ordered(runner) | TaskState::Running(runner) => {
+                self.set_task_state(task, TaskState::Stopping(runner), now);
                 self.order_stop(task, runner, now);
             }
-            TaskPlace::Waiting
-            | TaskPlace::Stopping(_)
-            | TaskPlace::Unlocated { .. }
-            | TaskPlace::Done => {}
+            TaskState::Waiting
+            | TaskState::Stopping(_)
+            | TaskState::Unconfirmed { .. }
+            | TaskState::Done => {}
         }
     }
 
@@ -73,39 +73,40 @@
             return;
         };
         entry.ordered_at = now;
-        let run = entry.placed_run();
+        let run = entry.current_run();
         self.stops.push(StopOrder { runner, name, run });
     }
 
-    /// Stops that are to be sent.
+    /// Returns the stop orders to send, and clears them.
     pub fn take_stop_orders(&mut self) -> Vec<StopOrder> {
         std::mem::take(&mut self.stops)
     }
 
-    /// Whether a stop may be sent again: one that was decided on while its step could miss the
-    /// task waits while it can't.
-    fn may_stop_again(&self, task: TaskRef, key: RunnerKey) -> bool {
+    /// Whether a stop may be sent again. The first stop of a long-running task may have been
+    /// decided on while its step could do without the task; it is not sent again while the
+    /// step can't.
+    fn may_resend_stop(&self, task: TaskRef, key: RunnerKey) -> bool {
         let drains = self
             .runners
             .get(key)
             .is_some_and(|runner| runner.facts.draining);
         let runs = self
             .task(task)
-            .is_some_and(|entry| entry.shown && entry.stray_run.is_none());
-        drains || !runs || !self.lasts(task) || self.may_end(&[task])
+            .is_some_and(|entry| entry.reported && entry.earlier_run.is_none());
+        drains || !runs || !self.is_long_running(task) || self.may_disrupt(&[task])
     }
 
-    /// Sends stops again of which no end was heard.
+    /// Sends stops again whose runs have not ended.
     pub fn resend_stops(&mut self, now: Millis) {
         let overdue: Vec<(TaskRef, RunnerKey)> = self
             .active_tasks()
-            .filter_map(|(task, entry)| match entry.place {
-                TaskPlace::Stopping(runner) if entry.ordered_at + STOP_AGAIN_MS <= now => {
+            .filter_map(|(task, entry)| match entry.state {
+                TaskState::Stopping(runner) if entry.ordered_at + RESEND_MS <= now => {
                     Some((task, runner))
                 }
                 _ => None,
             })
-            .filter(|(task, runner)| self.may_stop_again(*task, *runner))
+            .filter(|(task, runner)| self.may_resend_stop(*task, *runner))
             .collect();
         for (task, runner) in overdue {
             self.order_stop(task, runner, now);
