--- a/crates/hoisthitch-scheduler/src/owner/writes.rs
+++ b/crates/hoisthitch-scheduler/src/owner/writes.rs
@@ -1,4 +1,9 @@
-//! What an owner writes to its pool's journal, and what it may do then.
+//! Writes of an owner to its pool's journal.
+//!
+//! One write at a time carries the changed progress of jobs, the queues' counts, the
+//! deletions of old jobs and the list of unreachable runners. What depends on a record waits
+//! for the write: starts are sent and ends are acknowledged only once it succeeded. An owner
+//! with nothing to write reads the journal's head instead, to confirm its ownership.
 
 use hoisthitch_jobs::{
     FlushPlan,
@@ -24,45 +29,48 @@
     platform::Platform, //
 };
 
-/// Least time between two writes of the journal, in milliseconds: what comes
-/// meanwhile shares a write. What one write does not take goes into the next at once:
-/// with the gap, an owner writes a thousand records a second at most, and the turns of
-/// large pools bring more: 11 in 100 of what is owed on a fleet of 1,100 VMs (two plays,
-/// docs/MEASURED.md).
-const WRITE_GAP_MS: Millis = 25;
+/// Minimum interval between two writes of the journal, in milliseconds, so that changes
+/// share a write. Records beyond one write are written without the interval: with it, an
+/// owner writes a thousand records a second at most, and the demand peaks of large pools
+/// produce more, which cost 11 percent of the attainable value on a fleet of 1,100 VMs
+/// (docs/MEASURED.md).
+const WRITE_INTERVAL_MS: Millis = 25;
 
-/// Jobs whose records go into one write.
-const FLUSH_LIMIT: usize = BATCH_LIMIT - 1;
+/// Maximum number of job records in one write; one more entry is left for the queues' counts.
+const RECORDS_PER_WRITE: usize = BATCH_LIMIT - 1;
 
-/// Time without a write after which the owner makes sure that it is the owner,
-/// in milliseconds.
-const CONFIRM_MS: Millis = 500;
+/// Time without a write after which the owner confirms its ownership by a read, in
+/// milliseconds.
+const CONFIRM_INTERVAL_MS: Millis = 500;
 
-/// Least time between two writes of the queues' counts, in milliseconds; they
-/// may be two seconds old.
-const COUNT_GAP_MS: Millis = 600;
+/// Minimum interval between two writes of the queues' counts, in milliseconds; readers may
+/// see counts that are up to two seconds old.
+const COUNTS_INTERVAL_MS: Millis = 600;
 
-/// Time that ended jobs are kept, beyond the bound in force, in milliseconds.
-const KEPT_MS: Millis = 300_000;
+/// Time for which the records of an ended job are kept, in milliseconds; longer than the
+/// required minimum.
+const ENDED_JOB_KEPT_MS: Millis = 300_000;
 
-/// Entries that the forgetting of a job takes in a write.
-const FORGET_ENTRIES: usize = 4;
+/// Entries of a write that the deletion of one job takes.
+const DELETION_ENTRIES: usize = 4;
 
 impl<P: Platform> PoolOwner<P> {
-    /// When the journal may be written again.
+    /// Earliest time of the next journal write.
     pub(super) fn next_write(&self) -> Millis {
-        if self.state.is_behind(FLUSH_LIMIT) {
+        if self.state.is_behind(RECORDS_PER_WRITE) {
             return self.wrote_at;
         }
-        self.wrote_at + WRITE_GAP_MS
+        self.wrote_at + WRITE_INTERVAL_MS
     }
 
-    /// Whether the journal may be written now.
+    /// Whether no write is in progress and the next one is due.
     pub(super) fn may_write(&self, now: Millis) -> bool {
-        let due = || now >= self.wrote_at + WRITE_GAP_MS || now >= self.next_write();
+        let due = || now >= self.wrote_at + WRITE_INTERVAL_MS || now >= self.next_write();
         self.journal.is_some() && due()
     }
 
+    /// Starts the next journal write, or a confirmation of ownership if there is nothing to
+    /// write.
     pub(super) fn write(&mut self, now: Millis) {
         if !self.may_write(now) {
             return;
@@ -70,7 +78,7 @@
         let Some(journal) = self.journal.take() else {
             return;
         };
-        let plan = self.state.begin_flush(FLUSH_LIMIT);
+        let plan = self.state.begin_flush(RECORDS_PER_WRITE);
         let mut items: Vec<SwapItem> = plan
             .records
             .iter()
@@ -79,8 +87,8 @@
                 put(key, encode_record(progress))
             })
             .collect();
-        items.extend(self.count_item(now));
-        self.add_forgotten(&mut items, now);
+        items.extend(self.counts_item(now));
+        self.add_deletions(&mut items, now);
         if items.is_empty() && !self.needs_note(now) && !self.instances.wants_token() {
             self.confirm(journal, now);
             return;
@@ -91,13 +99,15 @@
         let mut journal = journal;
         actix_rt::spawn(async move {
             let result = journal.write(items, silent).await;
-            // An owner that is gone needs no journal.
+            // The send fails only if the owner has ended.
             let _ = returns.send((journal, plan, result));
         });
     }
 
+    /// Reads the journal's head to confirm ownership, unless that was done of late. A failed
+    /// read leaves the time of the last confirmation as it was.
     fn confirm(&mut self, journal: PoolJournal<P::Store>, now: Millis) {
-        if now < self.confirmed.get().max(self.wrote_at) + CONFIRM_MS {
+        if now < self.confirmed.get().max(self.wrote_at) + CONFIRM_INTERVAL_MS {
             self.journal = Some(journal);
             return;
         }
@@ -112,11 +122,17 @@
                     Ok(known)
                 }
             };
-            // An owner that is gone needs no journal.
+            // The send fails only if the owner has ended.
             let _ = returns.send((journal, FlushPlan::default(), result));
         });
     }
 
+    /// Completes a journal write: sends the starts that waited for it and acknowledges the
+    /// recorded ends to their runners.
+    ///
+    /// # Errors
+    ///
+    /// Fails when another node owns the pool.
     pub(super) fn take_journal(
         &mut self,
         back: JournalReturn<P::Store>,
@@ -139,9 +155,9 @@
         Ok(())
     }
 
-    /// The counts of waiting jobs, if they changed.
-    fn count_item(&mut self, now: Millis) -> Option<SwapItem> {
-        if now < self.counted_at + COUNT_GAP_MS {
+    /// The entry with the counts of waiting jobs, if they changed and a write of them is due.
+    fn counts_item(&mut self, now: Millis) -> Option<SwapItem> {
+        if now < self.counted_at + COUNTS_INTERVAL_MS {
             return None;
         }
         let counts = self.state.waiting_jobs();
@@ -154,13 +170,13 @@
         Some(put(key, encode_record(&counts)))
     }
 
-    /// Removes the records of jobs that ended long ago.
-    fn add_forgotten(&mut self, items: &mut Vec<SwapItem>, now: Millis) {
-        let room = BATCH_LIMIT.saturating_sub(items.len()) / FORGET_ENTRIES;
-        if room == 0 || now < KEPT_MS {
+    /// Adds deletions of the records of jobs that ended long ago, as far as the write has room.
+    fn add_deletions(&mut self, items: &mut Vec<SwapItem>, now: Millis) {
+        let room = BATCH_LIMIT.saturating_sub(items.len()) / DELETION_ENTRIES;
+        if room == 0 || now < ENDED_JOB_KEPT_MS {
             return;
         }
-        let old = self.state.ended_before(now - KEPT_MS);
+        let old = self.state.ended_before(now - ENDED_JOB_KEPT_MS);
         let keys = &self.context.keys;
         let pool = &self.context.pool;
         for id in old.into_iter().take(room) {
