--- a/crates/hoisthitch-scheduler/src/owner/quota.rs
+++ b/crates/hoisthitch-scheduler/src/owner/quota.rs
@@ -1,9 +1,10 @@
-//! An owner's parts of what teams may have running.
+//! Quota allocations: the parts of teams' limits that a pool holds.
 //!
-//! Each limited team has a record of the parts that pools hold of its limit. The owner
-//! changes its pool's parts by compare-and-swap, all that are due in one write. A part that
-//! grows counts once it is written, one that shrinks from before its write on; where the
-//! answer was lost, the lower of the two counts until the record is written again.
+//! Each team with a limit has a record in the store with the allocations of all pools. The
+//! owner changes its pool's allocations by compare-and-swap, all that are due in one write. A
+//! larger allocation takes effect once it is written, a smaller one before its write is sent.
+//! If the response to a write is lost, the lower of the two is in effect until the record has
+//! been written again, so that the sum of allocations in use never exceeds the limit.
 
 use std::collections::{
     BTreeMap,
@@ -35,55 +36,58 @@
     }, //
 };
 
-/// Time between two looks at what teams need, in milliseconds.
-const LOOK_MS: Millis = 100;
+/// Interval between comparisons of the teams' usage with their allocations, in milliseconds.
+const CHECK_INTERVAL_MS: Millis = 100;
 
-/// The same while work is held back.
-const HELD_LOOK_MS: Millis = 25;
+/// The same while a limit holds work back, in milliseconds.
+const HELD_BACK_CHECK_INTERVAL_MS: Millis = 25;
 
-/// Time between two readings of all records while teams lack room, in milliseconds.
-const READ_MS: Millis = 200;
+/// Minimum interval between two reads of all records while a team's allocation is too small,
+/// in milliseconds.
+const READ_INTERVAL_MS: Millis = 200;
 
-/// Teams whose parts go into one write: each takes two entries, the value and its condition.
-const BATCH: usize = 15;
+/// Maximum number of teams in one write: each takes two of its entries, the value and its
+/// condition.
+const TEAMS_PER_WRITE: usize = 15;
 
 /// A team's record, as last written or found.
 #[derive(Clone, Debug, Default)]
 struct TeamRecord {
     parts: QuotaAllocations,
     revision: StoreRevision,
-    /// Whether the last write's outcome is not known.
-    doubtful: bool,
+    /// Whether the outcome of the last write is unknown, or the record can't be read.
+    uncertain: bool,
 }
 
-/// What came of a look.
+/// Result of a write or a read of the records.
 pub(super) struct QuotaReturn {
-    /// What was to be written, by team.
+    /// Allocations of the write, by team; empty for a read.
     written: BTreeMap<String, QuotaAllocations>,
     outcome: Result<QuotaOutcome, StoreError>,
 }
 
 enum QuotaOutcome {
-    /// All records, as they were read.
+    /// All records.
     Read(Vec<StoredValue>),
     Swapped(BatchOutcome),
 }
 
-/// Parts of a pool, and their records.
+/// The quota allocations that a pool holds, and the records that they are in.
 #[derive(Debug, Default)]
 pub(super) struct QuotaLedger {
     records: HashMap<String, TeamRecord>,
-    asking: bool,
-    looked_at: Millis,
+    /// Whether a write or read is in progress.
+    busy: bool,
+    checked_at: Millis,
     read_at: Millis,
-    /// Teams that would take more than is free.
-    short: bool,
-    /// Version of the configuration whose limits were last put in force.
+    /// Whether a team's allocation is too small, or a record is uncertain.
+    is_short: bool,
+    /// Version of the configuration whose limits are applied.
     version: Option<u64>,
 }
 
 impl QuotaLedger {
-    /// Parts to be written, by team.
+    /// The allocations to write, by team, at most [`TEAMS_PER_WRITE`].
     fn changes(
         &mut self,
         pool: &str,
@@ -91,32 +95,33 @@
         uses: &HashMap<&str, TeamUsage>,
     ) -> BTreeMap<String, QuotaAllocations> {
         let mut changes = BTreeMap::new();
-        self.short = false;
+        self.is_short = false;
         for team in limited(teams) {
             let needs = uses.get(&*team.name).copied().unwrap_or_default();
             let record = self.records.entry(team.name.to_string()).or_default();
             let part = record.parts.next_allocation(pool, team.limit, needs);
             let asked = needs.used.plus(needs.waiting);
-            self.short |= !part.is_enough(team.limit, asked);
-            if part != record.parts.allocation(pool) && !record.doubtful {
+            self.is_short |= !part.is_enough(team.limit, asked);
+            if part != record.parts.allocation(pool) && !record.uncertain {
                 let mut parts = record.parts.clone();
                 parts.set(pool, part);
                 changes.insert(team.name.to_string(), parts);
             }
-            self.short |= record.doubtful;
-            if changes.len() == BATCH {
+            self.is_short |= record.uncertain;
+            if changes.len() == TEAMS_PER_WRITE {
                 break;
             }
         }
         changes
     }
 
-    /// Takes a record in. A write without an answer may be made yet, and give back what is
-    /// told here; so the lower part goes on to count until the record is written again.
-    fn take(&mut self, pool: &str, team: &str, stored: Option<&StoredValue>) {
+    /// Applies a record that was read. A write without a response may still be carried out and
+    /// lower the allocation that is read here, so that the lower one stays in effect until the
+    /// record is written again.
+    fn apply_record(&mut self, pool: &str, team: &str, stored: Option<&StoredValue>) {
         let record = self.records.entry(team.to_owned()).or_default();
-        let lower = record.doubtful.then(|| record.parts.allocation(pool));
-        record.doubtful = false;
+        let lower = record.uncertain.then(|| record.parts.allocation(pool));
+        record.uncertain = false;
         let Some(stored) = stored else {
             *record = TeamRecord::default();
             return;
@@ -130,10 +135,10 @@
                     .set(pool, lower.map_or(part, |lower| part.least(lower)));
                 record.revision = stored.revision;
             }
-            // Nothing is started by a record that can't be read.
+            // No task is started under a record that can't be read.
             Err(err) => {
                 record.parts = QuotaAllocations::default();
-                record.doubtful = true;
+                record.uncertain = true;
                 event!(Error, "quota_unreadable", team = team, error = err);
             }
         }
@@ -146,7 +151,7 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    /// Has the pool's parts follow what its teams need.
+    /// Adapts the pool's allocations to the usage of its teams, when that is due.
     pub(super) fn look_at_quotas(&mut self, now: Millis) {
         let policy = self.context.shared.policy.load_full();
         let Some(policy) = policy else {
@@ -157,19 +162,23 @@
         };
         if self.quotas.version != Some(policy.version) {
             self.quotas.version = Some(policy.version);
-            self.put_in_force(teams);
+            self.apply_limits(teams);
         }
         let held = !self.state.tasks_over_quota().is_empty();
-        let wait = if held { HELD_LOOK_MS } else { LOOK_MS };
-        if self.quotas.asking || now < self.quotas.looked_at + wait {
+        let wait = if held {
+            HELD_BACK_CHECK_INTERVAL_MS
+        } else {
+            CHECK_INTERVAL_MS
+        };
+        if self.quotas.busy || now < self.quotas.checked_at + wait {
             return;
         }
-        self.quotas.looked_at = now;
+        self.quotas.checked_at = now;
         let uses = self.state.team_usage();
         let written = self.quotas.changes(&self.context.pool, teams, &uses);
         if !written.is_empty() {
             self.write_parts(written);
-        } else if self.quotas.short && now >= self.quotas.read_at + READ_MS {
+        } else if self.quotas.is_short && now >= self.quotas.read_at + READ_INTERVAL_MS {
             self.quotas.read_at = now;
             self.read_parts();
         }
@@ -186,29 +195,29 @@
                 value: Some(encode_record(parts)),
                 lease: None,
             });
-            // What is given back is not used any more, whatever becomes of the write.
+            // What is released is not used any more, whatever the outcome of the write.
             let lower = record.parts.allocation(pool).least(parts.allocation(pool));
             record.parts.set(pool, lower);
         }
         self.apply_allowances();
-        self.quotas.asking = true;
+        self.quotas.busy = true;
         let store = self.context.platform.store().clone();
         let returns = self.quota_returns.clone();
         actix_rt::spawn(async move {
             let outcome = store.swap_all(items).await.map(QuotaOutcome::Swapped);
-            // An owner that is gone needs no parts.
+            // The send fails only if the owner has ended.
             let _ = returns.send(QuotaReturn { written, outcome });
         });
     }
 
     fn read_parts(&mut self) {
-        self.quotas.asking = true;
+        self.quotas.busy = true;
         let store = self.context.platform.store().clone();
         let prefix = self.context.keys.quotas_prefix();
         let returns = self.quota_returns.clone();
         actix_rt::spawn(async move {
             let outcome = store.read_prefix(&prefix).await.map(QuotaOutcome::Read);
-            // An owner that is gone needs no parts.
+            // The send fails only if the owner has ended.
             let _ = returns.send(QuotaReturn {
                 written: BTreeMap::new(),
                 outcome,
@@ -216,12 +225,12 @@
         });
     }
 
-    /// Takes in what came of a look.
-    pub(super) fn take_quotas(&mut self, back: QuotaReturn) {
-        self.quotas.asking = false;
-        match back.outcome {
+    /// Applies the result of a write or a read of the records.
+    pub(super) fn take_quotas(&mut self, result: QuotaReturn) {
+        self.quotas.busy = false;
+        match result.outcome {
             Ok(QuotaOutcome::Swapped(BatchOutcome::Written(revision))) => {
-                for (team, parts) in back.written {
+                for (team, parts) in result.written {
                     event!(
                         Info,
                         "quota_part",
@@ -236,24 +245,25 @@
                 }
             }
             Ok(QuotaOutcome::Swapped(BatchOutcome::Conflict(found))) => {
-                for (team, stored) in back.written.keys().zip(&found) {
-                    self.quotas.take(&self.context.pool, team, stored.as_ref());
+                for (team, stored) in result.written.keys().zip(&found) {
+                    self.quotas
+                        .apply_record(&self.context.pool, team, stored.as_ref());
                 }
-                // What others changed is known now, and the write due at once.
-                self.quotas.looked_at = 0;
+                // The changes of other pools are known now; the write is due again at once.
+                self.quotas.checked_at = 0;
             }
-            Ok(QuotaOutcome::Read(values)) => self.take_all(&values),
+            Ok(QuotaOutcome::Read(values)) => self.apply_records(&values),
             Err(err) => {
                 event!(
                     Warn,
                     "quota_unknown",
                     pool = self.context.pool,
-                    teams = back.written.len(),
+                    teams = result.written.len(),
                     error = err
                 );
-                for team in back.written.keys() {
+                for team in result.written.keys() {
                     if let Some(record) = self.quotas.records.get_mut(team) {
-                        record.doubtful = true;
+                        record.uncertain = true;
                     }
                 }
             }
@@ -261,7 +271,7 @@
         self.apply_allowances();
     }
 
-    fn take_all(&mut self, values: &[StoredValue]) {
+    fn apply_records(&mut self, values: &[StoredValue]) {
         let keys = &self.context.keys;
         let by_team: HashMap<&str, &StoredValue> = values
             .iter()
@@ -270,12 +280,12 @@
         let known: Vec<String> = self.quotas.records.keys().cloned().collect();
         for team in known {
             let stored = by_team.get(team.as_str()).copied();
-            self.quotas.take(&self.context.pool, &team, stored);
+            self.quotas.apply_record(&self.context.pool, &team, stored);
         }
     }
 
-    /// Limits the teams of a configuration, and no others.
-    fn put_in_force(&mut self, teams: &TeamTable) {
+    /// Applies the limits and weights of a configuration's teams; other teams have no limit.
+    fn apply_limits(&mut self, teams: &TeamTable) {
         let is_limited = |name: &str| teams.find(name).is_some_and(TeamPolicy::has_limit);
         self.quotas.records.retain(|team, _| is_limited(team));
         for team in limited(teams) {
@@ -291,7 +301,7 @@
         self.apply_allowances();
     }
 
-    /// Lets the pool's plans go by the parts that it holds.
+    /// Passes the allocations in effect to the pool's state, which plans by them.
     fn apply_allowances(&mut self) {
         let Some(policy) = self.context.shared.policy.load_full() else {
             return;
