--- a/crates/hoisthitch-scheduler/src/owner/advice.rs
+++ b/crates/hoisthitch-scheduler/src/owner/advice.rs
@@ -1,4 +1,7 @@
-//! Asks the adviser of queues that have one.
+//! Requests to the adviser of queues that have one.
+//!
+//! An owner has one request in progress at a time, and so has a node. The tickets of a response
+//! go to the pool's state, which plans by them.
 
 use hoisthitch_jobs::{
     AdviceRequest,
@@ -13,7 +16,7 @@
     Platform, //
 };
 
-/// A question, when it was asked, and what came of it.
+/// A request to the adviser and its result.
 pub(super) struct AdviceReturn {
     request: AdviceRequest,
     answered_at: Millis,
@@ -21,7 +24,7 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    /// Asks the next question, if none is open.
+    /// Sends the next request to the adviser, if none is in progress.
     pub(super) fn ask_advice(&mut self, now: Millis) {
         if self.asking {
             return;
@@ -34,41 +37,41 @@
         let shared = self.context.shared.clone();
         let returns = self.advice.clone();
         actix_rt::spawn(async move {
-            let turn = shared.advice_permit.acquire().await;
+            let permit = shared.advice_permit.acquire().await;
             let answer = source.advise(&request).await;
-            drop(turn);
-            let back = AdviceReturn {
+            drop(permit);
+            let result = AdviceReturn {
                 request,
                 answered_at: shared.clock.now(),
                 answer,
             };
-            // An owner that is gone needs no advice.
-            let _ = returns.send(back);
+            // The send fails only if the owner has ended.
+            let _ = returns.send(result);
         });
     }
 
-    /// Takes in what the adviser said.
-    pub(super) fn take_advice(&mut self, back: AdviceReturn) {
+    /// Records the adviser's response; its tickets are valid from the time at which it came.
+    pub(super) fn take_advice(&mut self, result: AdviceReturn) {
         self.asking = false;
-        match back.answer {
+        match result.answer {
             Ok(answer) => {
                 event!(
                     Info,
                     "advice",
-                    step = back.request.step,
-                    asked = back.request.runners.len(),
+                    step = result.request.step,
+                    asked = result.request.runners.len(),
                     good = answer.tickets.len(),
                     valid_ms = answer.valid_for.as_millis()
                 );
                 let valid = Millis::try_from(answer.valid_for.as_millis()).unwrap_or(0);
-                let until = back.answered_at + valid;
+                let until = result.answered_at + valid;
                 self.state
-                    .record_advice(back.request.task, answer.tickets, until);
+                    .record_advice(result.request.task, answer.tickets, until);
             }
             Err(err) => event!(
                 Warn,
                 "advice_missing",
-                step = back.request.step,
+                step = result.request.step,
                 error = err
             ),
         }
--- a/crates/hoisthitch-scheduler/src/owner/awaited.rs
+++ b/crates/hoisthitch-scheduler/src/owner/awaited.rs
@@ -1,9 +1,9 @@
-//! A configuration that a job was taken by, and that the owner's node lacks.
+//! Waits for a newer configuration, under which a job was accepted.
 //!
-//! An owner hears of jobs and of the configuration on different ways. Where the
-//! second is the slower one, it would start tasks of a queue and its node would tell
-//! callers that there is no such queue. So it plans nothing until its node has the
-//! configuration, which it has read at once.
+//! Jobs and the configuration reach an owner by different paths. If the configuration is the
+//! slower of the two, the owner would start tasks of a queue while its node still answers
+//! callers that there is no such queue. The owner therefore plans nothing until its node has
+//! the configuration, and requests a read of it at once.
 
 use hoisthitch_jobs::Millis;
 use hoisthitch_telemetry::event;
@@ -11,11 +11,11 @@
 use super::PoolOwner;
 use crate::platform::Platform;
 
-/// Longest wait for a configuration, in milliseconds: a change has two seconds to be
-/// in force. A node that can't read it would else keep its pools at rest for good.
-const WAIT_MS: Millis = 2_000;
+/// Maximum wait for a configuration, in milliseconds: a change has to be in force within two
+/// seconds. Without a limit, a node that can't read the configuration would never plan again.
+const MAX_WAIT_MS: Millis = 2_000;
 
-/// A configuration that is waited for.
+/// A configuration that the owner waits for.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AwaitedPolicy {
     version: u64,
@@ -23,7 +23,7 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    /// Takes in by which configuration a job was taken.
+    /// Begins to wait if a job was accepted under a newer configuration than the node has.
     pub(super) fn await_policy(&mut self, job: &str, version: u64, now: Millis) {
         let known = self.context.shared.policy_version();
         let awaited = self.awaited.map_or(known, |awaited| awaited.version);
@@ -43,13 +43,13 @@
         self.awaited = Some(AwaitedPolicy { version, since });
     }
 
-    /// Whether a configuration is waited for still.
+    /// Whether the owner still waits for a configuration; ends the wait if it is over.
     pub(super) fn awaits_policy(&mut self, now: Millis) -> bool {
         let Some(awaited) = self.awaited else {
             return false;
         };
         let known = self.context.shared.policy_version();
-        let is_over = now >= awaited.since + WAIT_MS;
+        let is_over = now >= awaited.since + MAX_WAIT_MS;
         if known < awaited.version && !is_over {
             return true;
         }
--- a/crates/hoisthitch-scheduler/src/owner/events.rs
+++ b/crates/hoisthitch-scheduler/src/owner/events.rs
@@ -1,4 +1,4 @@
-//! What an owner tells of its pool: lines, counters and times.
+//! Log events and metrics of a pool's owner.
 
 use hoisthitch_jobs::{
     Millis,
@@ -14,7 +14,8 @@
 };
 
 impl<P: Platform> PoolOwner<P> {
-    /// Tells of the runs that were lost with their runners.
+    /// Logs the runs that were lost with their runners, and the tasks that were given up for
+    /// such losses.
     pub(super) fn log_lost(&mut self) {
         for lost in self.state.take_lost_runs() {
             event!(
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Tells of the jobs that ended, and where their time went.
+    /// Logs the jobs that ended, with the time that each spent per phase.
     pub(super) fn log_ended(&mut self) {
         for ended in self.state.take_ended_jobs() {
             event!(
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Measures how long a job waited for its first task.
+    /// Records the time from the acceptance of a job to the start of its first task.
     pub(super) fn measure_start(&self, order: &StartOrder, now: Millis) {
         let first = order.run == 1 && order.task.slot == 0;
         if let Some(job) = self.state.job(&order.name.job).filter(|_| first) {
@@ -78,13 +79,13 @@
         }
     }
 
-    /// The life of a runner, for the log.
+    /// The instance of a runner as text for the log; empty if the runner is not known.
     pub(super) fn life_text(&self, key: RunnerKey) -> String {
         let instance = self.state.instance_of(key);
         instance.map_or_else(String::new, |instance| instance.to_string())
     }
 
-    /// Counts an event of the pool.
+    /// Counts an event of the pool in the metrics.
     pub(super) fn count(&self, event: &str) {
         let events = &self.context.shared.metrics.events;
         events.with_label_values(&[event]).inc();
--- a/crates/hoisthitch-scheduler/src/owner/inbox.rs
+++ b/crates/hoisthitch-scheduler/src/owner/inbox.rs
@@ -1,4 +1,5 @@
-//! What a pool's owner is told by the nodes that take jobs in.
+//! The inbox of a pool: submissions and cancels that any node writes to the store for the
+//! pool's owner.
 
 use std::collections::HashMap;
 
@@ -18,6 +19,8 @@
 };
 
 impl<P: Platform> PoolOwner<P> {
+    /// Applies a change of the inbox. `recorded` holds the progress of jobs that an earlier
+    /// owner recorded, by identifier; an entry is removed when its job is added.
     pub(super) fn take_inbox(
         &mut self,
         change: FollowEvent,
@@ -25,26 +28,28 @@
     ) {
         match change {
             FollowEvent::Snapshot(values) => {
-                // Cancels come before submissions in the order of keys.
+                // Keys are sorted so that cancels come before submissions; a cancel applies
+                // only to a job that is known.
                 let (cancels, jobs): (Vec<_>, Vec<_>) = values
                     .into_iter()
                     .partition(|value| value.key.contains("/cancel-"));
                 for value in jobs.into_iter().chain(cancels) {
-                    self.take_letter(&value, recorded);
+                    self.apply_entry(&value, recorded);
                 }
             }
-            FollowEvent::Put(value) => self.take_letter(&value, recorded),
+            FollowEvent::Put(value) => self.apply_entry(&value, recorded),
             FollowEvent::Deleted(_) | FollowEvent::Progress(_) => {}
         }
     }
 
-    fn take_letter(&mut self, value: &StoredValue, recorded: &mut HashMap<String, JobProgress>) {
+    /// Applies one entry of the inbox.
+    fn apply_entry(&mut self, value: &StoredValue, recorded: &mut HashMap<String, JobProgress>) {
         let prefix = self.context.keys.inbox_prefix(&self.context.pool);
         let now = self.now();
         match InboxKey::parse(&prefix, &value.key) {
             Some(InboxKey::Submission(id)) => {
                 match serde_json::from_slice::<JobSubmission>(&value.value) {
-                    Ok(submission) => self.take_job(id, submission, recorded.remove(id)),
+                    Ok(submission) => self.add_submission(id, submission, recorded.remove(id)),
                     Err(err) => event!(Error, "job_unreadable", job = id, error = err),
                 }
             }
@@ -62,7 +67,13 @@
         }
     }
 
-    fn take_job(&mut self, id: &str, submission: JobSubmission, progress: Option<JobProgress>) {
+    /// Adds a submitted job, with the progress that was recorded of it.
+    fn add_submission(
+        &mut self,
+        id: &str,
+        submission: JobSubmission,
+        progress: Option<JobProgress>,
+    ) {
         let now = self.now();
         let clock = &self.context.shared.clock;
         let age = clock.unix_ms().saturating_sub(submission.accepted_ms);
