--- a/crates/hoisthitch-scheduler/src/journal.rs
+++ b/crates/hoisthitch-scheduler/src/journal.rs
@@ -1,8 +1,8 @@
-//! The journal of a pool: grouped writes that only its owner can make.
+//! The journal of a pool: batched writes that only the pool's owner can make.
 //!
-//! Every write expects the revision of the pool's head record and changes it.
-//! So a deposed owner writes nothing more, a write that is carried out late
-//! changes nothing, and a write whose answer was lost is recognised.
+//! Every write is a compare-and-swap on the revision of the pool's head record, and changes
+//! that record. A deposed owner therefore can't write any more, a write that is carried out
+//! late changes nothing, and a write whose answer was lost is recognised by its head.
 
 use std::{
     collections::BTreeMap,
@@ -31,32 +31,32 @@
     shared::NodeShared, //
 };
 
-/// Wait before a write whose outcome is not known is sent again.
+/// Delay before a write with an unknown outcome is sent again.
 const RETRY_WAIT: Duration = Duration::from_millis(100);
 
-/// Most values in one write beside the head; the platform takes 32 entries.
+/// Maximum number of values in one write besides the head; the platform accepts 32 entries.
 pub(crate) const BATCH_LIMIT: usize = 30;
 
-/// Head of a pool's journal.
+/// Head record of a pool's journal.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct HeadRecord {
-    /// Node of the owner.
+    /// Name of the owner's node.
     pub(crate) node: String,
-    /// Life of the node.
+    /// Instance of that node.
     #[serde(rename = "life")]
     pub(crate) instance: u64,
     /// Number of the ownership.
     pub(crate) term: u64,
     /// Number of the write in this term.
     pub(crate) sequence: u64,
-    /// Time from this write on after which all runs have ended on runners that
-    /// are silent, in milliseconds, by name. The owner gives none of them a new
-    /// lease before it has written a head without it.
+    /// Silent runners by name, with the time from this write on after which all runs on each
+    /// have ended, in milliseconds. The owner gives none of them a new lease before it has
+    /// written a head without it.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub(crate) silent: BTreeMap<String, Millis>,
 }
 
-/// Why a write was not made.
+/// Error of a journal write.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub(crate) enum JournalError {
     /// Another node owns the pool now.
@@ -64,7 +64,7 @@
     Deposed,
 }
 
-/// Writes as the owner of a pool.
+/// The journal, as its pool's owner writes it.
 pub(crate) struct PoolJournal<S> {
     store: S,
     shared: Arc<NodeShared>,
@@ -74,7 +74,7 @@
 }
 
 impl<S: StoreClient> PoolJournal<S> {
-    /// Goes on after the write that made this node the owner.
+    /// Continues the journal after the write that made this node the owner.
     pub(crate) fn new(
         store: S,
         shared: Arc<NodeShared>,
@@ -92,13 +92,12 @@
         }
     }
 
-    /// Writes values, and what is known of silent runners; answers when the write
-    /// that succeeded was sent, at which time this node owned the pool.
+    /// Writes values and the list of silent runners. Returns the time at which the successful
+    /// write was sent; this node owned the pool then.
     ///
     /// # Errors
     ///
-    /// Fails only when another node owns the pool. While the store fails, the
-    /// write is tried again.
+    /// Fails only when another node owns the pool. While the store fails, the write is retried.
     pub(crate) async fn write(
         &mut self,
         values: Vec<SwapItem>,
@@ -130,7 +129,7 @@
                 }
                 Ok(BatchOutcome::Conflict(found)) => {
                     self.shared.store.record_success(sent);
-                    if self.settle(found.into_iter().next().flatten(), &head)? {
+                    if self.resolve_conflict(found.into_iter().next().flatten(), &head)? {
                         return Ok(sent);
                     }
                 }
@@ -143,8 +142,9 @@
         }
     }
 
-    /// Tells, from the head that was found, whether the write was made before.
-    fn settle(
+    /// Resolves a conflict by the head that was found: whether an earlier attempt of the write
+    /// was carried out. Fails if the head is another node's.
+    fn resolve_conflict(
         &mut self,
         found: Option<StoredValue>,
         wanted: &HeadRecord,
@@ -162,18 +162,19 @@
         Ok(made)
     }
 
-    /// Revision of the last write: lower than any write of a later owner, its election
-    /// included.
+    /// Fencing token: the revision of the last write, which is lower than that of any write of
+    /// a later owner, its election included.
     pub(crate) fn token(&self) -> u64 {
         u64::try_from(self.revision.0).unwrap_or(0)
     }
 
-    /// Makes sure that this node still owns the pool; answers as [`Self::write`].
+    /// Confirms by a read that this node still owns the pool; returns the time at which the
+    /// read was sent, as [`Self::write`] does.
     ///
     /// # Errors
     ///
-    /// The inner error says that another node owns the pool, the outer one
-    /// that the store failed.
+    /// The inner error means that another node owns the pool, the outer one that the store
+    /// failed.
     pub(crate) async fn confirm(&self) -> Result<Result<Millis, JournalError>, StoreError> {
         let sent = self.shared.clock.now();
         let found = self.store.read(&self.key).await?;
@@ -187,6 +188,7 @@
     }
 }
 
+/// Decodes a head record; none, with a log event, if it is unreadable.
 pub(crate) fn decode_head(stored: &StoredValue) -> Option<HeadRecord> {
     let record = serde_json::from_slice(&stored.value);
     if let Err(err) = &record {
@@ -195,6 +197,7 @@
     record.ok()
 }
 
+/// Encodes a record as JSON; a failure is logged and yields no bytes.
 pub(crate) fn encode_record<R: Serialize>(record: &R) -> Vec<u8> {
     serde_json::to_vec(record).unwrap_or_else(|err| {
         event!(Error, "record_not_encoded", error = err);
--- a/crates/hoisthitch-scheduler/src/takeover.rs
+++ b/crates/hoisthitch-scheduler/src/takeover.rs
@@ -1,4 +1,7 @@
 //! Makes this node the owner of a pool.
+//!
+//! A node becomes the owner by one write under compare-and-swap that replaces the head of the
+//! pool's journal and the owner record. The revision of that write is the owner's epoch.
 
 use std::{
     collections::BTreeMap,
@@ -36,22 +39,22 @@
     pub(crate) journal: PoolJournal<S>,
     /// Revision of the election.
     pub(crate) elected: StoreRevision,
-    /// Fencing token of the owner's orders.
+    /// The same as a number: the owner's first fencing token.
     pub(crate) epoch: u64,
-    /// When the election was sent, at which time nobody else owned the pool. Every
-    /// lease is capped from such a time on.
+    /// When the election's write was sent; no other node owned the pool at that time. Every
+    /// lease is limited relative to the last such time.
     pub(crate) confirmed_at: Millis,
-    /// What the last owner left word of: time after which all runs have ended on
-    /// silent runners, in milliseconds, by name.
+    /// The silent runners that the previous owner recorded: the time after which all runs on
+    /// each have ended, in milliseconds, by name.
     pub(crate) silent: BTreeMap<String, Millis>,
 }
 
-/// Tries to become the owner; none when another node was first, or when the
-/// outcome can't be known.
+/// Tries to become the owner; none when another node was first, or when the outcome can't be
+/// known. `seen` is the expected revision of the owner record.
 ///
 /// # Errors
 ///
-/// Fails as the store does.
+/// Returns the errors of the store.
 pub(crate) async fn take_over<S: StoreClient>(
     store: &S,
     shared: &Arc<NodeShared>,
@@ -61,11 +64,11 @@
     seen: StoreRevision,
 ) -> Result<Option<PoolTakeover<S>>, StoreError> {
     let found = store.read(&keys.journal_head(pool)).await?;
-    let last = found.as_ref().and_then(decode_head);
-    let term = last.as_ref().map_or(0, |head| head.term) + 1;
-    // An owner may be lost before it writes anything. Times that count from a
-    // later write are only longer.
-    let silent = last.map(|head| head.silent).unwrap_or_default();
+    let previous = found.as_ref().and_then(decode_head);
+    let term = previous.as_ref().map_or(0, |head| head.term) + 1;
+    // The list of silent runners is kept, since an owner may be lost before it writes anything.
+    // Its times then count from this later write, which only makes them longer.
+    let silent = previous.map(|head| head.silent).unwrap_or_default();
     let expected = found.map_or(StoreRevision::default(), |stored| stored.revision);
     let head = HeadRecord {
         node: identity.node.clone(),
