--- a/crates/hoisthitch-scheduler/src/owner/lives.rs
+++ b/crates/hoisthitch-scheduler/src/owner/lives.rs
@@ -1,14 +1,14 @@
-//! Lives of an owned pool's runners: which one is there, and which are over.
+//! Instances of an owned pool's runners: which one is current, and which have ended.
 //!
-//! A runner that starts again may keep its name and its address, so that orders for the
-//! life before reach the next one, also seconds later. Two rules keep them apart:
+//! A runner that restarts may keep its name and its address, so that orders for the previous
+//! instance reach the next one, also seconds later. Two rules keep instances apart:
 //!
-//! - An answer tells which life is there; a record only hints at it, for it may have been
-//!   written late, and a VM's time of day may have been set back.
-//! - Each session with a runner of a name has a higher fencing token than the ones before.
-//!   What the next life was told by then shows in its first answer, and it refuses the
-//!   rest. The tokens are revisions of the owner's own writes, so that those of the next
-//!   owner are higher still.
+//! - The response of a runner shows which instance is current. A record in the store is only a
+//!   hint, for it may have been written late, and a VM's time of day may have been set back.
+//! - Each session with a runner of a name has a higher fencing token than the sessions before.
+//!   The first response of the next instance shows what it was ordered until then, and it
+//!   refuses everything else of an earlier session. The tokens are revisions of the owner's
+//!   own writes, so that those of the next owner are higher still.
 
 use std::{
     collections::{
@@ -43,29 +43,28 @@
     }, //
 };
 
-/// Age up to which an answered hold proves that its runner lives, in
-/// milliseconds: longer than a hold waits, shorter than a VM takes to come back
-/// with another runner.
-const PROOF_MS: Millis = 1_200;
+/// Age up to which a successful heartbeat proves that its runner is running, in milliseconds:
+/// longer than a heartbeat waits, shorter than a VM takes to come back with another runner.
+const LIVENESS_PROOF_MS: Millis = 1_200;
 
-/// Time for which the token of a runner's last session is kept, in milliseconds: longer
-/// than any order of it may be under way.
+/// Time for which the token of a runner's last session is kept, in milliseconds: longer than
+/// any order of that session may be in transit.
 const TOKEN_KEPT_MS: Millis = 60_000;
 
-/// Tokens kept before old ones are let go.
-const TOKENS_KEPT: usize = 4_096;
+/// Number of tokens from which on old ones are removed.
+const TOKENS_KEPT_MAX: usize = 4_096;
 
-/// Fencing tokens of an owner's sessions.
+/// Source of the fencing tokens of an owner's sessions.
 #[derive(Debug, Default)]
 pub(super) struct TokenSource {
-    /// The highest that may be given: the journal's last revision.
+    /// The highest token that may be used: the journal's last revision.
     last: u64,
-    /// Those of the last sessions by the runner's name, and when they were opened.
+    /// Token and opening time of the last session with each runner, by the runner's name.
     given: HashMap<String, (u64, Millis)>,
 }
 
 impl TokenSource {
-    /// Tokens of a new owner, whose election is the first.
+    /// Tokens of a new owner; the first is the revision of its election.
     pub(super) fn new(epoch: u64) -> Self {
         Self {
             last: epoch,
@@ -73,13 +72,13 @@
         }
     }
 
-    /// Takes in a write of the journal.
+    /// Makes the revision of a journal write available as a token.
     pub(super) fn raise(&mut self, token: u64) {
         self.last = self.last.max(token);
     }
 
-    /// A token for the next session with a runner of the name; none until the journal was
-    /// written again.
+    /// The token for the next session with a runner of that name; none if the journal was not
+    /// written since the last session with it.
     fn next(&mut self, name: &str, now: Millis) -> Option<u64> {
         if self
             .given
@@ -88,7 +87,7 @@
         {
             return None;
         }
-        if self.given.len() >= TOKENS_KEPT {
+        if self.given.len() >= TOKENS_KEPT_MAX {
             self.given.retain(|_, given| given.1 + TOKEN_KEPT_MS > now);
         }
         self.given.insert(name.to_owned(), (self.last, now));
@@ -96,20 +95,20 @@
     }
 }
 
-/// What an owner knows of the lives of its runners.
+/// What an owner knows of the instances of its runners.
 #[derive(Debug, Default)]
 pub(super) struct LifeNotes {
-    /// Lives that are over, though they may be listed still.
+    /// Instances that have ended, though they may still be listed.
     over: HashSet<RunnerInstance>,
-    /// Runners at whose place other lives were looked for since the list last changed.
+    /// Runners that were checked for conflicting instances since the list last changed.
     rivals_sought: HashSet<RunnerKey>,
     pub(super) tokens: TokenSource,
-    /// Runners whose sessions wait for a higher token.
+    /// Runners whose sessions wait for a higher token, with their addresses.
     waiting: HashMap<RunnerKey, SocketAddr>,
 }
 
 impl LifeNotes {
-    /// Notes of a new owner.
+    /// State of a new owner.
     pub(super) fn new(epoch: u64) -> Self {
         Self {
             tokens: TokenSource::new(epoch),
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Whether a life is over.
+    /// Whether an instance is known to have ended.
     pub(super) fn is_over(&self, instance: &RunnerInstance) -> bool {
         self.over.contains(instance)
     }
@@ -127,17 +126,17 @@
         !self.waiting.is_empty()
     }
 
-    /// Takes in that the list of runners changed.
+    /// Handles a change of the list of runners.
     pub(super) fn take_list(&mut self) {
         self.rivals_sought.clear();
     }
 
-    /// Forgets sessions that wait.
+    /// Removes all waiting sessions.
     pub(super) fn drop_waiting(&mut self) {
         self.waiting.clear();
     }
 
-    /// Forgets a runner's key.
+    /// Removes everything that is known by a runner's key.
     pub(super) fn drop_key(&mut self, key: RunnerKey) {
         self.rivals_sought.remove(&key);
         self.waiting.remove(&key);
@@ -145,31 +144,32 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    /// Takes in that a runner answered this owner, and so refuses what was ordered before.
+    /// Handles the first response of a runner to this owner: from then on the runner refuses
+    /// what earlier owners and sessions ordered.
     ///
-    /// What was ordered of a life before gives leases by a clock that is not the runner's,
-    /// so that what it has may run as long as any lease; a node that took the pool since
-    /// knows such a runner by the records.
+    /// Orders for a previous instance carry leases by that instance's clock, so that what the
+    /// current one runs may run as long as the longest possible lease. A node that became the
+    /// owner since then recognises such a runner by the records.
     pub(super) fn fence(&mut self, key: RunnerKey, now: Millis) {
         let Some(runner) = self.state.runner(key).filter(|runner| !runner.fenced) else {
             return;
         };
         let restarted_at = self.context.fleet.borrow().restarted_at(&runner.facts.name);
-        let is_young = restarted_at.is_some_and(|at| at + STRAY_RUN_MS > now);
-        let longest = if runner.renewed || is_young {
+        let restarted_lately = restarted_at.is_some_and(|at| at + STRAY_RUN_MS > now);
+        let max_run_ms = if runner.renewed || restarted_lately {
             STRAY_RUN_MS
         } else {
             FULL_RUN_MS
         };
-        self.state.fence_runner(key, now + longest);
+        self.state.fence_runner(key, now + max_run_ms);
     }
 
-    /// Notes that a runner's life is over.
+    /// Marks a runner's instance as ended.
     pub(super) fn note_over(&mut self, key: RunnerKey) {
         self.instances.over.extend(self.state.instance_of(key));
     }
 
-    /// Takes in the record of one of the pool's runners.
+    /// Applies the record of one of the pool's runners.
     pub(super) fn take_record(&mut self, record: &RunnerRecord, since: Millis) {
         let instance = record.facts.instance();
         if self.instances.is_over(&instance) {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Takes in the record of the life that is there, or that is the first to be known.
+    /// Applies the record of the current instance, or of the first one that is known.
     fn list_life(&mut self, record: &RunnerRecord, since: Millis) {
         let key = self.state.set_runner(record.facts.clone(), since);
         if !self.sessions.contains_key(&key) {
@@ -191,10 +191,10 @@
         }
     }
 
-    /// Takes in the record of another life than the one that is known.
+    /// Applies the record of another instance than the known one.
     ///
-    /// The runner itself is asked which one is there, where its answers tell. Where they
-    /// don't, or it listens elsewhere now, the later birth counts.
+    /// If the runner's responses report its start time, a heartbeat finds out which instance
+    /// is current. If they don't, or if the address changed, the later start time wins.
     fn take_other_life(&mut self, key: RunnerKey, record: &RunnerRecord, since: Millis) {
         let Some(runner) = self.state.runner(key) else {
             return;
@@ -203,8 +203,8 @@
             return;
         }
         let session = self.sessions.get(&key);
-        let moved = session.is_none_or(|session| session.address != record.address);
-        if runner.reports_start_time && !moved {
+        let has_moved = session.is_none_or(|session| session.address != record.address);
+        if runner.reports_start_time && !has_moved {
             session.inspect(|session| session.ask_life());
             return;
         }
@@ -215,7 +215,7 @@
         self.list_life(record, since);
     }
 
-    /// Takes in that a runner answered with another life.
+    /// Handles a response that came from another instance than the known one.
     pub(super) fn take_renewed(&mut self, key: RunnerKey, started_at: u64) {
         let known = self.sessions.get(&key).zip(self.state.instance_of(key));
         let Some((session, before)) = known else {
@@ -225,7 +225,7 @@
         self.take_listed(&before.name);
     }
 
-    /// Takes in that a runner's process has ended, and that none is in its place yet.
+    /// Handles the exit of a runner's process, without another one in its place yet.
     pub(super) fn take_ended(&mut self, key: RunnerKey, now: Millis) {
         let ended = self.state.record_process_exit(key, now);
         self.count("runner_ended");
@@ -238,7 +238,7 @@
         );
     }
 
-    /// Lets go of a life that is over, and goes on with the next one.
+    /// Replaces an instance that has ended by the next one, and opens a session with that.
     fn begin_life(&mut self, key: RunnerKey, started_at: u64, address: SocketAddr) {
         let now = self.now();
         let before = self.life_text(key);
@@ -270,7 +270,7 @@
         self.open_session(renewed.key, address);
     }
 
-    /// Takes in what is listed under a name now.
+    /// Applies the record that is listed under a name now.
     pub(super) fn take_listed(&mut self, name: &str) {
         let fleet = self.context.fleet.borrow().clone();
         let record = fleet.runners.get(name);
@@ -279,12 +279,12 @@
         }
     }
 
-    /// Takes in that a runner answered a hold sent at `asked_at`: other runners' lives
-    /// that were listed at its place before are over.
+    /// Handles the response to a heartbeat that was sent at `asked_at`: instances of other
+    /// runners that were listed at the same address or VM before that have ended.
     pub(super) fn end_rivals(&mut self, key: RunnerKey, asked_at: Millis) {
         let now = self.now();
-        // An answer that waited long here proves nothing about now.
-        if asked_at + PROOF_MS < now || self.instances.rivals_sought.contains(&key) {
+        // A response that was queued here for long proves nothing about the present.
+        if asked_at + LIVENESS_PROOF_MS < now || self.instances.rivals_sought.contains(&key) {
             return;
         }
         let Some(instance) = self.state.instance_of(key) else {
@@ -306,6 +306,7 @@
         }
     }
 
+    /// Marks a conflicting instance as ended, and removes its runner.
     fn end_rival(&mut self, rival: RunnerInstance, by: &RunnerInstance, now: Millis) {
         if !self.instances.over.insert(rival.clone()) {
             return;
@@ -314,13 +315,13 @@
         if let Some(key) = self.state.key_of_instance(&rival) {
             self.drop_runner(key, GoneReason::Ended);
         } else if self.state.runner_key(&rival.name).is_some() {
-            // Its runs may be those of the life that is there now.
+            // Its runs may be those of the instance that is current under that name.
             return;
         }
         self.state.record_unlisted_loss(&rival.name, now);
     }
 
-    /// Opens a session with a runner, once there is a token for it.
+    /// Opens a session with a runner, or queues it until there is a token for it.
     fn open_session(&mut self, key: RunnerKey, address: SocketAddr) {
         let Some(instance) = self.state.instance_of(key).filter(|_| !self.leaving) else {
             return;
--- a/crates/hoisthitch-scheduler/src/owner/silent.rs
+++ b/crates/hoisthitch-scheduler/src/owner/silent.rs
@@ -1,13 +1,13 @@
-//! Runners of an owned pool that do not answer.
+//! Runners of an owned pool that do not respond ("silent" runners).
 //!
-//! What such a runner was told to run ends with its lease, which only the owner
-//! that gave it knows. The owner therefore records when that is, in the head of
-//! the pool's journal, so that the next owner goes on with the same wait: alone
-//! it would have to wait for the longest lease there can be, from its own
-//! election on, and a task would stay away for as long as owners change.
+//! The runs on such a runner end with its lease, whose end only the owner that granted it
+//! knows. The owner therefore records that end in the head of the pool's journal, so that the
+//! next owner continues the same wait. Without the record, the next owner would have to wait
+//! for the longest possible lease from its own election on, and a task would stay unavailable
+//! for as long as the pool keeps changing owners.
 //!
-//! A recorded end has to stay true. A runner that was silent gets its next lease
-//! only after it was heard and no record names it any more.
+//! A recorded end must stay valid: a silent runner gets its next lease only after it has
+//! responded and the journal's head does not name it any more.
 
 use std::collections::{
     BTreeMap,
@@ -32,32 +32,32 @@
     }, //
 };
 
-/// Time without an answer after which a runner's silence is recorded, in
-/// milliseconds: a hold that failed and the next one. The wait of a next owner
-/// and this together stay under the nine seconds that a lasting task may be away.
-const SILENT_MS: Millis = 300;
+/// Time without a response after which a runner is recorded as silent, in milliseconds: one
+/// failed heartbeat and the next one. This time and the wait of the next owner together stay
+/// under the nine seconds that a long-running task may be unavailable.
+const SILENT_AFTER_MS: Millis = 300;
 
-/// Time after which what is recorded of silent runners is written anew, in
-/// milliseconds: by so much longer the next owner waits.
-const NOTE_AGE_MS: Millis = 500;
+/// Age at which the record of silent runners is written again, in milliseconds; the next owner
+/// waits longer by up to this time.
+const RECORD_AGE_MS: Millis = 500;
 
-/// What the journal's head says of silent runners.
+/// What the journal's head records of silent runners.
 #[derive(Debug, Default)]
 pub(super) struct SilenceNotes {
-    /// Runners that it names, or may name by a write under way.
+    /// Runners that the head names, or may name if a write is in progress.
     noted: BTreeSet<String>,
-    /// Runners that the write under way names; none without one.
+    /// Runners that the write in progress names; none without such a write.
     writing: Option<BTreeSet<String>>,
-    /// When it was last written.
+    /// When the last write of them began.
     noted_at: Millis,
     /// Runners whose silence was logged.
     logged: BTreeSet<String>,
-    /// Runners that were heard while they were named, with their silences.
+    /// Runners that responded while the head named them, with the number of their silences.
     heard: BTreeMap<RunnerKey, u64>,
 }
 
 impl SilenceNotes {
-    /// Notes of a new owner, whose head names the runners that the last one's did.
+    /// State of a new owner, whose head names the same runners as the previous owner's.
     pub(super) fn inherited(left: &BTreeMap<String, Millis>) -> Self {
         Self {
             noted: left.keys().cloned().collect(),
@@ -66,7 +66,8 @@
     }
 }
 
-/// What a new owner inherits, from the word that the last one left.
+/// Ends of the runs that a new owner inherits, with the times that the previous owner recorded
+/// for silent runners.
 pub(super) fn inherited_runs(left: &BTreeMap<String, Millis>, now: Millis) -> InheritedRuns {
     InheritedRuns {
         until: now + LAST_RUN_MS,
@@ -78,24 +79,24 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    /// Looks which runners with tasks are silent, and says what is new.
+    /// Determines which runners with tasks are silent, and logs the changes.
     pub(super) fn look_for_silence(&mut self, now: Millis) {
         if self.leaving {
             self.silent = self.state.all_runs();
             return;
         }
-        let since = now.saturating_sub(SILENT_MS);
+        let since = now.saturating_sub(SILENT_AFTER_MS);
         let long = self.state.silent_runs(self.owned_since, since);
         self.log_silences(&long, now);
-        // One that is named stays so until it is heard, or what an earlier owner
-        // recorded would be lost.
+        // A runner that the head names stays in it until it responds; otherwise the end that
+        // an earlier owner recorded would be lost.
         let mut silent = self.state.silent_runs(self.owned_since, now);
         let noted = &self.notes.noted;
         silent.retain(|runner, _| long.contains_key(runner) || noted.contains(runner));
         self.silent = silent;
     }
 
-    /// Logs which silences began, and which are over.
+    /// Logs which silences began and which are over.
     fn log_silences(&mut self, long: &BTreeMap<String, SilentRuns>, now: Millis) {
         for (runner, runs) in long {
             if self.notes.logged.insert(runner.clone()) {
@@ -103,15 +104,15 @@
             }
         }
         self.notes.logged.retain(|runner| {
-            let goes_on = long.contains_key(runner);
-            if !goes_on {
+            let is_silent = long.contains_key(runner);
+            if !is_silent {
                 event!(
                     Info,
                     "runner_silence_over",
                     runner = self.state.instance_by_name(runner)
                 );
             }
-            goes_on
+            is_silent
         });
     }
 
@@ -127,21 +128,21 @@
         );
     }
 
-    /// Whether the journal's head has to be written for the silent runners.
+    /// Whether the journal's head has to be written because of silent runners.
     pub(super) fn needs_note(&self, now: Millis) -> bool {
-        let old = now >= self.notes.noted_at + NOTE_AGE_MS;
+        let old = now >= self.notes.noted_at + RECORD_AGE_MS;
         (old && !self.silent.is_empty()) || !self.is_noted()
     }
 
-    /// Whether the journal's head names the runners that are silent, and no
-    /// others.
+    /// Whether the journal's head names exactly the runners that are silent.
     pub(super) fn is_noted(&self) -> bool {
         self.silent.keys().eq(self.notes.noted.iter())
     }
 
-    /// Stops giving leases, so that the ends of all runs are certain and can be
-    /// recorded for the next owner: of a runner that was just lost nobody may know
-    /// yet, for its last hold waits for an answer.
+    /// Begins the handover of the pool: ends all sessions, so that no lease is extended any
+    /// more and the ends of all runs are certain and can be recorded for the next owner. All
+    /// runners are recorded, since a runner may just have been lost while its last heartbeat
+    /// still waits for a response.
     pub(super) fn begin_leaving(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) {
         if self.leaving {
             return;
@@ -150,7 +151,7 @@
         self.sessions.clear();
         self.instances.drop_waiting();
         self.state.cancel_planned_starts(self.now());
-        // Leases that were given until now.
+        // Leases that were granted until now.
         while let Ok(event) = events.try_recv() {
             if let SessionEvent::Extended { runner, until } = event {
                 self.state.extend_lease(runner, until);
@@ -166,13 +167,13 @@
         );
     }
 
-    /// Whether the next owner knows when all runs end.
+    /// Whether the handover is complete: the ends of all runs are recorded.
     pub(super) fn has_left_word(&self) -> bool {
         self.leaving && self.is_noted()
     }
 
-    /// What to write of the silent runners now, with the time that each may still
-    /// run something.
+    /// Begins a write of the silent runners; returns the time for which each may still run
+    /// something, by name.
     pub(super) fn begin_note(&mut self, now: Millis) -> BTreeMap<String, Millis> {
         self.look_for_silence(now);
         let silent = self.silent.iter();
@@ -185,8 +186,8 @@
         note
     }
 
-    /// Takes in that the head was written, if it was: runners that it names no more
-    /// may have leases again.
+    /// Completes a write of the silent runners, if one was in progress: runners that the head
+    /// does not name any more may have leases again.
     pub(super) fn finish_note(&mut self) {
         let Some(written) = self.notes.writing.take() else {
             return;
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Takes in that a runner was heard after that many silences.
+    /// Handles a response of a runner that was silent this many times so far. It may have
+    /// leases again at once if the head does not name it, otherwise after the next write.
     pub(super) fn take_answer(&mut self, key: RunnerKey, silences: u64) {
         let Some(session) = self.sessions.get(&key) else {
             return;
