--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -1,8 +1,13 @@
-//! The owner of a pool: decides, records, orders, and takes in what happens.
+//! The owner of a pool: plans its tasks, records decisions, and gives orders to its runners.
 //!
-//! One task runs all of it for a pool, so that nothing is decided on a state
-//! that another decision changes. What has to be recorded first waits for the
-//! journal; meanwhile events are taken in and further decisions gathered.
+//! One event loop per pool handles everything that changes the pool's state: submissions and
+//! cancels from the inbox, events of the sessions with runners, changes of the fleet, requests
+//! of the VM loops, and results of writes. No decision is therefore made on a state that
+//! another decision changes at the same time.
+//!
+//! The rule that the loop must keep: nothing is ordered before it is recorded in the pool's
+//! journal. While a write is in progress, events are handled and further decisions collected
+//! for the next write.
 
 mod advice;
 mod awaited;
@@ -97,24 +102,24 @@
     }, //
 };
 
-/// Time between two looks at what time alone changes.
-const TICK: Duration = Duration::from_millis(100);
+/// Longest sleep of the event loop, after which deadlines are checked without any event.
+const MAX_SLEEP: Duration = Duration::from_millis(100);
 
-/// Least time between two looks at what time alone changes, in milliseconds:
-/// they go through all tasks, and events come by the hundred in a second.
-const CHECK_MS: Millis = 50;
+/// Minimum interval between two checks of deadlines, in milliseconds: a check visits all
+/// tasks, and events arrive by the hundred in a second.
+const DEADLINE_CHECK_INTERVAL_MS: Millis = 50;
 
-/// Longest wait of a new owner for the list of runners: some reads of a slow
-/// store. Without it the owner goes on, and takes runners in as it hears of them.
-const LIST_WAIT: Duration = Duration::from_millis(1_500);
+/// Maximum wait of a new owner for the list of runners: some reads of a slow store. After it,
+/// the owner continues without the list and adds runners as their records arrive.
+const RUNNER_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Questions of the VM worker that may wait.
-const VM_QUEUE: usize = 16;
+/// Number of requests of the VM loops that may be queued.
+const VM_REQUEST_QUEUE_LEN: usize = 16;
 
-/// Events taken in before the next decision.
-const EVENT_BATCH: usize = 256;
+/// Maximum number of session events that are handled before the next decision.
+const EVENT_BATCH_LEN: usize = 256;
 
-/// What the owner of a pool works with.
+/// Everything that the owner of a pool is given.
 pub(crate) struct OwnerContext<P> {
     pub(crate) platform: P,
     pub(crate) shared: Arc<NodeShared>,
@@ -130,44 +135,46 @@
 pub(crate) enum OwnerEnd {
     /// Another node owns the pool.
     Deposed,
-    /// The node was told to stop.
+    /// The node stops.
     Stopped,
 }
 
+/// A journal that comes back from a write, with what was written and the result: the time at
+/// which the write was sent.
 type JournalReturn<S> = (PoolJournal<S>, FlushPlan, Result<Millis, JournalError>);
 
 struct PoolOwner<P: Platform> {
     context: OwnerContext<P>,
     epoch: u64,
     state: PoolState,
-    /// The journal; away while a write is under way.
+    /// The journal; none while a write is in progress.
     journal: Option<PoolJournal<P::Store>>,
     returns: mpsc::UnboundedSender<JournalReturn<P::Store>>,
     advice: mpsc::UnboundedSender<AdviceReturn>,
-    /// Whether an adviser is being asked.
+    /// Whether a request to an adviser is in progress.
     asking: bool,
-    /// Parts of teams' limits.
+    /// The pool's quota allocations.
     quotas: QuotaLedger,
     quota_returns: mpsc::UnboundedSender<QuotaReturn>,
     events: mpsc::UnboundedSender<SessionEvent>,
     sessions: HashMap<RunnerKey, RunnerSession>,
-    /// How many they are.
+    /// Number of sessions, shared with them.
     open_sessions: Rc<Cell<u32>>,
-    /// Whether the list of runners was taken in.
+    /// Whether the list of runners was applied before.
     synced: bool,
-    /// Which lives of runners are there, and which are over.
+    /// Which instances of runners are current, and which have ended.
     instances: LifeNotes,
-    /// Configuration that this node lacks and some job was taken by.
+    /// Configuration that this node does not have yet, though a job was accepted under it.
     awaited: Option<AwaitedPolicy>,
-    /// Whether the pool is being handed on.
+    /// Whether the pool is being handed over to the next owner.
     leaving: bool,
-    /// When this node began to own the pool.
+    /// When this node became the owner.
     owned_since: Millis,
-    /// Runners that do not answer and may run something, as last looked at.
+    /// Silent runners that may still run something, as of the last check.
     silent: BTreeMap<String, SilentRuns>,
-    /// What is recorded of silent runners.
+    /// What the journal records of silent runners.
     notes: SilenceNotes,
-    /// When this node was last surely the owner.
+    /// When the ownership was last confirmed; shared with sessions and VM loops.
     confirmed: Rc<Cell<Millis>>,
     checked_at: Millis,
     wrote_at: Millis,
@@ -175,7 +182,7 @@
     counted_at: Millis,
 }
 
-/// What an owner hears through.
+/// Receiving ends of the owner's event sources.
 struct OwnerChannels<S> {
     inbox: mpsc::UnboundedReceiver<FollowEvent>,
     events: mpsc::UnboundedReceiver<SessionEvent>,
@@ -198,7 +205,7 @@
     let prefix = context.keys.progress_prefix(&context.pool);
     let progress = context.platform.store().read_prefix(&prefix).await?;
     let mut recorded = read_progress(&context, progress);
-    let (vm_sender, vm_requests) = mpsc::channel(VM_QUEUE);
+    let (vm_sender, vm_requests) = mpsc::channel(VM_REQUEST_QUEUE_LEN);
     let confirmed = Rc::new(Cell::new(takeover.confirmed_at));
     let vms = start_vm_worker(&context, takeover.epoch, confirmed.clone(), vm_sender);
     let (events, session_events) = mpsc::unbounded_channel();
@@ -241,15 +248,15 @@
         context,
     };
     owner.count("pool_taken");
-    // Runners are asked only once all jobs are known: what they report of an
-    // unknown job would be stopped, and its ends forgotten.
+    // Sessions with runners are opened only once all jobs are known: runs of an unknown job
+    // would be stopped, and its ends acknowledged and lost.
     if let Some(all) = channels.inbox.recv().await {
         owner.take_inbox(all, &mut recorded);
     }
-    // A node that did not stand by reads the list of runners only now.
+    // A node that was not a standby reads the list of runners only now.
     let mut fleet = owner.context.fleet.clone();
     let listed = fleet.wait_for(|fleet| fleet.listed);
-    if timeout(LIST_WAIT, listed).await.is_err() {
+    if timeout(RUNNER_LIST_TIMEOUT, listed).await.is_err() {
         event!(Warn, "runners_not_listed", pool = owner.context.pool);
     }
     owner.sync_fleet();
@@ -266,7 +273,7 @@
     Ok(end)
 }
 
-/// Follows what the nodes that take jobs in write for the pool.
+/// Watches the pool's inbox in the store.
 fn follow_inbox<P: Platform>(context: &OwnerContext<P>) -> mpsc::UnboundedReceiver<FollowEvent> {
     let (sender, inbox) = mpsc::unbounded_channel();
     let order = FollowOptions {
@@ -280,7 +287,7 @@
     inbox
 }
 
-/// Starts the worker for the pool's VMs.
+/// Starts the loops that manage the pool's VMs.
 fn start_vm_worker<P: Platform>(
     context: &OwnerContext<P>,
     epoch: u64,
@@ -300,7 +307,8 @@
     }))
 }
 
-/// Decodes the progress of jobs, by identifier.
+/// Decodes the recorded progress of jobs, by identifier; unreadable records are logged and
+/// left out.
 fn read_progress<P: Platform>(
     context: &OwnerContext<P>,
     values: Vec<StoredValue>,
@@ -326,13 +334,12 @@
         self.context.shared.clock.now()
     }
 
-    /// Whether tasks may be started by the list of runners, as far as its age tells.
+    /// Whether the list of runners is recent enough to start tasks by it.
     fn holds_list(&self, now: Millis) -> bool {
         self.context.shared.runner_list_lease.is_valid(now)
     }
 
-    /// Takes in what comes, and acts, until the pool is another's or the node
-    /// stops.
+    /// Runs the event loop until another node owns the pool or this node stops.
     async fn serve(
         &mut self,
         channels: &mut OwnerChannels<P::Store>,
@@ -360,15 +367,15 @@
                     fleet.borrow_and_update();
                     self.sync_fleet();
                 }
-                told = stop.changed() => {
-                    // The node is over, and waits for no pool any more.
-                    if told.is_err() {
+                changed = stop.changed() => {
+                    // The node has ended and does not wait for a handover.
+                    if changed.is_err() {
                         return OwnerEnd::Stopped;
                     }
                 }
                 () = sleep_until(self.next_wake()) => {}
             }
-            // A lease that was given must be known before time is judged.
+            // Leases that were extended must be known before deadlines are checked.
             if self.take_events(&mut channels.events) {
                 return OwnerEnd::Deposed;
             }
@@ -382,10 +389,11 @@
         }
     }
 
-    /// Takes in events that wait; answers whether one shows another owner.
+    /// Handles queued session events; returns whether one shows that another node owns the
+    /// pool.
     fn take_events(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) -> bool {
         let mut deposed = false;
-        for _ in 0..EVENT_BATCH {
+        for _ in 0..EVENT_BATCH_LEN {
             let Ok(event) = events.try_recv() else {
                 break;
             };
@@ -394,7 +402,7 @@
         deposed
     }
 
-    /// When something is to be done without an event.
+    /// When the loop has to wake without an event.
     fn next_wake(&self) -> Instant {
         let wanted = || {
             let writes =
@@ -402,30 +410,31 @@
             writes || (self.state.needs_plan() && self.holds_list(self.now()))
         };
         if self.journal.is_none() || self.awaited.is_some() || !wanted() {
-            return Instant::now() + TICK;
+            return Instant::now() + MAX_SLEEP;
         }
         let wait = self.next_write().saturating_sub(self.now());
         Instant::now() + Duration::from_millis(wait.max(1))
     }
 
-    /// Decides, and does what can be done now.
+    /// Makes the decisions that are due, sends orders, and starts the next write.
     fn advance(&mut self) {
         let now = self.now();
         if self.leaving {
             return self.write(now);
         }
         let mut due = self.state.needs_plan();
-        if now >= self.checked_at + CHECK_MS {
+        if now >= self.checked_at + DEADLINE_CHECK_INTERVAL_MS {
             self.checked_at = now;
             self.check_times(now);
             self.look_for_silence(now);
             self.tell_recorded();
             due = true;
         }
-        // Nothing is ordered before it is recorded. To plan at each event, with the
-        // order of a thousand jobs and the room of hundreds of runners, took a large
-        // pool's owner the processor time that its starts need: 4 in 100 of what is owed
-        // on a fleet of 1,100 VMs (two plays, docs/MEASURED.md).
+        // Nothing is ordered before it is recorded, so that a plan is made only when the
+        // journal can be written. To plan at each event, by the order of a thousand jobs and
+        // the free capacity of hundreds of runners, takes a large pool's owner the processor
+        // time that its starts need: it cost 4 percent of the attainable value on a fleet of
+        // 1,100 VMs (docs/MEASURED.md).
         self.look_at_quotas(now);
         if due && self.holds_list(now) && self.may_write(now) && !self.awaits_policy(now) {
             self.state.plan(now);
@@ -439,7 +448,8 @@
         self.write(now);
     }
 
-    /// Looks at what time alone changes.
+    /// Checks everything that changes by time alone: leases, rounds, unanswered stops, suspect
+    /// tasks, draining runners and stalled tasks.
     fn check_times(&mut self, now: Millis) {
         for runner in self.state.expire_leases(now) {
             self.count("lease_lapsed");
@@ -456,6 +466,7 @@
         }
     }
 
+    /// Queues an order at the runner's session.
     fn send(&self, runner: RunnerKey, order: RunnerOrder) {
         let sent = self
             .sessions
@@ -466,7 +477,7 @@
         }
     }
 
-    /// Takes an event in; answers whether it shows another owner.
+    /// Handles a session event; returns whether it shows that another node owns the pool.
     fn take_event(&mut self, event: SessionEvent) -> bool {
         let now = self.now();
         match event {
@@ -503,10 +514,11 @@
                 self.drop_runner(runner, GoneReason::Replaced);
             }
             SessionEvent::Renewed { runner, started_at } => self.take_renewed(runner, started_at),
-            // An order for a life that is over met this owner's next session.
+            // An order of a session that has ended was refused because of this owner's next
+            // session with the runner.
             SessionEvent::Fenced { runner } if !self.sessions.contains_key(&runner) => {}
             SessionEvent::Fenced { .. } => {
-                // Only a later owner's token is higher.
+                // Only a later owner has a higher token.
                 event!(
                     Warn,
                     "runner_fenced",
@@ -527,6 +539,7 @@
         false
     }
 
+    /// Queues starts at their runners' sessions, as admitted now.
     fn start_all(&self, orders: Vec<StartOrder>) {
         let now = self.now();
         for order in orders {
--- a/crates/hoisthitch-scheduler/src/owner/runners.rs
+++ b/crates/hoisthitch-scheduler/src/owner/runners.rs
@@ -1,4 +1,7 @@
-//! The runners of an owned pool, and the VMs below them.
+//! The runners of an owned pool, and the VMs that they run on.
+//!
+//! Keeps the pool's state in line with the list of runners, and serves the requests of the
+//! pool's VM loops: evacuating runners, and telling what the pool needs and can spare.
 
 use std::fmt::{
     self,
@@ -24,21 +27,21 @@
     }, //
 };
 
-/// Why an owner gave a runner up.
+/// Why an owner removed a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum GoneReason {
-    /// Its VM went down as ordered.
+    /// Its VM was shut down as ordered.
     Down,
-    /// A later life runs in its place.
+    /// Another instance runs in its place.
     Ended,
     /// Another runner answers at its address.
     Replaced,
-    /// Nothing was heard of it until its leases were over.
+    /// It did not respond until its lease had expired.
     Silent,
 }
 
 impl GoneReason {
-    /// How what it ran was lost.
+    /// The kind of loss of its runs.
     fn loss(self) -> RunnerLoss {
         match self {
             Self::Down => RunnerLoss::Planned,
@@ -60,6 +63,7 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
+    /// Serves a request of the pool's VM loops.
     pub(super) fn take_vm_request(&mut self, request: VmRequest) {
         let now = self.now();
         match request {
@@ -68,9 +72,9 @@
                 vacate,
                 reply,
             } => {
-                let views = self.prepare_leave(&runners, vacate, now);
-                // A worker that is gone asks again.
-                let _ = reply.send(views);
+                let statuses = self.prepare_leave(&runners, vacate, now);
+                // A loop that does not wait any more asks again.
+                let _ = reply.send(statuses);
             }
             VmRequest::Stay { runners } => {
                 for runner in runners {
@@ -90,11 +94,11 @@
                     vms: self.state.vms(),
                     spare: spare.collect(),
                 };
-                // A worker that is gone asks again.
+                // A loop that does not wait any more asks again.
                 let _ = reply.send(need);
             }
             VmRequest::Doubt { runner } => {
-                // Its next answer to a hold tells that it is still there.
+                // Its next heartbeat shows whether it still runs.
                 if let Some(key) = self.state.runner_key(&runner) {
                     self.state.mark_runner_unreachable(key);
                 }
@@ -103,21 +107,22 @@
         }
     }
 
-    /// Takes in that a VM went down with that life of its runner. One that came since is
-    /// not concerned: its name may be the same.
+    /// Handles the shutdown of a VM with that instance of its runner. A later instance, which
+    /// may have the same name, is not affected.
     fn take_down(&mut self, instance: &RunnerInstance, now: Millis) {
         let Some(key) = self.state.key_of_instance(instance) else {
             return;
         };
         self.state.record_planned_shutdown(key, now);
-        // Its record stays for some heartbeats.
+        // Its record stays listed until some of its heartbeats to the platform are missing.
         self.note_over(key);
         self.drop_runner(key, GoneReason::Down);
         self.take_listed(&instance.name);
     }
 
-    /// Has runners emptied; answers how far each is, or nothing where it is not known
-    /// and nothing was recorded on it. Those that are free may go down together.
+    /// Starts the evacuation of runners, or continues it. Returns the status of each, or none
+    /// for a runner that is not known and has no recorded tasks. All VMs whose runners are
+    /// free may go down together.
     fn prepare_leave(
         &mut self,
         runners: &[String],
@@ -135,18 +140,18 @@
             }
         }
         let known: Vec<RunnerKey> = keys.iter().flatten().copied().collect();
-        let mut views = self.state.evacuation_statuses(&known).into_iter();
+        let mut statuses = self.state.evacuation_statuses(&known).into_iter();
         let asked = runners.iter().zip(keys);
         asked
             .map(|(runner, key)| match key {
                 Some(key) => {
-                    let view = views.next()?;
-                    let moves =
-                        view == EvacuationStatus::Held && self.state.relocate_task(key, now);
-                    Some(if moves {
+                    let status = statuses.next()?;
+                    let relocates =
+                        status == EvacuationStatus::Held && self.state.relocate_task(key, now);
+                    Some(if relocates {
                         EvacuationStatus::Busy(1)
                     } else {
-                        view
+                        status
                     })
                 }
                 None => self.state.unlisted_evacuation_status(runner),
@@ -154,11 +159,11 @@
             .collect()
     }
 
-    /// Takes in the runners of the pool, and the policies in force.
+    /// Applies the listed runners of the pool and the queue policies in effect.
     pub(super) fn sync_fleet(&mut self) {
         let now = self.now();
-        // What was there before this owner has been in the pool for long, or
-        // the VM worker knows better.
+        // Runners that were listed before this owner took over count as long-standing
+        // members of the pool; the VM loops know of those that have just been moved.
         let since = if self.synced { now } else { 0 };
         self.synced = true;
         self.instances.take_list();
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Forgets a runner that is listed no more, once nothing can run on it.
+    /// Removes a runner that is not listed any more, once nothing can run on it.
     fn drop_if_empty(&mut self, key: RunnerKey, now: Millis) {
         let over = self
             .state
@@ -196,11 +201,13 @@
         }
     }
 
+    /// Publishes the number of sessions, by which each session paces its heartbeats.
     pub(super) fn count_sessions(&self) {
         let sessions = u32::try_from(self.sessions.len());
         self.open_sessions.set(sessions.unwrap_or(u32::MAX));
     }
 
+    /// Removes a runner and ends its session.
     pub(super) fn drop_runner(&mut self, key: RunnerKey, why: GoneReason) {
         let now = self.now();
         let instance = self.state.instance_of(key);
@@ -214,7 +221,7 @@
         }
     }
 
-    /// Tells sessions what is recorded.
+    /// Lets sessions acknowledge the ends that are recorded, if nothing waits to be written.
     pub(super) fn tell_recorded(&mut self) {
         if self.journal.is_none() || self.state.needs_flush() {
             return;
