--- a/crates/hoisthitch-scheduler/src/session/holds.rs
+++ b/crates/hoisthitch-scheduler/src/session/holds.rs
@@ -1,4 +1,8 @@
-//! Holds: one after the other, for as long as the session lasts.
+//! Heartbeats of a session: sent one after the other for as long as the session lasts.
+//!
+//! A heartbeat is a long poll. It renews the lease of what runs on the runner, acknowledges
+//! the last recorded end and returns what runs there and what has ended since. What the owner
+//! has to know is sent to it as [`SessionEvent`]s.
 
 use std::{
     rc::Rc,
@@ -32,76 +36,78 @@
     RunnerError, //
 };
 
-/// Time for which a hold waits for an end: the pace of fillers is decided as
-/// often, and several times within the time that a tail may be over its target.
-const HOLD_WAIT: Duration = Duration::from_millis(700);
+/// Time for which a heartbeat waits for an end. The pace of best-effort tasks is decided as
+/// often, which has to be several times within the time that a tail latency may be over its
+/// target.
+const HEARTBEAT_WAIT: Duration = Duration::from_millis(700);
 
-/// Longest wait of a hold for ends, or for the end of a silence, to be recorded.
-const RECORD_WAIT: Duration = Duration::from_millis(500);
+/// Maximum delay of the next heartbeat while ends, or the end of a silence, are not recorded.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Least time between two holds, so that ends which come together are read
+/// Minimum interval between two heartbeats, so that ends at about the same time are read
 /// together.
-const HOLD_GAP: Duration = Duration::from_millis(15);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The same for each runner of the pool: an owner of hundreds of them otherwise spends
-/// on holds, one for each end, the processor time that its starts need. With 700 runners
-/// an end is read up to 70 ms later, and 5 in 100 more of what is owed is earned in time
-/// on a fleet of 1,100 VMs (two plays, together with leaner calls, docs/MEASURED.md).
-const HOLD_GAP_EACH: Duration = Duration::from_micros(100);
+/// The same for each runner of the pool: an owner of hundreds of runners otherwise spends the
+/// processor time that its starts need on heartbeats, one for each end. With 700 runners an
+/// end is read up to 70 ms later, and 5 percent more of the attainable value is reached on a
+/// fleet of 1,100 VMs (together with leaner calls, docs/MEASURED.md).
+const HEARTBEAT_INTERVAL_PER_RUNNER: Duration = Duration::from_micros(100);
 
-/// Age of the last answer up to which the next hold may acknowledge ends, in milliseconds:
-/// shorter than a runner takes to start again (its process ends, begins and listens), and
-/// longer than the time between two holds. A life that came since would forget ends that
-/// nobody has read. Otherwise a hold that acknowledges nothing goes before.
-const ANSWER_FRESH_MS: Millis = 140;
+/// Age of the last response up to which the next heartbeat may acknowledge ends, in
+/// milliseconds: shorter than the restart of a runner (its process ends, starts and listens),
+/// and longer than the interval between two heartbeats. An instance that started since the
+/// last response would take the acknowledgement for its own ends, and forget ends that were
+/// never read. After a longer time, a heartbeat that acknowledges nothing is sent first.
+const FRESH_RESPONSE_MS: Millis = 140;
 
-/// Longest time between two holds of a runner that answers.
-const HOLD_GAP_MOST: Duration = Duration::from_millis(100);
+/// Maximum interval between two heartbeats of a runner that responds.
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time beyond its wait within which a hold fails whose connection was reset or refused;
-/// one that gets no answer takes longer.
-const RESET_LIMIT: Duration = Duration::from_millis(500);
+/// Time beyond its wait within which a heartbeat fails if its connection was reset or refused;
+/// without a response it takes longer.
+const RESET_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Wait after a hold that failed.
-const RETRY_WAIT: Duration = Duration::from_millis(250);
+/// Delay after a failed heartbeat.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Holds in a row that find nothing listening at the address of a runner that answered
-/// before, after which its process has ended: one connection may be refused for its own
-/// reasons.
-const REFUSALS_OF_ENDED: u32 = 2;
+/// Number of consecutive heartbeats that find nothing listening at the address of a runner
+/// which responded before, after which its process counts as ended: a single connection may be
+/// refused for other reasons.
+const REFUSALS_OF_ENDED_PROCESS: u32 = 2;
 
-/// What the holds of a session go by.
+/// Signals of the owner to the heartbeats of a session.
 pub(super) struct HoldSignals {
-    /// Last end that is recorded.
+    /// Number of the last recorded end.
     pub(super) told: watch::Receiver<u64>,
-    /// Silences after which the runner may have leases again.
+    /// Number of silences up to which the runner may have leases again.
     pub(super) settled: watch::Receiver<u64>,
-    /// Told that the runner may have another life.
+    /// Notified when the runner may have another instance.
     pub(super) hint: Rc<Notify>,
 }
 
-/// The holds of a session.
+/// The heartbeats of a session.
 pub(super) struct HoldLoop<R> {
     context: Rc<SessionContext<R>>,
     clock: Rc<LeaseClock>,
     signals: HoldSignals,
-    /// Birth of the life that is there, as far as it is told.
+    /// Start time of the current instance, if it is known.
     instance: Option<u64>,
-    /// When the last answer came; none after a hold without one.
+    /// When the last response came; none after a heartbeat without one.
     answered: Option<Millis>,
-    /// Silences of the runner so far; it is silent before its first answer.
+    /// Number of silences of the runner so far; it is silent before its first response.
     silences: u64,
-    /// Holds in a row that found nothing listening; none before the first answer.
+    /// Consecutive heartbeats that found nothing listening; none before the first response.
     refusals: Option<u32>,
 }
 
-/// A hold that is about to be sent.
+/// A heartbeat that is about to be sent.
 #[derive(Clone, Copy)]
 struct HoldPlan {
     asked_at: Millis,
-    /// Last end that is recorded, whether it is acknowledged with this hold or not.
+    /// Number of the last recorded end, whether this heartbeat acknowledges it or not.
     recorded: u64,
-    /// Whether the hold acknowledges it.
+    /// Whether the heartbeat acknowledges it.
     acknowledges: bool,
     lease: Option<HoldLease>,
 }
@@ -123,7 +129,8 @@
         }
     }
 
-    /// Holds until the session is over, or the runner shows that it is.
+    /// Sends heartbeats until the owner ends the session, or a response shows another instance,
+    /// another runner or a higher fencing token.
     pub(super) async fn run(mut self) {
         while self.signals.told.has_changed().is_ok() {
             let plan = self.plan();
@@ -154,26 +161,28 @@
                     return self.context.tell(SessionEvent::Fenced { runner });
                 }
                 Some(Err(err)) => {
-                    self.log_loss(&err);
+                    self.log_lost(&err);
                     self.count_refusal(&err);
                     let now = self.context.shared.clock.now();
                     let waited = Duration::from_millis(now.saturating_sub(plan.asked_at));
-                    self.miss(waited < self.request(plan).wait + RESET_LIMIT);
-                    if self.refusals == Some(REFUSALS_OF_ENDED) {
+                    self.miss(waited < self.request(plan).wait + RESET_TIMEOUT);
+                    if self.refusals == Some(REFUSALS_OF_ENDED_PROCESS) {
                         let runner = self.context.key;
                         self.context.tell(SessionEvent::Ended { runner });
                     }
-                    tokio::time::sleep(RETRY_WAIT).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
                 None => self.miss(false),
             }
         }
     }
 
+    /// Plans the next heartbeat. It grants a lease only to a runner that responded to the last
+    /// one and whose silences are over for the owner.
     fn plan(&mut self) -> HoldPlan {
         let recorded = *self.signals.told.borrow_and_update();
         let asked_at = self.context.shared.clock.now();
-        let is_fresh = |at| asked_at < at + ANSWER_FRESH_MS;
+        let is_fresh = |at| asked_at < at + FRESH_RESPONSE_MS;
         let is_settled = *self.signals.settled.borrow() >= self.silences;
         let may_run = self.answered.is_some() && is_settled;
         HoldPlan {
@@ -190,19 +199,23 @@
             epoch: self.context.token,
             acked_end: if plan.acknowledges { plan.recorded } else { 0 },
             lease_end_ms: plan.lease.map(|lease| lease.lease_end_ms),
-            wait: if waits { HOLD_WAIT } else { Duration::ZERO },
+            wait: if waits {
+                HEARTBEAT_WAIT
+            } else {
+                Duration::ZERO
+            },
         }
     }
 
-    /// Birth of the life that answers, where another one was there before. A session's holds
-    /// go one after the other, so that the answer of another life is that of a later one,
-    /// whatever their births say: a VM's time of day may have been set back.
+    /// Start time of the instance that responded, if it is not the one before. Heartbeats of a
+    /// session go one after the other, so that another instance is always a later one, whatever
+    /// the start times say: a VM's time of day may have been set back.
     fn new_birth(&self, report: &HeartbeatReport) -> Option<u64> {
         let before = self.instance?;
         report.started_at.filter(|started_at| *started_at != before)
     }
 
-    /// Takes in what the runner holds, and waits until the next hold is due.
+    /// Handles the response to a heartbeat, and waits until the next one is due.
     async fn take_report(&mut self, plan: HoldPlan, report: HeartbeatReport) {
         let now = self.context.shared.clock.now();
         self.answered = Some(now);
@@ -219,20 +232,21 @@
         });
         if let Some(last) = last.filter(|last| *last > plan.recorded) {
             let all_recorded = self.signals.told.wait_for(|recorded| *recorded >= last);
-            // The next hold reports the same ends if they are not.
-            let _ = timeout(RECORD_WAIT, all_recorded).await;
+            // If they are not recorded in time, the next heartbeat reports the same ends.
+            let _ = timeout(RECORD_TIMEOUT, all_recorded).await;
         } else if plan.is_whole() {
-            tokio::time::sleep(self.context.hold_gap()).await;
+            tokio::time::sleep(self.context.heartbeat_interval()).await;
         }
-        // Without a lease to give there is nothing to hold for.
+        // A heartbeat that may not grant a lease is not useful yet.
         let silences = self.silences;
         let may_run = self
             .signals
             .settled
             .wait_for(|settled| *settled >= silences);
-        let _ = timeout(RECORD_WAIT, may_run).await;
+        let _ = timeout(RECORD_TIMEOUT, may_run).await;
     }
 
+    /// Counts consecutive heartbeats that found nothing listening.
     fn count_refusal(&mut self, err: &RunnerError) {
         let refused = *err == RunnerError::NotListening;
         if let Some(refusals) = &mut self.refusals {
@@ -240,7 +254,8 @@
         }
     }
 
-    fn log_loss(&self, err: &RunnerError) {
+    /// Logs the first failed heartbeat after a response.
+    fn log_lost(&self, err: &RunnerError) {
         if self.answered.is_some() {
             event!(
                 Warn,
@@ -251,7 +266,7 @@
         }
     }
 
-    /// Takes in that a hold got no answer; `reset`, at once.
+    /// Handles a heartbeat without a response; `reset` says that it failed at once.
     fn miss(&mut self, reset: bool) {
         self.answered = None;
         self.silences += 1;
@@ -261,15 +276,16 @@
 }
 
 impl HoldPlan {
-    /// Whether nothing is left to acknowledge with another hold.
+    /// Whether no end is left to acknowledge with another heartbeat.
     fn is_whole(self) -> bool {
         self.acknowledges || self.recorded == 0
     }
 }
 
 impl<R> SessionContext<R> {
-    fn hold_gap(&self) -> Duration {
-        let gap = HOLD_GAP.max(HOLD_GAP_EACH * self.sessions.get());
-        gap.min(HOLD_GAP_MOST)
+    /// Interval between two heartbeats; it grows with the number of the owner's sessions.
+    fn heartbeat_interval(&self) -> Duration {
+        let gap = MIN_HEARTBEAT_INTERVAL.max(HEARTBEAT_INTERVAL_PER_RUNNER * self.sessions.get());
+        gap.min(MAX_HEARTBEAT_INTERVAL)
     }
 }
--- a/crates/hoisthitch-scheduler/src/session/lease.rs
+++ b/crates/hoisthitch-scheduler/src/session/lease.rs
@@ -1,4 +1,7 @@
-//! Leases of what runs on a runner, by its clock and this node's.
+//! Leases of the runs on a runner, by the clocks of the runner and of this node.
+//!
+//! The end of a lease is sent in the runner's clock. The owner judges by its own clock when
+//! all runs have ended, with allowances for a slow clock of the runner and for timers.
 
 use std::cell::Cell;
 
@@ -9,54 +12,52 @@
     SessionEvent, //
 };
 
-/// Lease that each hold gives, in milliseconds: long enough for another node to
-/// take over after this one is lost, short enough to start anew soon what a
-/// lost runner ran.
+/// Lease that each heartbeat grants, in milliseconds: long enough for another node to take
+/// over after this one is lost, short enough to restart soon what a lost runner ran.
 const LEASE_MS: Millis = 5_000;
 
-/// Longest lease after the owner last made sure that it is the owner, in
-/// milliseconds. Tasks outlast an outage of the store of about that length. The
-/// next owner waits for it before it gives up on runs that it can't see, and a
-/// lasting task may be away for nine seconds, so that 8.3 s are left for it.
+/// Longest lease after the ownership was last confirmed, in milliseconds. Tasks survive an
+/// outage of the store of about that length. The next owner waits for it before it gives up
+/// runs that it can't see, and a long-running task may be unavailable for nine seconds, so
+/// that this wait may take 8.3 s.
 pub(crate) const LEASE_CAP_MS: Millis = 8_000;
 
-/// Time after which everything that an owner ordered has ended once it can't make
-/// sure any more that it is the owner, in milliseconds.
+/// Time after the last confirmation of its ownership by which everything that an owner ordered
+/// has ended, in milliseconds.
 pub(crate) const LAST_RUN_MS: Millis = longest_run(LEASE_CAP_MS);
 
-/// Time after which everything has ended on a runner that an owner gave its
-/// longest lease, in milliseconds.
+/// Time by which everything on a runner has ended after an owner granted it the longest lease
+/// of a heartbeat, in milliseconds.
 pub(crate) const FULL_RUN_MS: Millis = longest_run(LEASE_MS);
 
-/// Longest lease that a runner takes, in milliseconds; the platform's longest bound of all
+/// Longest lease that a runner accepts, in milliseconds; the platform's longest limit in all
 /// deployments.
-const LEASE_MOST_MS: Millis = 10_000;
+const RUNNER_MAX_LEASE_MS: Millis = 10_000;
 
-/// Time after which everything has ended on a runner that refuses what was ordered of the
-/// life before, in milliseconds. Until then that may have given it a lease, by a clock that
-/// is not its own and so of any length.
-pub(crate) const STRAY_RUN_MS: Millis = longest_run(LEASE_MOST_MS);
+/// Time by which everything has ended on a restarted runner, from when it refuses orders for
+/// its previous instance, in milliseconds. Until then such an order may have granted it a
+/// lease by the previous instance's clock, and so of any length.
+pub(crate) const STRAY_RUN_MS: Millis = longest_run(RUNNER_MAX_LEASE_MS);
 
-/// Share by which a runner's clock may run slow, in percent; the platform's
-/// bound.
-const SLOW_CLOCK_PERCENT: Millis = 2;
+/// Maximum drift by which a runner's clock may run slow, in percent; the platform's limit.
+const MAX_CLOCK_DRIFT_PERCENT: Millis = 2;
 
-/// Allowance for the way and for timers when a lease's end is judged from
-/// here, in milliseconds.
+/// Allowance for network delay and timers when the end of a lease is judged by this node's
+/// clock, in milliseconds.
 const LEASE_SLACK_MS: Millis = 150;
 
-/// What is known of the runner's clock and lease, shared by holds and orders.
+/// The runner's clock and lease as this node knows them, shared by heartbeats and orders.
 #[derive(Default)]
 pub(super) struct LeaseClock {
-    /// Runner's clock less this node's; the runner's is at least this far.
+    /// The runner's clock minus this node's, as a lower bound.
     pub(super) offset: Cell<Option<i64>>,
-    /// End of the lease last given, by the runner's clock.
+    /// Latest end of a granted lease, by the runner's clock.
     pub(super) granted: Cell<u64>,
     /// The same by this node's clock.
     pub(super) granted_here: Cell<Millis>,
 }
 
-/// The lease that a hold gives.
+/// The lease that a heartbeat grants.
 #[derive(Clone, Copy)]
 pub(super) struct HoldLease {
     /// Its end by the runner's clock.
@@ -66,10 +67,11 @@
 }
 
 impl<R> SessionContext<R> {
-    /// End of the lease to give with the next hold, by the runner's clock.
+    /// The lease to grant with the next heartbeat, if any; tells the owner how long runs may
+    /// last under it.
     ///
-    /// A runner that did not answer the last hold gets no longer lease, or its
-    /// tasks could never be given up; `may_run` tells.
+    /// `may_run` is false for a runner that did not respond to the last heartbeat: its lease
+    /// is not extended, or its tasks could never be given up.
     pub(super) fn lease(
         &self,
         clock: &LeaseClock,
@@ -95,16 +97,16 @@
     }
 }
 
-/// Time within which all has ended under a lease of that length, in
-/// milliseconds.
+/// Time within which everything under a lease of that length has ended, in milliseconds.
 const fn longest_run(lease: Millis) -> Millis {
-    lease * (100 + SLOW_CLOCK_PERCENT) / 100 + LEASE_SLACK_MS
+    lease * (100 + MAX_CLOCK_DRIFT_PERCENT) / 100 + LEASE_SLACK_MS
 }
 
 impl LeaseClock {
-    /// Takes in what the runner's clock showed by `now`.
+    /// Records a reading of the runner's clock that was received at `now`.
     pub(super) fn read(&self, clock_ms: u64, now: Millis) {
         let offset = i64::try_from(clock_ms).ok().zip(i64::try_from(now).ok());
-        self.offset.set(offset.map(|(theirs, ours)| theirs - ours));
+        self.offset
+            .set(offset.map(|(remote, local)| remote - local));
     }
 }
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -1,8 +1,9 @@
 //! Sessions of an owner with the runners of its pool.
 //!
-//! One call is always open at a runner: it renews the lease of what runs there,
-//! tells the last end that is recorded, and waits for the next end ([`holds`]). Orders go
-//! one after the other beside it ([`orders`]).
+//! A session sends heartbeats without a break: each renews the lease of what runs on the
+//! runner, acknowledges the last recorded end, and waits for the next end ([`holds`]).
+//! Independently of them, orders are sent one after the other ([`orders`]). The owner drops a
+//! [`RunnerSession`] to end the session, and receives [`SessionEvent`]s.
 
 mod holds;
 mod lease;
@@ -56,88 +57,89 @@
     shared::NodeShared, //
 };
 
-/// Orders that may wait for one runner.
-const ORDER_QUEUE: usize = 1_024;
+/// Maximum number of orders that are queued for one runner.
+const ORDER_QUEUE_LEN: usize = 1_024;
 
-/// What sessions tell the owner.
+/// Events that sessions send to the owner.
 #[derive(Debug)]
 pub(crate) enum SessionEvent {
-    /// What runs on the runner may go on until then.
+    /// A lease is granted with the next heartbeat: what runs on the runner has ended by `until`.
     Extended { runner: RunnerKey, until: Millis },
-    /// A hold was answered.
+    /// A heartbeat succeeded.
     Held {
         runner: RunnerKey,
         report: HeartbeatReport,
+        /// When the heartbeat was sent.
         asked_at: Millis,
-        /// End of the lease that it gave, under which starts can be ordered; none
-        /// where it gave none.
+        /// End of the lease that it granted, under which starts can be ordered; none if it
+        /// granted none.
         leased_until: Option<Millis>,
-        /// Silences of the runner so far.
+        /// Number of silences of the runner so far.
         silences: u64,
     },
-    /// A hold was not answered.
+    /// A heartbeat got no response.
     Missed {
         runner: RunnerKey,
-        /// Whether it failed at once: nothing listens there.
+        /// Whether it failed at once, since nothing listens at the address.
         reset: bool,
     },
-    /// The runner's process has ended, and no other is in its place.
+    /// The runner's process has ended, and no other runs in its place.
     Ended { runner: RunnerKey },
-    /// Another runner answered at the runner's address.
+    /// Another runner responded at the runner's address.
     Replaced { runner: RunnerKey },
-    /// The runner answered with another life, born then.
+    /// Another instance of the runner responded, which started at `started_at`.
     Renewed { runner: RunnerKey, started_at: u64 },
-    /// Orders of a higher token came to the runner.
+    /// The runner has seen a higher fencing token.
     Fenced { runner: RunnerKey },
-    /// What became of a start.
+    /// The outcome of a start.
     Started {
         order: StartOrder,
         outcome: StartOutcome,
     },
-    /// A stop was answered.
+    /// A stop was acknowledged.
     Stopped(StopOrder),
-    /// A pace was not set.
+    /// The pace of a best-effort task was not set.
     PaceFailed(PaceOrder),
 }
 
 /// An order for one runner.
 #[derive(Debug)]
 pub(crate) enum RunnerOrder {
-    /// Start a task, as admitted at that time.
+    /// Start a task; with the time at which the start was admitted and queued.
     Start(StartOrder, Millis),
     Stop(StopOrder),
     Pace(PaceOrder),
 }
 
-/// The owner's end of a session; the session ends with it.
+/// The owner's end of a session; the session ends when it is dropped.
 pub(crate) struct RunnerSession {
-    /// Last end that is recorded.
+    /// Number of the last recorded end.
     recorded: watch::Sender<u64>,
     orders: mpsc::Sender<RunnerOrder>,
     withdrawn: WithdrawnRuns,
-    /// Silences of the runner after which it may have leases again.
+    /// Number of silences up to which the runner may have leases again.
     settled: watch::Sender<u64>,
-    /// Told that the runner may have another life.
+    /// Notified when the runner may have another instance.
     hint: Rc<Notify>,
     /// Where the runner listens.
     pub(crate) address: SocketAddr,
 }
 
-/// What a session works with.
+/// Everything that a session is given.
 pub(crate) struct SessionContext<R> {
     pub(crate) runners: R,
     pub(crate) shared: Arc<NodeShared>,
-    /// Which runners are listed, as the node knows when an order's turn comes.
+    /// The listed runners; read when an order is about to be sent.
     pub(crate) fleet: watch::Receiver<Arc<FleetView>>,
-    /// Fencing token of the orders, higher than those of all earlier sessions with a
-    /// runner of that name: what was ordered of a life that is over may be carried out
-    /// seconds later, and the next life refuses it once it was asked under this token.
+    /// Fencing token of the orders, higher than those of all earlier sessions with a runner of
+    /// that name: an order for an ended instance may arrive seconds later, and the next
+    /// instance refuses it once it has seen this token.
     pub(crate) token: u64,
-    /// When the owner last made sure that it is the owner. Read for each lease: told
-    /// together with what is recorded it stood still while the owner had more to record than it could
-    /// write, and after eight seconds all leases lapsed.
+    /// When the ownership was last confirmed. Shared and read for each lease: when it was sent
+    /// together with the recorded ends, it stood still while the owner had more to record than
+    /// it could write, and all leases expired after eight seconds.
     pub(crate) confirmed: Rc<Cell<Millis>>,
-    /// Sessions that the owner has.
+    /// Number of the owner's sessions.
     pub(crate) sessions: Rc<Cell<u32>>,
     pub(crate) key: RunnerKey,
     pub(crate) address: RunnerAddress,
@@ -145,10 +147,10 @@
 }
 
 impl RunnerSession {
-    /// Opens a session.
+    /// Opens a session: starts its heartbeats and the sending of its orders.
     pub(crate) fn open<R: RunnerControl>(context: SessionContext<R>) -> Self {
         let (recorded, told) = watch::channel(0);
-        let (orders, queue) = mpsc::channel(ORDER_QUEUE);
+        let (orders, queue) = mpsc::channel(ORDER_QUEUE_LEN);
         let context = Rc::new(context);
         let clock = Rc::new(LeaseClock::default());
         let (settled, silences) = watch::channel(0);
@@ -176,13 +178,13 @@
         }
     }
 
-    /// Has the runner asked at once which life it is.
+    /// Sends a heartbeat at once, to learn which instance of the runner is current.
     pub(crate) fn ask_life(&self) {
         self.hint.notify_one();
     }
 
-    /// Lets the runner have leases again after that many silences: nobody goes by
-    /// an earlier end of its runs any more.
+    /// Lets the runner have leases again after that many silences: an earlier end of its runs
+    /// is not relied on any more.
     pub(crate) fn settle(&self, silences: u64) {
         self.settled.send_if_modified(|settled| {
             let later = silences > *settled;
@@ -191,7 +193,8 @@
         });
     }
 
-    /// Tells the last end that is recorded; the runner may forget it.
+    /// Acknowledges the ends up to that number with the next heartbeat; the runner may forget
+    /// them.
     pub(crate) fn set_recorded(&self, number: u64) {
         self.recorded.send_if_modified(|recorded| {
             let changed = *recorded != number;
@@ -200,7 +203,7 @@
         });
     }
 
-    /// Sends an order; answers whether there was room for it.
+    /// Queues an order; returns whether there was room for it.
     pub(crate) fn order(&self, order: RunnerOrder) -> bool {
         if let RunnerOrder::Stop(stop) = &order {
             let run = (stop.name.clone(), stop.run);
@@ -212,7 +215,7 @@
 
 impl<R> SessionContext<R> {
     fn tell(&self, event: SessionEvent) {
-        // An owner that is gone needs no more events.
+        // The send fails only if the owner has ended.
         let _ = self.events.send(event);
     }
 }
--- a/crates/hoisthitch-scheduler/src/session/orders.rs
+++ b/crates/hoisthitch-scheduler/src/session/orders.rs
@@ -1,4 +1,7 @@
-//! Orders to a runner: one after the other, in the order in which they were decided.
+//! Orders to a runner: sent one after the other, in the sequence in which they were decided.
+//!
+//! A start is checked once more right before it is sent, since it may have waited behind other
+//! orders. A start that is not sent is reported to the owner, which decides again.
 
 use std::{
     cell::RefCell,
@@ -32,61 +35,61 @@
     }, //
 };
 
-/// Longest wait of a start for its turn, in milliseconds. Behind orders that get
-/// no answer it could be sent seconds after it was decided, when its job is
-/// cancelled or its runner is about to leave; the platform allows two seconds.
-const START_AGE_MS: Millis = 1_000;
+/// Maximum time for which a start may be queued, in milliseconds. Behind orders that get no
+/// response it could be sent seconds after it was decided, when its job is cancelled or its
+/// runner is about to shut down; the platform allows two seconds.
+const MAX_START_QUEUED_MS: Millis = 1_000;
 
-/// Runs that were told to stop and whose stop waits for its turn: a start of one that waits
-/// before it is not sent. Behind orders without an answer it could begin a second after its
-/// job was cancelled, or its task was done elsewhere.
+/// Runs with a queued stop order. A start of such a run that is queued before the stop is not
+/// sent: behind orders without a response the run could begin a second after its job was
+/// cancelled, or after its task was done elsewhere.
 pub(super) type WithdrawnRuns = Rc<RefCell<HashSet<(TaskName, u32)>>>;
 
-/// Why a start is not sent when its turn comes.
+/// Why a queued start is not sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum StartRefusal {
-    /// Its run was told to stop, or the session is over.
+    /// A stop of its run is queued, or the session has ended.
     Withdrawn,
-    /// Its runner has left the list, or has said that it leaves.
-    RunnerLeaves,
-    /// The list of runners was not confirmed for too long: this one may leave.
-    ListOld,
-    /// It waited too long.
-    Waited,
-    /// The runner would refuse it: its lease is over.
-    LeaseOver,
+    /// Its runner is not listed any more, or is draining.
+    RunnerDeparting,
+    /// The list of runners was not confirmed for too long, and the runner may be draining.
+    ListStale,
+    /// It was queued for too long.
+    QueuedTooLong,
+    /// The runner would refuse it, since the lease has expired.
+    LeaseExpired,
 }
 
 impl StartRefusal {
     fn as_str(self) -> &'static str {
         match self {
             Self::Withdrawn => "withdrawn",
-            Self::RunnerLeaves => "runner_leaves",
-            Self::ListOld => "list_old",
-            Self::Waited => "waited",
-            Self::LeaseOver => "lease_over",
+            Self::RunnerDeparting => "runner_leaves",
+            Self::ListStale => "list_old",
+            Self::QueuedTooLong => "waited",
+            Self::LeaseExpired => "lease_over",
         }
     }
 }
 
-/// Orders that wait for their turn.
+/// The queued orders of a session.
 pub(super) struct OrderQueue {
     pub(super) queue: mpsc::Receiver<RunnerOrder>,
     pub(super) withdrawn: WithdrawnRuns,
 }
 
 impl OrderQueue {
-    /// Whether a start is not wanted any more. Without a session nobody goes by it, and
-    /// another life may be there.
+    /// Whether a start is not wanted any more. After the end of the session nothing depends on
+    /// it, and another instance of the runner may be current.
     fn is_withdrawn(&self, order: &StartOrder) -> bool {
         let withdrawn = self.withdrawn.borrow();
-        // Starts come by the thousand in a second, and hardly any is withdrawn.
+        // There may be thousands of starts in a second, of which hardly any is withdrawn.
         let is_named = || withdrawn.contains(&(order.name.clone(), order.run));
         self.queue.is_closed() || (!withdrawn.is_empty() && is_named())
     }
 }
 
-/// Carries orders out, one after the other, until there are no more.
+/// Sends queued orders one after the other until the session ends.
 pub(super) async fn carry_orders<R: RunnerControl>(
     context: Rc<SessionContext<R>>,
     clock: Rc<LeaseClock>,
@@ -94,23 +97,24 @@
 ) {
     while let Some(order) = orders.queue.recv().await {
         match order {
-            RunnerOrder::Start(order, admitted) => {
-                match context.start_refusal(&order, admitted, &clock, &orders) {
-                    Some(refusal) => context.drop_start(order, admitted, refusal),
-                    None => start(&context, &clock, order).await,
+            RunnerOrder::Start(order, admitted_at) => {
+                match context.start_refusal(&order, admitted_at, &clock, &orders) {
+                    Some(refusal) => context.drop_start(order, admitted_at, refusal),
+                    None => send_start(&context, &clock, order).await,
                 }
             }
             RunnerOrder::Stop(order) => {
                 let run = (order.name.clone(), order.run);
-                stop(&context, order).await;
+                send_stop(&context, order).await;
                 orders.withdrawn.borrow_mut().remove(&run);
             }
-            RunnerOrder::Pace(order) => pace(&context, order).await,
+            RunnerOrder::Pace(order) => send_pace(&context, order).await,
         }
     }
 }
 
-async fn start<R: RunnerControl>(
+/// Sends a start and reports its outcome to the owner.
+async fn send_start<R: RunnerControl>(
     context: &SessionContext<R>,
     clock: &LeaseClock,
     order: StartOrder,
@@ -156,12 +160,13 @@
     context.tell(SessionEvent::Started { order, outcome });
 }
 
-async fn stop<R: RunnerControl>(context: &SessionContext<R>, order: StopOrder) {
+/// Sends a stop; only an acknowledged stop is reported to the owner.
+async fn send_stop<R: RunnerControl>(context: &SessionContext<R>, order: StopOrder) {
     let stopped = context
         .runners
         .stop(&context.address, &order, context.token)
         .await;
-    let outcome = context.outcome("stop", &stopped);
+    let outcome = context.record_outcome("stop", &stopped);
     event!(
         Info,
         "task_stopped",
@@ -175,12 +180,13 @@
     }
 }
 
-async fn pace<R: RunnerControl>(context: &SessionContext<R>, order: PaceOrder) {
+/// Sends the pace of a best-effort task; only a failure is reported to the owner.
+async fn send_pace<R: RunnerControl>(context: &SessionContext<R>, order: PaceOrder) {
     let paced = context
         .runners
         .pace(&context.address, &order, context.token)
         .await;
-    let outcome = context.outcome("pace", &paced);
+    let outcome = context.record_outcome("pace", &paced);
     event!(
         Info,
         "task_paced",
@@ -196,11 +202,11 @@
 }
 
 impl<R> SessionContext<R> {
-    /// Why a start that was admitted at that time is not sent now; none where it is.
+    /// Why a start that was admitted and queued at `admitted_at` is not sent now; none if it is.
     fn start_refusal(
         &self,
         order: &StartOrder,
-        admitted: Millis,
+        admitted_at: Millis,
         clock: &LeaseClock,
         orders: &OrderQueue,
     ) -> Option<StartRefusal> {
@@ -213,19 +219,19 @@
             .borrow()
             .is_departing(&self.address.instance.name)
         {
-            return Some(StartRefusal::RunnerLeaves);
+            return Some(StartRefusal::RunnerDeparting);
         }
         if !self.shared.runner_list_lease.is_valid(now) {
-            return Some(StartRefusal::ListOld);
+            return Some(StartRefusal::ListStale);
         }
-        if now > admitted + START_AGE_MS {
-            return Some(StartRefusal::Waited);
+        if now > admitted_at + MAX_START_QUEUED_MS {
+            return Some(StartRefusal::QueuedTooLong);
         }
-        (clock.granted_here.get() <= now).then_some(StartRefusal::LeaseOver)
+        (clock.granted_here.get() <= now).then_some(StartRefusal::LeaseExpired)
     }
 
-    /// Does not send a start, and says so: it is decided anew.
-    fn drop_start(&self, order: StartOrder, admitted: Millis, refusal: StartRefusal) {
+    /// Drops a start and reports that to the owner, which decides again.
+    fn drop_start(&self, order: StartOrder, admitted_at: Millis, refusal: StartRefusal) {
         let now = self.shared.clock.now();
         event!(
             Info,
@@ -237,7 +243,7 @@
             copy = order.copy,
             age_ms = now.saturating_sub(order.decided_at),
             list_age_ms = self.shared.runner_list_lease.age(now),
-            waited_ms = now - admitted
+            waited_ms = now - admitted_at
         );
         self.count("start", "not_sent");
         let counter = &self.shared.metrics.starts_not_sent;
@@ -246,12 +252,14 @@
         self.tell(SessionEvent::Started { order, outcome });
     }
 
+    /// Counts an order in the metrics.
     fn count(&self, order: &str, outcome: &str) {
         let counter = &self.shared.metrics.orders;
         counter.with_label_values(&[order, outcome]).inc();
     }
 
-    fn outcome(&self, order: &str, result: &Result<(), RunnerError>) -> String {
+    /// Counts the outcome of an order, and returns it as text for the log.
+    fn record_outcome(&self, order: &str, result: &Result<(), RunnerError>) -> String {
         self.count(order, if result.is_ok() { "done" } else { "failed" });
         match result {
             Ok(()) => "done".to_owned(),
