--- a/crates/hoisthitch-scheduler/src/vms/ledger.rs
+++ b/crates/hoisthitch-scheduler/src/vms/ledger.rs
@@ -1,9 +1,10 @@
-//! What is published of a pool's VMs, and which of them orders are given about.
+//! Claims and fencing tokens for orders about a pool's VMs, and the record that its owner
+//! publishes of them.
 //!
-//! Moves and waves each run by themselves and share this. Before any order about a VM
-//! the pool's share is written under compare-and-swap; the revision of that write is
-//! the order's fencing token. Writes go one after the other, so that tokens rise for
-//! each VM whoever orders about it, and a VM is claimed by one of the two at a time.
+//! The two VM loops run independently and share this ledger. Before any order about a VM the
+//! pool's record is written under compare-and-swap; the revision of that write is the order's
+//! fencing token. Writes go one after the other, so that the tokens of a VM's orders increase
+//! whichever loop gives them. A VM is claimed by at most one of the loops at a time.
 
 use std::{
     cell::{
@@ -42,41 +43,41 @@
     }, //
 };
 
-/// Time for which a new owner gives no order about a VM that an earlier one may
-/// have given an order about, in milliseconds: that order may be under way
-/// until the doubt of its owner ([`super::DOUBT_MS`]) and the limit of a call are
-/// over, and two owners may not take turns within the platform's three seconds.
+/// Time for which a new owner gives no order about a VM that an earlier owner may have given
+/// an order about, in milliseconds: that order may be in transit until its owner's right to
+/// give orders ([`super::DOUBT_MS`]) and the timeout of a call are over, and orders of two
+/// owners about one VM may not alternate within the platform's three seconds.
 pub(super) const SETTLE_MS: Millis = 3_200;
 
-/// Time for which a VM counts as lately ordered about, in milliseconds; the
-/// time above, with some to spare.
-const RECENT_MS: Millis = 4_000;
+/// Time for which an order about a VM counts as recent, in milliseconds; the time above with a
+/// margin.
+const RECENT_ORDER_MS: Millis = 4_000;
 
-/// What the pool's owner publishes; written before each order about a VM.
+/// Record that the pool's owner publishes; written before each order about a VM.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct ShareRecord {
-    /// Epoch of the owner.
+    /// Epoch of the owner: the revision of its election.
     pub(super) epoch: u64,
     /// Number of the write under this owner.
     pub(super) sequence: u64,
-    /// What the pool has and wants.
+    /// VMs that the pool has, wants and keeps.
     pub(super) share: VmBalance,
-    /// VMs that this owner gives orders about, or lately did.
+    /// VMs that this owner gave orders about recently, or is about to.
     #[serde(default)]
     pub(super) recent: Vec<String>,
-    /// VMs that earlier owners may have given orders about, with the time for
-    /// which this one gives none, in milliseconds. The owner after it must not
-    /// either, or two holders of one VM would take turns.
+    /// VMs that earlier owners may have given orders about, with the time for which this owner
+    /// gives none, in milliseconds. The next owner must not give any either, or the orders of
+    /// two holders of a VM would alternate.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub(super) blocked: BTreeMap<String, Millis>,
 }
 
-/// What a VM is claimed for.
+/// Purpose of a claim on a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum VmClaim {
-    /// To be given to another pool.
+    /// To be moved to another pool.
     Move,
-    /// To be taken through its upkeep.
+    /// To go through maintenance.
     Upkeep,
 }
 
@@ -87,17 +88,17 @@
     revision: StoreRevision,
 }
 
-/// VMs of a pool, as far as orders about them go.
+/// Which VMs of a pool orders may be given about, and under which token.
 pub(super) struct VmLedger<P> {
     pub(super) context: VmContext<P>,
     writer: Mutex<ShareWriter>,
-    /// VMs that orders were given about, and when.
+    /// VMs that orders were given about recently, and when.
     ordered: RefCell<BTreeMap<String, Millis>>,
-    /// VMs that an earlier owner may have given orders about, and until when
-    /// none is given here.
+    /// VMs that an earlier owner may have given orders about, and until when this owner gives
+    /// none.
     blocked: RefCell<BTreeMap<String, Millis>>,
     claims: RefCell<BTreeMap<String, VmClaim>>,
-    /// Whether the share was written under this owner.
+    /// Whether the record was written by this owner.
     settled: Cell<bool>,
 }
 
@@ -114,35 +115,35 @@
         }
     }
 
-    /// The life of a VM's runner: the platform's list names the runner, the runner's record
-    /// tells the life.
+    /// The instance of a VM's runner: the platform's list names the runner, the runner's record
+    /// has its start time.
     pub(super) fn life_on(&self, row: &VmStatus) -> Option<RunnerInstance> {
         let name = row.runner.as_ref()?;
         Some(self.context.fleet.borrow().instance_of(name))
     }
 
-    /// Now.
+    /// The time of the node's clock.
     pub(super) fn now(&self) -> Millis {
         self.context.shared.clock.now()
     }
 
-    /// Whether orders of earlier owners were taken in.
+    /// Whether the recent orders of earlier owners are known.
     pub(super) fn is_settled(&self) -> bool {
         self.settled.get()
     }
 
-    /// Notes that orders of earlier owners were taken in.
+    /// Records that the recent orders of earlier owners are known.
     pub(super) fn settle(&self) {
         self.settled.set(true);
     }
 
-    /// Claims a VM; answers whether nothing else claims it.
+    /// Claims a VM; returns whether it has no other claim.
     pub(super) fn claim(&self, vm: &str, claim: VmClaim) -> bool {
         let mut claims = self.claims.borrow_mut();
         *claims.entry(vm.to_owned()).or_insert(claim) == claim
     }
 
-    /// Gives a claim up.
+    /// Releases a claim.
     pub(super) fn release(&self, vm: &str, claim: VmClaim) {
         let mut claims = self.claims.borrow_mut();
         if claims.get(vm) == Some(&claim) {
@@ -150,18 +151,18 @@
         }
     }
 
-    /// Whether something else claims the VM.
+    /// Whether the VM has another claim than `but`.
     pub(super) fn is_claimed(&self, vm: &str, but: VmClaim) -> bool {
         let claims = self.claims.borrow();
         claims.get(vm).is_some_and(|claim| *claim != but)
     }
 
-    /// Gives no orders about these VMs for a while.
+    /// Blocks orders about VMs for [`SETTLE_MS`].
     pub(super) fn block(&self, vms: impl IntoIterator<Item = String>) {
         self.block_for(vms.into_iter().map(|vm| (vm, SETTLE_MS)));
     }
 
-    /// Gives no orders about VMs, each for the time beside it.
+    /// Blocks orders about VMs, each for its own time in milliseconds.
     fn block_for(&self, vms: impl IntoIterator<Item = (String, Millis)>) {
         let now = self.now();
         let mut blocked = self.blocked.borrow_mut();
@@ -171,7 +172,7 @@
         }
     }
 
-    /// VMs that no order is given about now, with the time left.
+    /// VMs that are still blocked, with the remaining time in milliseconds.
     fn still_blocked(&self, now: Millis) -> BTreeMap<String, Millis> {
         let mut blocked = self.blocked.borrow_mut();
         blocked.retain(|_, until| *until > now);
@@ -181,16 +182,16 @@
             .collect()
     }
 
-    /// Whether an earlier owner may have given an order about the VM lately.
+    /// Whether orders about a VM are blocked, since an earlier owner may have given one.
     pub(super) fn is_blocked(&self, vm: &str) -> bool {
         let now = self.now();
         let blocked = self.blocked.borrow();
         blocked.get(vm).is_some_and(|until| *until > now)
     }
 
-    /// Writes down that orders about VMs follow, with the share if that changes; answers
-    /// with their token. A token is for one VM's orders, and each VM gets one order
-    /// under it.
+    /// Records that orders about VMs follow, with the published state if that changes, and
+    /// returns their fencing token. A token counts for the orders about one VM, so that several
+    /// VMs may share it; each VM gets one order under it.
     pub(super) async fn authorize<'a>(
         &self,
         vms: impl IntoIterator<Item = &'a String>,
@@ -202,11 +203,11 @@
         self.publish(share).await
     }
 
-    /// What to write down now.
+    /// The record to write now.
     fn make_record(&self, share: VmBalance, sequence: u64) -> ShareRecord {
         let now = self.now();
         let mut ordered = self.ordered.borrow_mut();
-        ordered.retain(|_, at| *at + RECENT_MS > now);
+        ordered.retain(|_, at| *at + RECENT_ORDER_MS > now);
         ShareRecord {
             epoch: self.context.epoch,
             sequence,
@@ -216,8 +217,8 @@
         }
     }
 
-    /// Writes the pool's share, or the same one again; answers with the write's
-    /// revision.
+    /// Writes the pool's record, with the last published state again if none is given; returns
+    /// the revision of the write.
     pub(super) async fn publish(&self, share: Option<VmBalance>) -> Result<u64, VmWorkError> {
         let key = self.context.keys.vm_balance(&self.context.pool);
         let mut writer = self.writer.lock().await;
@@ -245,7 +246,7 @@
                     if other.epoch > self.context.epoch {
                         return Err(VmWorkError::Deposed);
                     }
-                    // An own write whose answer was lost, or an earlier owner's.
+                    // A write of this owner whose response was lost, or an earlier owner's.
                     writer.revision = stored.revision;
                     if other.epoch < self.context.epoch {
                         self.block(other.recent);
--- a/crates/hoisthitch-scheduler/src/vms/list.rs
+++ b/crates/hoisthitch-scheduler/src/vms/list.rs
@@ -1,7 +1,7 @@
-//! The platform's list of VMs, as last read.
+//! Cache of the platform's list of VMs.
 //!
-//! The list grows with the fleet, whichever pool asks for it. Both loops of a pool's
-//! VMs share one copy and read it anew only when it is older than they can bear.
+//! The list has all VMs of the fleet, whichever pool reads it. Both VM loops of a pool share
+//! one copy, and read it again only when it is too old for them.
 
 use std::{
     cell::RefCell,
@@ -19,61 +19,62 @@
     VmStatus, //
 };
 
-/// Age up to which the list is used, in milliseconds: half of the time that an upkeep
-/// or a move takes. Read five times a second by each owner it was most of what narrow
-/// links carried.
-const LIST_AGE_MS: Millis = 900;
+/// Maximum age of the cached list, in milliseconds: half of the time that a VM's maintenance or
+/// move takes. When each owner read the list five times a second, that was most of the traffic
+/// on narrow links.
+const MAX_LIST_AGE_MS: Millis = 900;
 
-/// All VMs at a time.
+/// All VMs of the platform's list at a time.
 #[derive(Debug, Default)]
 pub(super) struct VmRows {
-    /// When they were asked for; what was ordered later does not show.
+    /// When the list was requested; orders that were given later don't show in it.
     pub(super) asked_at: Millis,
     rows: Vec<VmStatus>,
-    places: HashMap<String, usize>,
+    /// Position of each VM in the rows, by name.
+    positions: HashMap<String, usize>,
 }
 
 impl VmRows {
     fn new(rows: Vec<VmStatus>, asked_at: Millis) -> Self {
-        let places = rows.iter().enumerate();
-        let places = places.map(|(place, row)| (row.name.clone(), place));
+        let positions = rows.iter().enumerate();
+        let positions = positions.map(|(position, row)| (row.name.clone(), position));
         Self {
             asked_at,
-            places: places.collect(),
+            positions: positions.collect(),
             rows,
         }
     }
 
-    /// All rows.
+    /// Rows of all VMs.
     pub(super) fn iter(&self) -> impl Iterator<Item = &VmStatus> {
         self.rows.iter()
     }
 
-    /// A VM's row.
+    /// The row of a VM, if it is listed.
     pub(super) fn find(&self, vm: &str) -> Option<&VmStatus> {
-        self.rows.get(*self.places.get(vm)?)
+        self.rows.get(*self.positions.get(vm)?)
     }
 }
 
-/// Reads the list, and keeps it for a while.
+/// Reads the list and caches it.
 #[derive(Default)]
 pub(super) struct VmList {
     last: RefCell<Option<Rc<VmRows>>>,
 }
 
 impl VmList {
-    /// The list as it was a moment ago.
+    /// The list, at most [`MAX_LIST_AGE_MS`] old.
     ///
     /// # Errors
     ///
-    /// Fails as the platform does.
+    /// Returns the errors of the platform.
     pub(super) async fn read<P: Platform>(
         &self,
         context: &VmContext<P>,
     ) -> Result<Rc<VmRows>, VmError> {
         let now = context.shared.clock.now();
         let last = self.last.borrow().clone();
-        if let Some(rows) = last.filter(|rows| rows.asked_at + LIST_AGE_MS > now) {
+        if let Some(rows) = last.filter(|rows| rows.asked_at + MAX_LIST_AGE_MS > now) {
             return Ok(rows);
         }
         let rows = Rc::new(VmRows::new(context.platform.vms().list().await?, now));
--- a/crates/hoisthitch-scheduler/src/vms/mod.rs
+++ b/crates/hoisthitch-scheduler/src/vms/mod.rs
@@ -1,9 +1,13 @@
-//! The VMs of a pool: their upkeep in waves, and their moves between pools.
+//! The VMs of a pool: their maintenance in waves, and their moves between pools.
 //!
-//! Two loops for each owned pool give all orders about its VMs: one moves VMs between
-//! pools, the other takes them through waves. Neither waits for the other's calls, for
-//! a wave of hundreds of VMs takes many of them and the load of a pool changes within a
-//! second. What both have to agree on is in the [`ledger`].
+//! Two loops for each owned pool give all orders about its VMs: one moves VMs between pools,
+//! the other takes them through waves. Neither waits for the calls of the other, since a wave
+//! of hundreds of VMs needs many calls, and the load of a pool changes within a second. The
+//! [`ledger`] holds what both have to agree on: which VM is claimed by which loop, and the
+//! fencing token of each order.
+//!
+//! The loops know nothing of tasks. They ask the pool's owner by [`VmRequest`]s to evacuate
+//! runners and what the pool needs.
 
 mod ledger;
 mod list;
@@ -56,60 +60,60 @@
     shared::NodeShared, //
 };
 
-/// Time between the begins of two looks at the pool's VMs: a fraction of the time that
-/// an upkeep or a move takes.
-const VM_TICK: Duration = Duration::from_millis(200);
+/// Interval between the starts of two passes: a fraction of the time that a VM's maintenance
+/// or move takes.
+const PASS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Least pause between two looks, so that a slow platform is not asked without end.
-const VM_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum pause between two passes, so that a slow platform is not called without a break.
+const MIN_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time of a look from which on a line tells of it: five times the usual tick, and as
-/// long as a turn's begin may stay unseen.
-const SLOW_LOOK: Duration = Duration::from_secs(1);
+/// Duration from which on a pass is logged as slow: five times the usual interval, and as long as
+/// the start of a demand peak may go unnoticed.
+const SLOW_PASS: Duration = Duration::from_secs(1);
 
-/// Time after the owner last made sure that it is the owner in which it gives
-/// orders about VMs, in milliseconds.
+/// Time after the last confirmation of ownership for which orders about VMs may be given, in
+/// milliseconds.
 const DOUBT_MS: Millis = 1_200;
 
-/// VMs of a pool that are emptied at once to be given away; emptying takes one to three
-/// seconds, in which the limit of moves lets two hundred go. With forty, pools of two
-/// hundred VMs gave 20 a second: 6 in 100 of what is owed there (10 plays,
-/// docs/decisions.md).
+/// Maximum number of VMs of a pool that are evacuated at once to be moved to other pools. An
+/// evacuation takes one to three seconds, in which the limit of moves admits two hundred VMs.
+/// With forty, pools of two hundred VMs released 20 a second, which cost 6 percent of the
+/// attainable value there (docs/decisions.md).
 pub(crate) const SPARE_LIMIT: usize = 200;
 
-/// What the VM worker asks the owner.
+/// Requests of the VM loops to the pool's owner.
 #[derive(Debug)]
 pub(crate) enum VmRequest {
-    /// Empty the runners; the answer says how far each is, or nothing when the
-    /// runner is not known. Those that are free may go down together.
+    /// Evacuate the runners. The reply has the status of each, or none if the runner is not
+    /// known; all VMs whose runners are free may go down together.
     Leave {
         runners: Vec<String>,
-        /// Whether their tasks are to go on elsewhere where they can.
+        /// Whether tasks that can resume elsewhere are evicted.
         vacate: bool,
         reply: oneshot::Sender<Vec<Option<EvacuationStatus>>>,
     },
-    /// The runners go on.
+    /// Cancel the evacuation of the runners.
     Stay { runners: Vec<String> },
-    /// A VM went down with that life of its runner.
+    /// A VM went down with that instance of its runner.
     Down { instance: RunnerInstance },
-    /// The runner's VM was told to go down, and there was no answer.
+    /// The runner's VM was ordered to go down, and there was no response.
     Doubt { runner: String },
-    /// What does the pool need, and which runner can it spare?
+    /// Ask what the pool needs, and which runners it can spare.
     Need { reply: oneshot::Sender<PoolNeed> },
 }
 
-/// What a pool needs.
+/// What a pool needs, has and can spare.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolNeed {
-    /// VMs wanted.
+    /// Number of VMs that it needs.
     pub(crate) want: WantedVms,
     /// VMs of its runners.
     pub(crate) vms: Vec<String>,
-    /// Runners and VMs that can be spared, the first in front.
+    /// Runners that it can spare and their VMs, the best to give up first.
     pub(crate) spare: Vec<(RunnerInstance, String)>,
 }
 
-/// What a VM worker works with.
+/// Everything that the VM loops are given.
 pub(crate) struct VmContext<P> {
     pub(crate) platform: P,
     pub(crate) shared: Arc<NodeShared>,
@@ -122,7 +126,7 @@
     pub(crate) owner: mpsc::Sender<VmRequest>,
 }
 
-/// Why there is no going on for now.
+/// Why a pass was cut short.
 #[derive(Debug, Error)]
 pub(crate) enum VmWorkError {
     #[error("{0}")]
@@ -137,28 +141,29 @@
     Deposed,
 }
 
-/// One of the loops.
+/// One of the VM loops.
 trait VmLoop {
     /// Name in logs and metrics.
     const NAME: &'static str;
 
-    /// Looks once, and orders what is due.
+    /// Makes one pass over the pool's VMs, and gives the orders that are due.
     async fn look(&mut self) -> Result<(), VmWorkError>;
 }
 
-/// Looks after the pool's VMs until the owner ends.
+/// Runs the VM loops of a pool until its owner ends or another node owns the pool.
 pub(crate) async fn run_vms<P: Platform>(context: VmContext<P>) {
     let ledger = Rc::new(VmLedger::new(context));
     let list = Rc::new(VmList::default());
     let moves = MoveWorker::new(ledger.clone(), list.clone());
     let waves = WaveWorker::new(ledger.clone(), list);
-    // The first that finds another owner ends both.
+    // The first loop that finds another owner ends both.
     tokio::select! {
         () = run_loop(&ledger, moves) => {}
         () = run_loop(&ledger, waves) => {}
     }
 }
 
+/// Runs passes of one loop until the owner ends or another node owns the pool.
 async fn run_loop<P: Platform, L: VmLoop>(ledger: &VmLedger<P>, mut worker: L) {
     let context = &ledger.context;
     while !context.owner.is_closed() {
@@ -179,7 +184,7 @@
         loop_seconds
             .with_label_values(&[L::NAME])
             .observe(took.as_secs_f64());
-        if took >= SLOW_LOOK {
+        if took >= SLOW_PASS {
             event!(
                 Warn,
                 "look_slow",
@@ -188,12 +193,13 @@
                 took_ms = took.as_millis()
             );
         }
-        sleep_until((begun + VM_TICK).max(Instant::now() + VM_PAUSE)).await;
+        sleep_until((begun + PASS_INTERVAL).max(Instant::now() + MIN_PAUSE)).await;
     }
 }
 
 impl<P: Platform> VmLedger<P> {
-    /// Asks the owner to empty runners; answers for each.
+    /// Asks the owner to evacuate runners; returns the status of each, all held if the owner
+    /// has ended.
     async fn ask_leave(&self, runners: Vec<String>, vacate: bool) -> Vec<Option<EvacuationStatus>> {
         let held = vec![Some(EvacuationStatus::Held); runners.len()];
         if runners.is_empty() {
@@ -211,20 +217,20 @@
         answer.await.unwrap_or(held)
     }
 
-    /// Tells the owner something.
+    /// Sends a request without a reply to the owner.
     async fn tell(&self, request: VmRequest) {
-        // An owner that is gone needs no word.
+        // The send fails only if the owner has ended.
         let _ = self.context.owner.send(request).await;
     }
 
-    /// Lets runners go on that were to be emptied.
+    /// Cancels the evacuation of runners.
     async fn let_stay(&self, runners: Vec<String>) {
         if !runners.is_empty() {
             self.tell(VmRequest::Stay { runners }).await;
         }
     }
 
-    /// Makes sure that this node owned the pool a moment ago.
+    /// Checks that this node's ownership was confirmed a moment ago.
     fn check_owner(&self) -> Result<(), VmWorkError> {
         if self.now() > self.context.confirmed.get() + DOUBT_MS {
             return Err(VmWorkError::Doubt);
--- a/crates/hoisthitch-scheduler/src/vms/share.rs
+++ b/crates/hoisthitch-scheduler/src/vms/share.rs
@@ -1,4 +1,4 @@
-//! What a pool publishes of its VMs.
+//! The balance that a pool publishes of its VMs: which it has, has sent away, wants and keeps.
 
 use std::collections::{
     BTreeMap,
@@ -25,13 +25,13 @@
     VmCondition, //
 };
 
-/// Time after which a VM that was sent away and did not arrive is counted no
-/// more, in milliseconds; a move takes one and a half seconds.
-const ARRIVE_MS: Millis = 6_000;
+/// Time after which a VM that was sent away and did not arrive is not counted any more, in
+/// milliseconds; a move takes one and a half seconds.
+const ARRIVAL_TIMEOUT_MS: Millis = 6_000;
 
 impl<P: Platform> MoveWorker<P> {
-    /// Takes the pool's share over from an earlier owner, whose orders may be
-    /// under way still.
+    /// Takes over the pool's record from an earlier owner, whose orders may still be in transit:
+    /// blocks the VMs of those orders, and VMs that other pools are sending here.
     pub(super) async fn settle_in(&mut self) -> Result<(), VmWorkError> {
         let pool = &self.ledger.context.pool;
         for (other, share) in self.read_shares().await? {
@@ -40,12 +40,13 @@
                 self.ledger.block(here.map(|(vm, _)| vm));
             }
         }
-        // A write that finds the share of an earlier owner blocks its VMs.
+        // A write that finds the record of an earlier owner blocks its VMs.
         self.ledger.publish(None).await?;
         self.ledger.settle();
         Ok(())
     }
 
+    /// Whether the pool is configured as one whose VMs are off.
     pub(super) fn is_spare(&self) -> bool {
         let context = &self.ledger.context;
         let policy = context.shared.policy.load();
@@ -57,6 +58,8 @@
         })
     }
 
+    /// The balance to publish now. VMs that have arrived elsewhere, or should have, are
+    /// released.
     pub(super) fn make_share(
         &mut self,
         need: &PoolNeed,
@@ -67,19 +70,19 @@
         let forecast = self.wants.forecast(need.want, now);
         let ledger = &self.ledger;
         self.sent.retain(|vm, (_, at)| {
-            // A VM that is listed here no more has left for certain, and is
-            // counted by the other pool once it has arrived there.
-            let under_way =
-                *at + ARRIVE_MS > now || (vms.contains(vm) && *at + 2 * ARRIVE_MS > now);
-            if !under_way {
+            // A VM that is not listed here any more has certainly left; the other pool counts it
+            // once it has arrived there.
+            let in_transit = *at + ARRIVAL_TIMEOUT_MS > now
+                || (vms.contains(vm) && *at + 2 * ARRIVAL_TIMEOUT_MS > now);
+            if !in_transit {
                 ledger.release(vm, VmClaim::Move);
             }
-            under_way
+            in_transit
         });
         let sent = self.sent.iter();
         let mut vms = vms;
         vms.sort();
-        // A life that is over may be listed beside its successor.
+        // An instance that has ended may be listed beside its successor.
         vms.dedup();
         VmBalance {
             want: forecast.want,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// VMs of a pool whose VMs are off, once they may be ordered about.
+    /// VMs of a pool whose VMs are off; records since when each has been listed.
     pub(super) async fn list_idle(&mut self, now: Millis) -> Result<Vec<String>, VmWorkError> {
         let context = &self.ledger.context;
         let rows = self.list.read(context).await?;
@@ -99,8 +102,7 @@
             .filter(|row| row.pool == context.pool && row.condition == VmCondition::Up);
         let names: BTreeSet<String> = own.map(|row| row.name.clone()).collect();
         self.idle.retain(|vm, _| names.contains(vm));
-        // What was there before the first look has stayed long enough, or is
-        // blocked.
+        // VMs that were listed before the first pass have stayed long enough, or are blocked.
         let since = if self.listed { now } else { 0 };
         self.listed = true;
         for vm in names {
@@ -109,6 +111,7 @@
         Ok(self.idle.keys().cloned().collect())
     }
 
+    /// Reads the published balances of all pools, by pool.
     pub(super) async fn read_shares(&self) -> Result<BTreeMap<String, VmBalance>, VmWorkError> {
         let context = &self.ledger.context;
         let prefix = context.keys.vm_balances_prefix();
