--- a/crates/hoisthitch-scheduler/src/vms/moves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/moves.rs
@@ -1,4 +1,9 @@
 //! Moves of VMs between pools.
+//!
+//! The loop publishes which VMs the pool has and needs, reads the same of all pools, and works
+//! out the moves that are due. It orders only those of its own VMs: it evacuates the runner,
+//! writes the pool's record, whose revision is the order's fencing token, and then calls the
+//! platform.
 
 use std::{
     collections::BTreeMap,
@@ -36,26 +41,26 @@
     VmError, //
 };
 
-/// Moves that a pool makes in one look: one with many VMs to spare gives them
-/// within some looks. The platform takes 64 a second of all, or more, and what it
-/// refuses is ordered again.
-const MOVE_LIMIT: usize = 40;
+/// Maximum number of moves that a pool orders in one pass: a pool with many VMs to spare
+/// releases them within some passes. The platform accepts 64 a second of all pools, or more,
+/// and what it refuses is ordered again.
+const MOVES_PER_PASS: usize = 40;
 
-/// Moves VMs of a pool that others need more.
+/// The loop that moves VMs of a pool to pools that need them more.
 pub(super) struct MoveWorker<P> {
     pub(super) ledger: Rc<VmLedger<P>>,
     pub(super) list: Rc<VmList>,
-    /// What was last published.
+    /// The balance that was last published.
     share: VmBalance,
-    /// What the pool wanted in the last second.
+    /// Number of VMs that the pool wanted in the last second.
     pub(super) wants: DemandHistory,
-    /// VMs sent away, where to and when.
+    /// VMs that were sent away, with the target pool and the time.
     pub(super) sent: BTreeMap<String, (String, Millis)>,
-    /// VMs without a runner, as last listed, and since when.
+    /// VMs without a runner, and since when each has been listed.
     pub(super) idle: BTreeMap<String, Millis>,
-    /// Whether those VMs were listed before.
+    /// Whether VMs without a runner were listed before.
     pub(super) listed: bool,
-    /// Runners that are being emptied to be given away, by VM.
+    /// Runners that are being evacuated so that their VMs can be moved, by VM.
     giving: BTreeMap<String, RunnerInstance>,
 }
 
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Publishes what the pool needs, and sends away what others need more.
+    /// Publishes the pool's balance, and moves VMs to pools that need them more.
     async fn balance(&mut self) -> Result<(), VmWorkError> {
         let now = self.ledger.now();
         let Some(need) = self.ask_need().await else {
@@ -98,7 +103,7 @@
         };
         let share = self.make_share(&need, vms, spare, now);
         self.tell_share(share).await?;
-        // Without a VM to give there is nothing to look for.
+        // A pool without a VM to release needs no targets.
         let kept = if spare { 0 } else { need.want.steady };
         let staying = u32::try_from(self.share.staying());
         if staying.is_ok_and(|staying| staying <= kept) && self.giving.is_empty() {
@@ -110,13 +115,15 @@
         } else {
             self.emptied_vms(&need, targets.len()).await
         };
-        let moves: Vec<(String, String)> = vms.into_iter().zip(targets).take(MOVE_LIMIT).collect();
+        let moves: Vec<(String, String)> =
+            vms.into_iter().zip(targets).take(MOVES_PER_PASS).collect();
         if moves.is_empty() {
             return Ok(());
         }
         self.send_away(moves, now).await
     }
 
+    /// Asks the owner what the pool needs; none if the owner has ended.
     async fn ask_need(&self) -> Option<PoolNeed> {
         let (reply, answer) = oneshot::channel();
         let request = VmRequest::Need { reply };
@@ -124,7 +131,7 @@
         answer.await.ok()
     }
 
-    /// Publishes the pool's share, if it changed.
+    /// Publishes the pool's balance, if it changed.
     async fn tell_share(&mut self, share: VmBalance) -> Result<(), VmWorkError> {
         if share == self.share {
             return Ok(());
@@ -143,7 +150,7 @@
         Ok(())
     }
 
-    /// Pools that are to get VMs of this one, once for each VM.
+    /// The pools that get VMs of this one, one entry for each VM.
     async fn find_targets(&self) -> Result<Vec<String>, VmWorkError> {
         let pool = &self.ledger.context.pool;
         let mut pools = self.read_shares().await?;
@@ -155,7 +162,7 @@
         Ok(targets.take(SPARE_LIMIT).collect())
     }
 
-    /// VMs without a runner that may be sent away.
+    /// VMs without a runner that may be moved.
     fn idle_vms(&self, now: Millis) -> Vec<String> {
         self.idle
             .iter()
@@ -166,7 +173,8 @@
             .collect()
     }
 
-    /// Has up to `count` runners emptied; answers with the VMs that are.
+    /// Evacuates up to `count` runners, and returns the VMs whose evacuation is complete.
+    /// Cancels those that are not candidates any more.
     async fn emptied_vms(&mut self, need: &PoolNeed, count: usize) -> Vec<String> {
         let candidates: Vec<(RunnerInstance, String)> = need
             .spare
@@ -176,13 +184,13 @@
             .take(count)
             .cloned()
             .collect();
-        let over: Vec<String> = self
+        let dropped: Vec<String> = self
             .giving
             .keys()
             .filter(|vm| !candidates.iter().any(|(_, candidate)| candidate == *vm))
             .cloned()
             .collect();
-        self.keep_vms(over).await;
+        self.keep_vms(dropped).await;
         for (runner, vm) in &candidates {
             self.ledger.claim(vm, VmClaim::Move);
             if self.giving.insert(vm.clone(), runner.clone()).is_none() {
@@ -206,7 +214,7 @@
             .collect()
     }
 
-    /// Lets runners go on that were to be given away.
+    /// Cancels the moves of VMs, and the evacuation of their runners.
     async fn keep_vms(&mut self, vms: Vec<String>) {
         let mut runners = Vec::new();
         for vm in vms {
@@ -226,7 +234,7 @@
         self.ledger.let_stay(runners).await;
     }
 
-    /// Sends VMs to other pools, under one token.
+    /// Orders moves of VMs to other pools, all under one token.
     async fn send_away(
         &mut self,
         moves: Vec<(String, String)>,
@@ -263,6 +271,7 @@
         Ok(())
     }
 
+    /// Handles the response to the order of a move.
     async fn take_move(&mut self, vm: String, outcome: &Result<(), VmError>) {
         match outcome {
             Ok(()) => {
@@ -271,7 +280,7 @@
                     self.ledger.tell(VmRequest::Down { instance }).await;
                 }
             }
-            // It may have been done; the list of runners tells.
+            // The move may have been made; the list of runners shows it.
             Err(VmError::NoAnswer(_)) => {}
             Err(_) => {
                 self.sent.remove(&vm);
--- a/crates/hoisthitch-scheduler/src/vms/wave_state.rs
+++ b/crates/hoisthitch-scheduler/src/vms/wave_state.rs
@@ -1,5 +1,5 @@
-//! A wave as one owner knows it: the record that all owners share, what is to be written
-//! into it, and the orders that this owner gave.
+//! State of a maintenance wave at one owner: the record that all owners share, the changes to
+//! write into it, and the orders that this owner gave.
 
 use std::collections::BTreeMap;
 
@@ -33,36 +33,36 @@
     }, //
 };
 
-/// Time after an order for upkeep in which the list shows the VM as down, in
-/// milliseconds; an upkeep takes two seconds.
-pub(super) const BACK_MS: Millis = 1_500;
+/// Time after an order for maintenance during which the list shows the VM as down, in
+/// milliseconds; maintenance takes two seconds.
+pub(super) const SHOWN_DOWN_MS: Millis = 1_500;
 
-/// Time for which a VM is missing from the list before it counts as gone, in
-/// milliseconds: longer than any way back takes.
-const GONE_MS: Millis = 10_000;
+/// Time for which a VM is missing from the list before it counts as removed, in milliseconds:
+/// longer than any VM takes to come back.
+const REMOVED_AFTER_MS: Millis = 10_000;
 
-/// Age up to which a wave's record is gone by, in milliseconds: others' VMs come back
-/// within it, and a write that finds a later record is made anew on that.
-const RECORD_AGE_MS: Millis = 600;
+/// Maximum age of the known record of a wave, in milliseconds: VMs of other pools come back
+/// within it. A write that finds a later record is repeated on top of that.
+const MAX_RECORD_AGE_MS: Millis = 600;
 
-/// A wave as this owner knows it.
+/// State of a wave at this owner.
 #[derive(Debug, Default)]
 pub(super) struct WaveState {
     /// The record as last written or read.
     pub(super) progress: WaveProgress,
     revision: StoreRevision,
-    /// When it was; none before the first time.
+    /// When the record was last written or read; none before the first time.
     known_at: Option<Millis>,
-    /// What is to be written yet.
+    /// Changes that are not written yet.
     pub(super) pending: WaveChange,
-    /// VMs that were told to go down, and when.
+    /// VMs that this owner ordered to go down, and when.
     pub(super) ordered: BTreeMap<String, Millis>,
     /// VMs that are missing from the list, and since when.
     pub(super) missing: BTreeMap<String, Millis>,
 }
 
 impl WaveState {
-    /// Takes in the record as it was found.
+    /// Applies the record that was found in the store.
     fn take_record(&mut self, found: Option<StoredValue>, now: Millis) -> Result<(), VmWorkError> {
         (self.progress, self.revision) = match found {
             Some(stored) => (serde_json::from_slice(&stored.value)?, stored.revision),
@@ -72,14 +72,14 @@
         Ok(())
     }
 
-    /// Whether the platform has confirmed a VM's upkeep.
+    /// Whether the platform has confirmed that a VM's maintenance began.
     pub(super) fn has_begun(&self, vm: &str) -> bool {
         self.progress.begun.contains(vm) || self.pending.begun.contains(vm)
     }
 
-    /// Whether a VM that is up again has been through its upkeep: with a new life of its
-    /// runner, or, where that can't tell, some time after the order. A list that was
-    /// asked for before tells nothing.
+    /// Whether a VM has completed its maintenance and is up again: it has a new instance of its
+    /// runner or, where start times can't tell, some time has passed since the order. A list
+    /// that was requested at `asked_at`, before the order, shows nothing.
     pub(super) fn is_back(
         &self,
         row: &VmStatus,
@@ -97,29 +97,30 @@
             return false;
         }
         let renewed = instance.is_some_and(|instance| !self.was_down_with(&row.name, instance));
-        renewed || ordered.is_none_or(|at| at + BACK_MS <= asked_at)
+        renewed || ordered.is_none_or(|at| at + SHOWN_DOWN_MS <= asked_at)
     }
 
-    /// Whether a VM was noted as down with that life of its runner, as far as births tell.
+    /// Whether a VM was recorded as down with that instance of its runner, as far as start
+    /// times tell.
     pub(super) fn was_down_with(&self, vm: &str, instance: &RunnerInstance) -> bool {
         let before = self.progress.down.get(vm);
         before.is_some_and(|before| RunnerInstance::parse(before).may_be(instance))
     }
 
-    /// Whether a VM has been missing from the list for long.
+    /// Whether a VM has been missing from the list for so long that it counts as removed.
     pub(super) fn is_gone(&mut self, vm: &str, now: Millis) -> bool {
         let since = self.missing.entry(vm.to_owned()).or_insert(now);
-        *since + GONE_MS <= now
+        *since + REMOVED_AFTER_MS <= now
     }
 
-    /// Reads the wave's record, if it is not known of late.
+    /// Reads the wave's record, if the known one is too old.
     pub(super) async fn read_if_old<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
         order: &WaveRequest,
     ) -> Result<(), VmWorkError> {
         let now = ledger.now();
-        if self.known_at.is_some_and(|at| at + RECORD_AGE_MS > now) {
+        if self.known_at.is_some_and(|at| at + MAX_RECORD_AGE_MS > now) {
             return Ok(());
         }
         let context = &ledger.context;
@@ -128,7 +129,7 @@
         self.take_record(found, now)
     }
 
-    /// Writes what is pending into the wave's record, on top of what others wrote.
+    /// Writes the pending changes into the wave's record, on top of the changes of other owners.
     pub(super) async fn write<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
--- a/crates/hoisthitch-scheduler/src/vms/waves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/waves.rs
@@ -1,9 +1,9 @@
-//! Takes the VMs of a pool through the waves that operators ask for.
+//! Takes the VMs of a pool through the maintenance waves that operators request.
 //!
-//! A wave's record in the store counts the VMs that are down, whichever pool
-//! they belong to. An owner writes its VMs into it before it takes them down,
-//! and out of it once they are back with a new life of their runner. What a look has to
-//! write goes into one write, and many VMs are ordered about at once.
+//! The record of a wave in the store lists the VMs that are down, of all pools together, so
+//! that their number is limited. An owner adds its VMs to the record before it takes them
+//! down, and removes them once they are back with a new instance of their runner. All changes
+//! of a pass go into one write, and orders about many VMs are given at once.
 
 use std::{
     collections::{
@@ -34,7 +34,7 @@
         VmRows, //
     },
     wave_state::{
-        BACK_MS,
+        SHOWN_DOWN_MS,
         WaveState, //
     }, //
 };
@@ -47,24 +47,26 @@
     WaveRequest, //
 };
 
-/// Part of the VMs of a pool that are emptied at once: one in this many, and one
-/// at least. More would cost the pool too much of its room, fewer would make the
-/// waves of large pools late.
-const EMPTY_PART: usize = 10;
+/// Part of a pool's VMs that may be evacuated at once: one in this many, and at least one.
+/// More would cost the pool too much of its capacity, fewer would make the waves of large
+/// pools late.
+const EVACUATION_DIVISOR: usize = 10;
 
-/// Upkeeps ordered in one look: with five looks a second, some hundred a second for each
-/// pool, of the six hundred that large platforms take of all pools.
-const UPKEEP_LIMIT: usize = 20;
+/// Maximum number of VMs whose maintenance is ordered in one pass: with five passes a second,
+/// about a hundred a second for each pool, of the six hundred that large platforms accept of
+/// all pools.
+const ORDERS_PER_PASS: usize = 20;
 
-/// Takes the VMs of a pool through waves.
+/// The loop that takes the VMs of a pool through waves.
 pub(super) struct WaveWorker<P> {
     ledger: Rc<VmLedger<P>>,
     list: Rc<VmList>,
+    /// State of the waves that are not completed, by number.
     waves: BTreeMap<u64, WaveState>,
     completed: BTreeSet<u64>,
-    /// Runners that are being emptied for a wave, by VM.
+    /// Runners that are being evacuated for a wave, by VM.
     leaving: BTreeMap<String, String>,
-    /// Why VMs of waves wait, as last logged.
+    /// Why VMs wait for their maintenance, as last logged.
     waits: BTreeMap<String, EvacuationStatus>,
 }
 
@@ -72,7 +74,7 @@
     const NAME: &'static str = "waves";
 
     async fn look(&mut self) -> Result<(), VmWorkError> {
-        // Until then it is not known which VMs earlier owners gave orders about.
+        // Before that, it is not known which VMs earlier owners gave orders about.
         if !self.ledger.is_settled() {
             return Ok(());
         }
@@ -108,7 +110,8 @@
         }
     }
 
-    /// Takes a wave further.
+    /// Advances a wave: records the VMs that are done, evacuates the next ones, and orders the
+    /// maintenance of those that may go down.
     async fn advance(
         &mut self,
         order: &WaveRequest,
@@ -124,7 +127,7 @@
         self.note_done(&due, &rows, state).await;
         let mut ready = self.unconfirmed(&due, &rows, state);
         let fresh = self.empty_next(order, &due, &rows, state).await;
-        // Of a write that failed; what could go then need not be able to now.
+        // Drop VMs of an earlier write that failed: they may not be able to go down now.
         state.pending.down.clear();
         for row in &fresh {
             let before = self.ledger.life_on(row);
@@ -134,19 +137,20 @@
         state.write(&self.ledger, order).await?;
         ready.extend(fresh);
         ready.retain(|row| state.progress.down.contains_key(&row.name));
-        ready.truncate(UPKEEP_LIMIT);
+        ready.truncate(ORDERS_PER_PASS);
         self.take_down(order, state, &ready).await
     }
 
-    /// VMs of the wave that are this pool's, or in no list.
+    /// VMs of the wave that belong to this pool or are not listed.
     fn own_vms(&self, order: &WaveRequest, rows: &VmRows) -> Vec<String> {
         let pool = &self.ledger.context.pool;
         let own = |vm: &&String| rows.find(vm).is_none_or(|row| row.pool == *pool);
         order.vms.iter().filter(own).cloned().collect()
     }
 
-    /// Notes which VMs had their upkeep, or are no more. Where the upkeep was ordered
-    /// again, the life that is there now was emptied for it, and has to be told to go on.
+    /// Records which VMs have completed their maintenance or are removed. If the maintenance was
+    /// ordered twice, the current instance of the runner was evacuated for the second order;
+    /// its evacuation has to be cancelled.
     async fn note_done(&mut self, due: &[String], rows: &VmRows, state: &mut WaveState) {
         let now = self.ledger.now();
         let mut runners = Vec::new();
@@ -172,13 +176,13 @@
         self.ledger.let_stay(runners).await;
     }
 
-    /// Whether a VM is up, and no earlier owner's order about it may be under way.
+    /// Whether a VM is up, and no order of an earlier owner about it may be in transit.
     fn may_order(&self, row: &VmStatus) -> bool {
         row.condition == VmCondition::Up && !self.ledger.is_blocked(&row.name)
     }
 
-    /// VMs that are up though they are noted as down, and whose upkeep the platform has
-    /// not confirmed: the order or its answer was lost.
+    /// VMs that are up though they are recorded as down, and whose maintenance the platform has
+    /// not confirmed: the order or its response was lost.
     fn unconfirmed<'a>(
         &self,
         due: &[String],
@@ -189,7 +193,7 @@
             .filter(|vm| state.progress.down.contains_key(*vm) && !state.has_begun(vm))
             .filter(|vm| {
                 let ordered = state.ordered.get(*vm);
-                ordered.is_none_or(|at| *at + BACK_MS <= rows.asked_at)
+                ordered.is_none_or(|at| *at + SHOWN_DOWN_MS <= rows.asked_at)
             })
             .filter_map(|vm| rows.find(vm))
             .filter(|row| self.may_order(row))
@@ -197,7 +201,7 @@
             .collect()
     }
 
-    /// Empties the next VMs; answers with those that may go down.
+    /// Evacuates the next VMs, and returns those that may go down.
     async fn empty_next<'a>(
         &mut self,
         order: &WaveRequest,
@@ -205,32 +209,32 @@
         rows: &'a VmRows,
         state: &WaveState,
     ) -> Vec<&'a VmStatus> {
-        let mut waiting: Vec<&VmStatus> = due
+        let mut candidates: Vec<&VmStatus> = due
             .iter()
             .filter(|vm| state.progress.is_due(vm) && !state.pending.done.contains(*vm))
             .filter_map(|vm| rows.find(vm))
             .filter(|row| self.may_order(row))
             .filter(|row| !self.ledger.is_claimed(&row.name, VmClaim::Upkeep))
             .collect();
-        // What is being emptied already goes on.
-        waiting.sort_by_key(|row| !self.leaving.contains_key(&row.name));
+        // VMs that are being evacuated already come first.
+        candidates.sort_by_key(|row| !self.leaving.contains_key(&row.name));
         let pool = &self.ledger.context.pool;
         let own = rows.iter().filter(|row| row.pool == *pool).count();
         let down = state.progress.down.len();
         let room = order.max_down().saturating_sub(down);
-        // One more, so that it is empty when its turn comes.
-        let at_once = (own / EMPTY_PART).max(1).min(room + 1);
+        // One more than may go down, so that it is evacuated when it may.
+        let at_once = (own / EVACUATION_DIVISOR).max(1).min(room + 1);
         let mut emptied = 0;
         let mut free = Vec::new();
-        let mut waiting = waiting.into_iter();
+        let mut candidates = candidates.into_iter();
         while emptied < at_once {
-            let next: Vec<&VmStatus> = waiting.by_ref().take(at_once - emptied).collect();
+            let next: Vec<&VmStatus> = candidates.by_ref().take(at_once - emptied).collect();
             if next.is_empty() {
                 break;
             }
             let views = self.ask_rows(&next).await;
             for (row, view) in next.into_iter().zip(views) {
-                // A VM without a runner costs no room.
+                // A VM without a runner takes no capacity from the pool.
                 let counts = row.runner.is_some() && view != Some(EvacuationStatus::Held);
                 emptied += usize::from(counts);
                 if may_go(view) {
@@ -242,8 +246,8 @@
         free
     }
 
-    /// Asks the owner to empty VMs' runners; those of which it can't spare a task go
-    /// on.
+    /// Claims VMs and asks the owner to evacuate their runners; returns the status of each. The
+    /// evacuation is cancelled where a task may not be interrupted.
     async fn ask_rows(&mut self, rows: &[&VmStatus]) -> Vec<Option<EvacuationStatus>> {
         let mut runners = Vec::new();
         for row in rows {
@@ -270,14 +274,14 @@
         views
     }
 
-    /// Logs why a VM's upkeep waits, when that changes.
+    /// Logs why a VM's maintenance waits, when the reason changes.
     fn note_wait(&mut self, row: &VmStatus, view: Option<EvacuationStatus>) {
         let Some(view) = view.filter(|view| *view != EvacuationStatus::Free) else {
             self.waits.remove(&row.name);
             return;
         };
         let before = self.waits.insert(row.name.clone(), view);
-        // How many tasks run changes with each look.
+        // The number of running tasks changes with each pass and is not compared.
         if before.map(|before| discriminant(&before)) != Some(discriminant(&view)) {
             let instance = self.ledger.life_on(row);
             event!(
@@ -291,7 +295,7 @@
         }
     }
 
-    /// Lets the runners of VMs go on.
+    /// Cancels the evacuation of VMs and releases their claims.
     async fn stay(&mut self, vms: &[String]) {
         let runners: Vec<String> = vms
             .iter()
@@ -303,7 +307,7 @@
         self.ledger.let_stay(runners).await;
     }
 
-    /// Takes VMs down that are noted as down, those of them that may go.
+    /// Orders the maintenance of VMs that are recorded as down, as far as they may go down now.
     async fn take_down(
         &mut self,
         order: &WaveRequest,
@@ -324,7 +328,7 @@
             .filter(|(_, view)| may_go(*view))
             .map(|(row, _)| *row)
             .collect();
-        // A life that comes after the order is not the one that went down.
+        // An instance that starts after the order is not the one that went down.
         let instances = going.iter().map(|row| self.ledger.life_on(row));
         let instances: Vec<Option<RunnerInstance>> = instances.collect();
         let context = &self.ledger.context;
@@ -348,7 +352,7 @@
         Ok(())
     }
 
-    /// Takes in what became of an order for upkeep.
+    /// Handles the response to an order for maintenance.
     async fn take_outcome(
         &mut self,
         state: &mut WaveState,
@@ -358,16 +362,16 @@
     ) {
         state.ordered.insert(row.name.clone(), self.ledger.now());
         if let Some(instance) = instance {
-            // An order that was done before leaves a later life as it is.
+            // An order that had been carried out before does not affect a later instance.
             let same_life = state.was_down_with(&row.name, &instance);
             let runner = instance.name.clone();
-            let told = match outcome {
+            let request = match outcome {
                 Ok(()) if same_life => Some(VmRequest::Down { instance }),
                 Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::Doubt { runner }),
                 Err(_) => None,
             };
-            if let Some(told) = told {
-                self.ledger.tell(told).await;
+            if let Some(request) = request {
+                self.ledger.tell(request).await;
             }
         }
         if outcome.is_ok() {
