--- a/crates/hoisthitch-scheduler/src/owner/silent.rs
+++ b/crates/hoisthitch-scheduler/src/owner/silent.rs
@@ -52,7 +52,8 @@
     noted_at: Millis,
     /// Runners whose silence was logged.
     logged: BTreeSet<String>,
-    /// Runners that responded while the head named them, with the number of their silences.
+    /// Runners that responded while the head named them, with the number of heartbeats that
+    /// each missed so far.
     heard: BTreeMap<RunnerKey, u64>,
 }
 
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Handles a response of a runner that was silent this many times so far. It may have
+    /// Handles a response of a runner that missed that many heartbeats so far. It may have
     /// leases again at once if the head does not name it, otherwise after the next write.
     pub(super) fn take_answer(&mut self, key: RunnerKey, silences: u64) {
         let Some(session) = self.sessions.get(&key) else {
--- a/crates/hoisthitch-scheduler/src/session/holds.rs
+++ b/crates/hoisthitch-scheduler/src/session/holds.rs
@@ -80,7 +80,7 @@
 pub(super) struct HoldSignals {
     /// Number of the last recorded end.
     pub(super) told: watch::Receiver<u64>,
-    /// Number of silences up to which the runner may have leases again.
+    /// Number of missed heartbeats up to which the runner may have leases again.
     pub(super) settled: watch::Receiver<u64>,
     /// Notified when the runner may have another instance.
     pub(super) hint: Rc<Notify>,
@@ -95,7 +95,8 @@
     instance: Option<u64>,
     /// When the last response came; none after a heartbeat without one.
     answered: Option<Millis>,
-    /// Number of silences of the runner so far; it is silent before its first response.
+    /// Number of heartbeats without a response so far; one at the beginning, since a runner
+    /// counts as silent before its first response.
     silences: u64,
     /// Consecutive heartbeats that found nothing listening; none before the first response.
     refusals: Option<u32>,
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Plans the next heartbeat. It grants a lease only to a runner that responded to the last
-    /// one and whose silences are over for the owner.
+    /// Plans the next heartbeat. It grants a lease only if the runner responded to the last one,
+    /// and if the owner allows leases again after the missed ones.
     fn plan(&mut self) -> HoldPlan {
         let recorded = *self.signals.told.borrow_and_update();
         let asked_at = self.context.shared.clock.now();
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -74,7 +74,7 @@
         /// End of the lease that it granted, under which starts can be ordered; none if it
         /// granted none.
         leased_until: Option<Millis>,
-        /// Number of silences of the runner so far.
+        /// Number of heartbeats that the runner missed so far.
         silences: u64,
     },
     /// A heartbeat got no response.
@@ -117,7 +117,7 @@
     recorded: watch::Sender<u64>,
     orders: mpsc::Sender<RunnerOrder>,
     withdrawn: WithdrawnRuns,
-    /// Number of silences up to which the runner may have leases again.
+    /// Number of missed heartbeats up to which the runner may have leases again.
     settled: watch::Sender<u64>,
     /// Notified when the runner may have another instance.
     hint: Rc<Notify>,
@@ -183,8 +183,8 @@
         self.hint.notify_one();
     }
 
-    /// Lets the runner have leases again after that many silences: an earlier end of its runs
-    /// is not relied on any more.
+    /// Lets the runner have leases again after that many missed heartbeats: an earlier end of
+    /// its runs is not relied on any more.
     pub(crate) fn settle(&self, silences: u64) {
         self.settled.send_if_modified(|settled| {
             let later = silences > *settled;
