--- a/crates/hoisthitch-scheduler/src/owner/advice.rs
+++ b/crates/hoisthitch-scheduler/src/owner/advice.rs
@@ -17,7 +17,7 @@
 };
 
 /// A request to the adviser and its result.
-pub(super) struct AdviceReturn {
+pub(super) struct AdviceResult {
     request: AdviceRequest,
     answered_at: Millis,
     answer: Result<AdviceResponse, String>,
@@ -25,34 +25,34 @@
 
 impl<P: Platform> PoolOwner<P> {
     /// Sends the next request to the adviser, if none is in progress.
-    pub(super) fn ask_advice(&mut self, now: Millis) {
-        if self.asking {
+    pub(super) fn request_advice(&mut self, now: Millis) {
+        if self.advice_pending {
             return;
         }
         let Some(request) = self.state.next_advice_request(now) else {
             return;
         };
-        self.asking = true;
+        self.advice_pending = true;
         let source = self.context.platform.advice().clone();
         let shared = self.context.shared.clone();
-        let returns = self.advice.clone();
+        let results = self.advice_results.clone();
         actix_rt::spawn(async move {
             let permit = shared.advice_permit.acquire().await;
             let answer = source.advise(&request).await;
             drop(permit);
-            let result = AdviceReturn {
+            let result = AdviceResult {
                 request,
                 answered_at: shared.clock.now(),
                 answer,
             };
             // The send fails only if the owner has ended.
-            let _ = returns.send(result);
+            let _ = results.send(result);
         });
     }
 
     /// Records the adviser's response; its tickets are valid from the time at which it came.
-    pub(super) fn take_advice(&mut self, result: AdviceReturn) {
-        self.asking = false;
+    pub(super) fn apply_advice(&mut self, result: AdviceResult) {
+        self.advice_pending = false;
         match result.answer {
             Ok(answer) => {
                 event!(
--- a/crates/hoisthitch-scheduler/src/owner/awaited.rs
+++ b/crates/hoisthitch-scheduler/src/owner/awaited.rs
@@ -26,7 +26,7 @@
     /// Begins to wait if a job was accepted under a newer configuration than the node has.
     pub(super) fn await_policy(&mut self, job: &str, version: u64, now: Millis) {
         let known = self.context.shared.policy_version();
-        let awaited = self.awaited.map_or(known, |awaited| awaited.version);
+        let awaited = self.awaited_policy.map_or(known, |awaited| awaited.version);
         if version <= known.max(awaited) {
             return;
         }
@@ -39,18 +39,18 @@
             known = known
         );
         self.context.shared.request_policy_refresh(version);
-        let since = self.awaited.map_or(now, |awaited| awaited.since);
-        self.awaited = Some(AwaitedPolicy { version, since });
+        let since = self.awaited_policy.map_or(now, |awaited| awaited.since);
+        self.awaited_policy = Some(AwaitedPolicy { version, since });
     }
 
     /// Whether the owner still waits for a configuration; ends the wait if it is over.
     pub(super) fn awaits_policy(&mut self, now: Millis) -> bool {
-        let Some(awaited) = self.awaited else {
+        let Some(awaited) = self.awaited_policy else {
             return false;
         };
         let known = self.context.shared.policy_version();
-        let is_over = now >= awaited.since + MAX_WAIT_MS;
-        if known < awaited.version && !is_over {
+        let has_ended = now >= awaited.since + MAX_WAIT_MS;
+        if known < awaited.version && !has_ended {
             return true;
         }
         if known < awaited.version {
@@ -62,7 +62,7 @@
                 known = known
             );
         }
-        self.awaited = None;
+        self.awaited_policy = None;
         false
     }
 }
--- a/crates/hoisthitch-scheduler/src/owner/events.rs
+++ b/crates/hoisthitch-scheduler/src/owner/events.rs
@@ -16,7 +16,7 @@
 impl<P: Platform> PoolOwner<P> {
     /// Logs the runs that were lost with their runners, and the tasks that were given up for
     /// such losses.
-    pub(super) fn log_lost(&mut self) {
+    pub(super) fn log_lost_runs(&mut self) {
         for lost in self.state.take_lost_runs() {
             event!(
                 Warn,
@@ -36,7 +36,7 @@
             );
         }
         for given_up in self.state.take_crashing_tasks() {
-            self.count("task_given_up");
+            self.count_event("task_given_up");
             event!(
                 Warn,
                 "task_given_up",
@@ -50,7 +50,7 @@
     }
 
     /// Logs the jobs that ended, with the time that each spent per phase.
-    pub(super) fn log_ended(&mut self) {
+    pub(super) fn log_ended_jobs(&mut self) {
         for ended in self.state.take_ended_jobs() {
             event!(
                 Info,
@@ -71,7 +71,7 @@
     }
 
     /// Records the time from the acceptance of a job to the start of its first task.
-    pub(super) fn measure_start(&self, order: &StartOrder, now: Millis) {
+    pub(super) fn observe_first_start(&self, order: &StartOrder, now: Millis) {
         let first = order.run == 1 && order.task.slot == 0;
         if let Some(job) = self.state.job(&order.name.job).filter(|_| first) {
             let histogram = &self.context.shared.metrics.first_start;
@@ -80,13 +80,13 @@
     }
 
     /// The instance of a runner as text for the log; empty if the runner is not known.
-    pub(super) fn life_text(&self, key: RunnerKey) -> String {
+    pub(super) fn instance_text(&self, key: RunnerKey) -> String {
         let instance = self.state.instance_of(key);
         instance.map_or_else(String::new, |instance| instance.to_string())
     }
 
     /// Counts an event of the pool in the metrics.
-    pub(super) fn count(&self, event: &str) {
+    pub(super) fn count_event(&self, event: &str) {
         let events = &self.context.shared.metrics.events;
         events.with_label_values(&[event]).inc();
     }
--- a/crates/hoisthitch-scheduler/src/owner/inbox.rs
+++ b/crates/hoisthitch-scheduler/src/owner/inbox.rs
@@ -21,7 +21,7 @@
 impl<P: Platform> PoolOwner<P> {
     /// Applies a change of the inbox. `recorded` holds the progress of jobs that an earlier
     /// owner recorded, by identifier; an entry is removed when its job is added.
-    pub(super) fn take_inbox(
+    pub(super) fn apply_inbox_change(
         &mut self,
         change: FollowEvent,
         recorded: &mut HashMap<String, JobProgress>,
--- a/crates/hoisthitch-scheduler/src/owner/lives.rs
+++ b/crates/hoisthitch-scheduler/src/owner/instances.rs
@@ -27,7 +27,7 @@
 
 use super::{
     PoolOwner,
-    runners::GoneReason, //
+    runners::RemovalReason, //
 };
 use crate::{
     platform::{
@@ -36,9 +36,9 @@
         RunnerRecord, //
     },
     session::{
-        FULL_RUN_MS,
+        MAX_RUN_MS,
+        MAX_STRAY_RUN_MS,
         RunnerSession,
-        STRAY_RUN_MS,
         SessionContext, //
     }, //
 };
@@ -60,7 +60,7 @@
     /// The highest token that may be used: the journal's last revision.
     last: u64,
     /// Token and opening time of the last session with each runner, by the runner's name.
-    given: HashMap<String, (u64, Millis)>,
+    used: HashMap<String, (u64, Millis)>,
 }
 
 impl TokenSource {
@@ -68,7 +68,7 @@
     pub(super) fn new(epoch: u64) -> Self {
         Self {
             last: epoch,
-            given: HashMap::new(),
+            used: HashMap::new(),
         }
     }
 
@@ -80,34 +80,30 @@
     /// The token for the next session with a runner of that name; none if the journal was not
     /// written since the last session with it.
     fn next(&mut self, name: &str, now: Millis) -> Option<u64> {
-        if self
-            .given
-            .get(name)
-            .is_some_and(|given| given.0 >= self.last)
-        {
+        if self.used.get(name).is_some_and(|used| used.0 >= self.last) {
             return None;
         }
-        if self.given.len() >= TOKENS_KEPT_MAX {
-            self.given.retain(|_, given| given.1 + TOKEN_KEPT_MS > now);
+        if self.used.len() >= TOKENS_KEPT_MAX {
+            self.used.retain(|_, used| used.1 + TOKEN_KEPT_MS > now);
         }
-        self.given.insert(name.to_owned(), (self.last, now));
+        self.used.insert(name.to_owned(), (self.last, now));
         Some(self.last)
     }
 }
 
 /// What an owner knows of the instances of its runners.
 #[derive(Debug, Default)]
-pub(super) struct LifeNotes {
+pub(super) struct InstanceTracker {
     /// Instances that have ended, though they may still be listed.
-    over: HashSet<RunnerInstance>,
+    ended: HashSet<RunnerInstance>,
     /// Runners that were checked for conflicting instances since the list last changed.
-    rivals_sought: HashSet<RunnerKey>,
+    conflicts_checked: HashSet<RunnerKey>,
     pub(super) tokens: TokenSource,
     /// Runners whose sessions wait for a higher token, with their addresses.
     waiting: HashMap<RunnerKey, SocketAddr>,
 }
 
-impl LifeNotes {
+impl InstanceTracker {
     /// State of a new owner.
     pub(super) fn new(epoch: u64) -> Self {
         Self {
@@ -117,28 +113,28 @@
     }
 
     /// Whether an instance is known to have ended.
-    pub(super) fn is_over(&self, instance: &RunnerInstance) -> bool {
-        self.over.contains(instance)
+    pub(super) fn has_ended(&self, instance: &RunnerInstance) -> bool {
+        self.ended.contains(instance)
     }
 
     /// Whether sessions wait for the journal to be written.
-    pub(super) fn wants_token(&self) -> bool {
+    pub(super) fn needs_token(&self) -> bool {
         !self.waiting.is_empty()
     }
 
     /// Handles a change of the list of runners.
-    pub(super) fn take_list(&mut self) {
-        self.rivals_sought.clear();
+    pub(super) fn handle_list_change(&mut self) {
+        self.conflicts_checked.clear();
     }
 
     /// Removes all waiting sessions.
-    pub(super) fn drop_waiting(&mut self) {
+    pub(super) fn clear_waiting(&mut self) {
         self.waiting.clear();
     }
 
     /// Removes everything that is known by a runner's key.
-    pub(super) fn drop_key(&mut self, key: RunnerKey) {
-        self.rivals_sought.remove(&key);
+    pub(super) fn remove_key(&mut self, key: RunnerKey) {
+        self.conflicts_checked.remove(&key);
         self.waiting.remove(&key);
     }
 }
@@ -150,41 +146,41 @@
     /// Orders for a previous instance carry leases by that instance's clock, so that what the
     /// current one runs may run as long as the longest possible lease. A node that became the
     /// owner since then recognises such a runner by the records.
-    pub(super) fn fence(&mut self, key: RunnerKey, now: Millis) {
+    pub(super) fn handle_first_response(&mut self, key: RunnerKey, now: Millis) {
         let Some(runner) = self.state.runner(key).filter(|runner| !runner.fenced) else {
             return;
         };
         let restarted_at = self.context.fleet.borrow().restarted_at(&runner.facts.name);
-        let restarted_lately = restarted_at.is_some_and(|at| at + STRAY_RUN_MS > now);
+        let restarted_lately = restarted_at.is_some_and(|at| at + MAX_STRAY_RUN_MS > now);
         let max_run_ms = if runner.renewed || restarted_lately {
-            STRAY_RUN_MS
+            MAX_STRAY_RUN_MS
         } else {
-            FULL_RUN_MS
+            MAX_RUN_MS
         };
         self.state.fence_runner(key, now + max_run_ms);
     }
 
     /// Marks a runner's instance as ended.
-    pub(super) fn note_over(&mut self, key: RunnerKey) {
-        self.instances.over.extend(self.state.instance_of(key));
+    pub(super) fn mark_ended(&mut self, key: RunnerKey) {
+        self.instances.ended.extend(self.state.instance_of(key));
     }
 
     /// Applies the record of one of the pool's runners.
-    pub(super) fn take_record(&mut self, record: &RunnerRecord, since: Millis) {
+    pub(super) fn apply_runner_record(&mut self, record: &RunnerRecord, since: Millis) {
         let instance = record.facts.instance();
-        if self.instances.is_over(&instance) {
+        if self.instances.has_ended(&instance) {
             return;
         }
         match self.state.runner_key(&instance.name) {
             Some(key) if self.state.key_of_instance(&instance).is_none() => {
-                self.take_other_life(key, record, since);
+                self.apply_other_instance(key, record, since);
             }
-            _ => self.list_life(record, since),
+            _ => self.apply_current_record(record, since),
         }
     }
 
     /// Applies the record of the current instance, or of the first one that is known.
-    fn list_life(&mut self, record: &RunnerRecord, since: Millis) {
+    fn apply_current_record(&mut self, record: &RunnerRecord, since: Millis) {
         let key = self.state.set_runner(record.facts.clone(), since);
         if !self.sessions.contains_key(&key) {
             self.open_session(key, record.address);
@@ -195,7 +191,7 @@
     ///
     /// If the runner's responses report its start time, a heartbeat finds out which instance
     /// is current. If they don't, or if the address changed, the later start time wins.
-    fn take_other_life(&mut self, key: RunnerKey, record: &RunnerRecord, since: Millis) {
+    fn apply_other_instance(&mut self, key: RunnerKey, record: &RunnerRecord, since: Millis) {
         let Some(runner) = self.state.runner(key) else {
             return;
         };
@@ -205,48 +201,48 @@
         let session = self.sessions.get(&key);
         let has_moved = session.is_none_or(|session| session.address != record.address);
         if runner.reports_start_time && !has_moved {
-            session.inspect(|session| session.ask_life());
+            session.inspect(|session| session.check_instance());
             return;
         }
         let Some(started_at) = record.facts.started_at else {
             return;
         };
-        self.begin_life(key, started_at, record.address);
-        self.list_life(record, since);
+        self.replace_instance(key, started_at, record.address);
+        self.apply_current_record(record, since);
     }
 
     /// Handles a response that came from another instance than the known one.
-    pub(super) fn take_renewed(&mut self, key: RunnerKey, started_at: u64) {
+    pub(super) fn handle_restart(&mut self, key: RunnerKey, started_at: u64) {
         let known = self.sessions.get(&key).zip(self.state.instance_of(key));
         let Some((session, before)) = known else {
             return;
         };
-        self.begin_life(key, started_at, session.address);
-        self.take_listed(&before.name);
+        self.replace_instance(key, started_at, session.address);
+        self.apply_listed_record(&before.name);
     }
 
     /// Handles the exit of a runner's process, without another one in its place yet.
-    pub(super) fn take_ended(&mut self, key: RunnerKey, now: Millis) {
+    pub(super) fn handle_process_exit(&mut self, key: RunnerKey, now: Millis) {
         let ended = self.state.record_process_exit(key, now);
-        self.count("runner_ended");
+        self.count_event("runner_ended");
         event!(
             Warn,
             "runner_ended",
             pool = self.context.pool,
-            runner = self.life_text(key),
+            runner = self.instance_text(key),
             ended = ended
         );
     }
 
     /// Replaces an instance that has ended by the next one, and opens a session with that.
-    fn begin_life(&mut self, key: RunnerKey, started_at: u64, address: SocketAddr) {
+    fn replace_instance(&mut self, key: RunnerKey, started_at: u64, address: SocketAddr) {
         let now = self.now();
-        let before = self.life_text(key);
-        self.note_over(key);
+        let before = self.instance_text(key);
+        self.mark_ended(key);
         self.sessions.remove(&key);
-        self.instances.drop_key(key);
-        self.count_sessions();
-        let until = now + STRAY_RUN_MS;
+        self.instances.remove_key(key);
+        self.publish_session_count();
+        let until = now + MAX_STRAY_RUN_MS;
         let Some(renewed) = self
             .state
             .replace_restarted_runner(key, started_at, until, now)
@@ -256,8 +252,8 @@
         let Some(instance) = self.state.instance_of(renewed.key) else {
             return;
         };
-        self.instances.over.remove(&instance);
-        self.count("runner_renewed");
+        self.instances.ended.remove(&instance);
+        self.count_event("runner_renewed");
         event!(
             Warn,
             "runner_answers_anew",
@@ -271,20 +267,20 @@
     }
 
     /// Applies the record that is listed under a name now.
-    pub(super) fn take_listed(&mut self, name: &str) {
+    pub(super) fn apply_listed_record(&mut self, name: &str) {
         let fleet = self.context.fleet.borrow().clone();
         let record = fleet.runners.get(name);
         if let Some(record) = record.filter(|record| record.pool == self.context.pool) {
-            self.take_record(record, self.now());
+            self.apply_runner_record(record, self.now());
         }
     }
 
     /// Handles the response to a heartbeat that was sent at `asked_at`: instances of other
     /// runners that were listed at the same address or VM before that have ended.
-    pub(super) fn end_rivals(&mut self, key: RunnerKey, asked_at: Millis) {
+    pub(super) fn end_conflicting_instances(&mut self, key: RunnerKey, asked_at: Millis) {
         let now = self.now();
         // A response that was queued here for long proves nothing about the present.
-        if asked_at + LIVENESS_PROOF_MS < now || self.instances.rivals_sought.contains(&key) {
+        if asked_at + LIVENESS_PROOF_MS < now || self.instances.conflicts_checked.contains(&key) {
             return;
         }
         let Some(instance) = self.state.instance_of(key) else {
@@ -299,21 +295,26 @@
             .into_iter()
             .partition(|rival| rival.listed_at <= asked_at);
         if later.is_empty() {
-            self.instances.rivals_sought.insert(key);
+            self.instances.conflicts_checked.insert(key);
         }
         for rival in before {
-            self.end_rival(rival.instance, &instance, now);
+            self.end_conflicting_instance(rival.instance, &instance, now);
         }
     }
 
     /// Marks a conflicting instance as ended, and removes its runner.
-    fn end_rival(&mut self, rival: RunnerInstance, by: &RunnerInstance, now: Millis) {
-        if !self.instances.over.insert(rival.clone()) {
+    fn end_conflicting_instance(
+        &mut self,
+        rival: RunnerInstance,
+        by: &RunnerInstance,
+        now: Millis,
+    ) {
+        if !self.instances.ended.insert(rival.clone()) {
             return;
         }
         event!(Info, "runner_life_over", runner = rival, by = by);
         if let Some(key) = self.state.key_of_instance(&rival) {
-            self.drop_runner(key, GoneReason::Ended);
+            self.remove_runner(key, RemovalReason::Ended);
         } else if self.state.runner_key(&rival.name).is_some() {
             // Its runs may be those of the instance that is current under that name.
             return;
@@ -323,7 +324,7 @@
 
     /// Opens a session with a runner, or queues it until there is a token for it.
     fn open_session(&mut self, key: RunnerKey, address: SocketAddr) {
-        let Some(instance) = self.state.instance_of(key).filter(|_| !self.leaving) else {
+        let Some(instance) = self.state.instance_of(key).filter(|_| !self.handing_over) else {
             return;
         };
         let now = self.now();
@@ -345,14 +346,14 @@
             shared: self.context.shared.clone(),
             fleet: self.context.fleet.clone(),
             token,
-            confirmed: self.confirmed.clone(),
-            sessions: self.open_sessions.clone(),
+            confirmed_at: self.confirmed_at.clone(),
+            session_count: self.session_count.clone(),
             key,
             address: RunnerAddress { instance, address },
             events: self.events.clone(),
         };
         self.sessions.insert(key, RunnerSession::open(context));
-        self.count_sessions();
+        self.publish_session_count();
     }
 
     /// Opens the sessions that waited for the journal to be written.
--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -13,7 +13,7 @@
 mod awaited;
 mod events;
 mod inbox;
-mod lives;
+mod instances;
 mod quota;
 mod runners;
 mod silent;
@@ -59,16 +59,16 @@
     }, //
 };
 
-use self::advice::AdviceReturn;
+use self::advice::AdviceResult;
 use self::awaited::AwaitedPolicy;
-use self::lives::LifeNotes;
+use self::instances::InstanceTracker;
 use self::quota::{
     QuotaLedger,
-    QuotaReturn, //
+    QuotaResult, //
 };
-use self::runners::GoneReason;
+use self::runners::RemovalReason;
 use self::silent::{
-    SilenceNotes,
+    SilenceTracker,
     inherited_runs, //
 };
 use crate::{
@@ -98,7 +98,7 @@
     vms::{
         VmContext,
         VmRequest,
-        run_vms, //
+        run_vm_loops, //
     }, //
 };
 
@@ -141,7 +141,7 @@
 
 /// A journal that comes back from a write, with what was written and the result: the time at
 /// which the write was sent.
-type JournalReturn<S> = (PoolJournal<S>, FlushPlan, Result<Millis, JournalError>);
+type JournalResult<S> = (PoolJournal<S>, FlushPlan, Result<Millis, JournalError>);
 
 struct PoolOwner<P: Platform> {
     context: OwnerContext<P>,
@@ -149,46 +149,46 @@
     state: PoolState,
     /// The journal; none while a write is in progress.
     journal: Option<PoolJournal<P::Store>>,
-    returns: mpsc::UnboundedSender<JournalReturn<P::Store>>,
-    advice: mpsc::UnboundedSender<AdviceReturn>,
+    journal_results: mpsc::UnboundedSender<JournalResult<P::Store>>,
+    advice_results: mpsc::UnboundedSender<AdviceResult>,
     /// Whether a request to an adviser is in progress.
-    asking: bool,
+    advice_pending: bool,
     /// The pool's quota allocations.
     quotas: QuotaLedger,
-    quota_returns: mpsc::UnboundedSender<QuotaReturn>,
+    quota_results: mpsc::UnboundedSender<QuotaResult>,
     events: mpsc::UnboundedSender<SessionEvent>,
     sessions: HashMap<RunnerKey, RunnerSession>,
     /// Number of sessions, shared with them.
-    open_sessions: Rc<Cell<u32>>,
+    session_count: Rc<Cell<u32>>,
     /// Whether the list of runners was applied before.
-    synced: bool,
+    has_synced: bool,
     /// Which instances of runners are current, and which have ended.
-    instances: LifeNotes,
+    instances: InstanceTracker,
     /// Configuration that this node does not have yet, though a job was accepted under it.
-    awaited: Option<AwaitedPolicy>,
+    awaited_policy: Option<AwaitedPolicy>,
     /// Whether the pool is being handed over to the next owner.
-    leaving: bool,
+    handing_over: bool,
     /// When this node became the owner.
-    owned_since: Millis,
+    owner_since: Millis,
     /// Silent runners that may still run something, as of the last check.
     silent: BTreeMap<String, SilentRuns>,
     /// What the journal records of silent runners.
-    notes: SilenceNotes,
+    silence: SilenceTracker,
     /// When the ownership was last confirmed; shared with sessions and VM loops.
-    confirmed: Rc<Cell<Millis>>,
+    confirmed_at: Rc<Cell<Millis>>,
     checked_at: Millis,
     wrote_at: Millis,
-    counts: HashMap<String, u32>,
-    counted_at: Millis,
+    waiting_counts: HashMap<String, u32>,
+    counts_written_at: Millis,
 }
 
 /// Receiving ends of the owner's event sources.
 struct OwnerChannels<S> {
     inbox: mpsc::UnboundedReceiver<FollowEvent>,
     events: mpsc::UnboundedReceiver<SessionEvent>,
-    returned: mpsc::UnboundedReceiver<JournalReturn<S>>,
-    advised: mpsc::UnboundedReceiver<AdviceReturn>,
-    quotas: mpsc::UnboundedReceiver<QuotaReturn>,
+    journal_results: mpsc::UnboundedReceiver<JournalResult<S>>,
+    advice_results: mpsc::UnboundedReceiver<AdviceResult>,
+    quota_results: mpsc::UnboundedReceiver<QuotaResult>,
     vm_requests: mpsc::Receiver<VmRequest>,
 }
 
@@ -204,20 +204,20 @@
     let inbox = follow_inbox(&context);
     let prefix = context.keys.progress_prefix(&context.pool);
     let progress = context.platform.store().read_prefix(&prefix).await?;
-    let mut recorded = read_progress(&context, progress);
+    let mut recorded = decode_progress(&context, progress);
     let (vm_sender, vm_requests) = mpsc::channel(VM_REQUEST_QUEUE_LEN);
-    let confirmed = Rc::new(Cell::new(takeover.confirmed_at));
-    let vms = start_vm_worker(&context, takeover.epoch, confirmed.clone(), vm_sender);
+    let confirmed_at = Rc::new(Cell::new(takeover.confirmed_at));
+    let vms = start_vm_worker(&context, takeover.epoch, confirmed_at.clone(), vm_sender);
     let (events, session_events) = mpsc::unbounded_channel();
-    let (returns, returned) = mpsc::unbounded_channel();
-    let (advice, advised) = mpsc::unbounded_channel();
-    let (quota_returns, quotas) = mpsc::unbounded_channel();
+    let (journal_results, journal_receiver) = mpsc::unbounded_channel();
+    let (advice_results, advice_receiver) = mpsc::unbounded_channel();
+    let (quota_results, quota_receiver) = mpsc::unbounded_channel();
     let mut channels = OwnerChannels {
         inbox,
         events: session_events,
-        returned,
-        advised,
-        quotas,
+        journal_results: journal_receiver,
+        advice_results: advice_receiver,
+        quota_results: quota_receiver,
         vm_requests,
     };
     let now = context.shared.clock.now();
@@ -225,33 +225,33 @@
         epoch: takeover.epoch,
         state: PoolState::new(inherited_runs(&takeover.silent, now)),
         journal: Some(takeover.journal),
-        returns,
-        advice,
-        asking: false,
+        journal_results,
+        advice_results,
+        advice_pending: false,
         quotas: QuotaLedger::default(),
-        quota_returns,
+        quota_results,
         events,
         sessions: HashMap::new(),
-        open_sessions: Rc::default(),
-        instances: LifeNotes::new(takeover.epoch),
-        awaited: None,
-        leaving: false,
-        owned_since: now,
+        session_count: Rc::default(),
+        instances: InstanceTracker::new(takeover.epoch),
+        awaited_policy: None,
+        handing_over: false,
+        owner_since: now,
         silent: BTreeMap::new(),
-        notes: SilenceNotes::inherited(&takeover.silent),
-        synced: false,
-        confirmed,
+        silence: SilenceTracker::inherited(&takeover.silent),
+        has_synced: false,
+        confirmed_at,
         checked_at: 0,
         wrote_at: 0,
-        counts: HashMap::new(),
-        counted_at: 0,
+        waiting_counts: HashMap::new(),
+        counts_written_at: 0,
         context,
     };
-    owner.count("pool_taken");
+    owner.count_event("pool_taken");
     // Sessions with runners are opened only once all jobs are known: runs of an unknown job
     // would be stopped, and its ends acknowledged and lost.
     if let Some(all) = channels.inbox.recv().await {
-        owner.take_inbox(all, &mut recorded);
+        owner.apply_inbox_change(all, &mut recorded);
     }
     // A node that was not a standby reads the list of runners only now.
     let mut fleet = owner.context.fleet.clone();
@@ -260,9 +260,9 @@
         event!(Warn, "runners_not_listed", pool = owner.context.pool);
     }
     owner.sync_fleet();
-    let end = owner.serve(&mut channels, &mut recorded).await;
+    let end = owner.run(&mut channels, &mut recorded).await;
     vms.abort();
-    owner.count("pool_left");
+    owner.count_event("pool_left");
     event!(
         Info,
         "pool_left",
@@ -291,17 +291,17 @@
 fn start_vm_worker<P: Platform>(
     context: &OwnerContext<P>,
     epoch: u64,
-    confirmed: Rc<Cell<Millis>>,
+    confirmed_at: Rc<Cell<Millis>>,
     owner: mpsc::Sender<VmRequest>,
 ) -> JoinHandle<()> {
-    actix_rt::spawn(run_vms(VmContext {
+    actix_rt::spawn(run_vm_loops(VmContext {
         platform: context.platform.clone(),
         shared: context.shared.clone(),
         keys: context.keys.clone(),
         node: context.identity.node.clone(),
         pool: context.pool.clone(),
         epoch,
-        confirmed,
+        confirmed_at,
         fleet: context.fleet.clone(),
         owner,
     }))
@@ -309,7 +309,7 @@
 
 /// Decodes the recorded progress of jobs, by identifier; unreadable records are logged and
 /// left out.
-fn read_progress<P: Platform>(
+fn decode_progress<P: Platform>(
     context: &OwnerContext<P>,
     values: Vec<StoredValue>,
 ) -> HashMap<String, JobProgress> {
@@ -335,12 +335,12 @@
     }
 
     /// Whether the list of runners is recent enough to start tasks by it.
-    fn holds_list(&self, now: Millis) -> bool {
+    fn is_runner_list_valid(&self, now: Millis) -> bool {
         self.context.shared.runner_list_lease.is_valid(now)
     }
 
     /// Runs the event loop until another node owns the pool or this node stops.
-    async fn serve(
+    async fn run(
         &mut self,
         channels: &mut OwnerChannels<P::Store>,
         recorded: &mut HashMap<String, JobProgress>,
@@ -350,19 +350,19 @@
         loop {
             tokio::select! {
                 Some(event) = channels.events.recv() => {
-                    if self.take_event(event) {
+                    if self.handle_event(event) {
                         return OwnerEnd::Deposed;
                     }
                 }
-                Some(change) = channels.inbox.recv() => self.take_inbox(change, recorded),
-                Some(back) = channels.returned.recv() => {
-                    if self.take_journal(back).is_err() {
+                Some(change) = channels.inbox.recv() => self.apply_inbox_change(change, recorded),
+                Some(result) = channels.journal_results.recv() => {
+                    if self.finish_write(result).is_err() {
                         return OwnerEnd::Deposed;
                     }
                 }
-                Some(request) = channels.vm_requests.recv() => self.take_vm_request(request),
-                Some(back) = channels.advised.recv() => self.take_advice(back),
-                Some(back) = channels.quotas.recv() => self.take_quotas(back),
+                Some(request) = channels.vm_requests.recv() => self.handle_vm_request(request),
+                Some(result) = channels.advice_results.recv() => self.apply_advice(result),
+                Some(result) = channels.quota_results.recv() => self.apply_quota_result(result),
                 Ok(()) = fleet.changed() => {
                     fleet.borrow_and_update();
                     self.sync_fleet();
@@ -376,13 +376,13 @@
                 () = sleep_until(self.next_wake()) => {}
             }
             // Leases that were extended must be known before deadlines are checked.
-            if self.take_events(&mut channels.events) {
+            if self.drain_events(&mut channels.events) {
                 return OwnerEnd::Deposed;
             }
             if *stop.borrow() && self.journal.is_some() {
-                self.begin_leaving(&mut channels.events);
+                self.begin_handover(&mut channels.events);
             }
-            if self.journal.is_some() && self.has_left_word() {
+            if self.journal.is_some() && self.is_handed_over() {
                 return OwnerEnd::Stopped;
             }
             self.advance();
@@ -391,13 +391,13 @@
 
     /// Handles queued session events; returns whether one shows that another node owns the
     /// pool.
-    fn take_events(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) -> bool {
+    fn drain_events(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) -> bool {
         let mut deposed = false;
         for _ in 0..EVENT_BATCH_LEN {
             let Ok(event) = events.try_recv() else {
                 break;
             };
-            deposed |= self.take_event(event);
+            deposed |= self.handle_event(event);
         }
         deposed
     }
@@ -405,11 +405,12 @@
     /// When the loop has to wake without an event.
     fn next_wake(&self) -> Instant {
         let wanted = || {
-            let writes =
-                self.state.needs_flush() || !self.is_noted() || self.instances.wants_token();
-            writes || (self.state.needs_plan() && self.holds_list(self.now()))
+            let writes = self.state.needs_flush()
+                || !self.is_silence_recorded()
+                || self.instances.needs_token();
+            writes || (self.state.needs_plan() && self.is_runner_list_valid(self.now()))
         };
-        if self.journal.is_none() || self.awaited.is_some() || !wanted() {
+        if self.journal.is_none() || self.awaited_policy.is_some() || !wanted() {
             return Instant::now() + MAX_SLEEP;
         }
         let wait = self.next_write().saturating_sub(self.now());
@@ -419,15 +420,15 @@
     /// Makes the decisions that are due, sends orders, and starts the next write.
     fn advance(&mut self) {
         let now = self.now();
-        if self.leaving {
-            return self.write(now);
+        if self.handing_over {
+            return self.start_write(now);
         }
         let mut due = self.state.needs_plan();
         if now >= self.checked_at + DEADLINE_CHECK_INTERVAL_MS {
             self.checked_at = now;
-            self.check_times(now);
-            self.look_for_silence(now);
-            self.tell_recorded();
+            self.check_deadlines(now);
+            self.update_silent(now);
+            self.acknowledge_recorded();
             due = true;
         }
         // Nothing is ordered before it is recorded, so that a plan is made only when the
@@ -435,25 +436,26 @@
         // the free capacity of hundreds of runners, takes a large pool's owner the processor
         // time that its starts need: it cost 4 percent of the attainable value on a fleet of
         // 1,100 VMs (docs/MEASURED.md).
-        self.look_at_quotas(now);
-        if due && self.holds_list(now) && self.may_write(now) && !self.awaits_policy(now) {
+        self.update_quotas(now);
+        if due && self.is_runner_list_valid(now) && self.may_write(now) && !self.awaits_policy(now)
+        {
             self.state.plan(now);
         }
-        self.ask_advice(now);
+        self.request_advice(now);
         for stop in self.state.take_stop_orders() {
-            self.send(stop.runner, RunnerOrder::Stop(stop));
+            self.queue_order(stop.runner, RunnerOrder::Stop(stop));
         }
-        self.log_lost();
-        self.log_ended();
-        self.write(now);
+        self.log_lost_runs();
+        self.log_ended_jobs();
+        self.start_write(now);
     }
 
     /// Checks everything that changes by time alone: leases, rounds, unanswered stops, suspect
     /// tasks, draining runners and stalled tasks.
-    fn check_times(&mut self, now: Millis) {
+    fn check_deadlines(&mut self, now: Millis) {
         for runner in self.state.expire_leases(now) {
-            self.count("lease_lapsed");
-            event!(Warn, "lease_lapsed", runner = self.life_text(runner));
+            self.count_event("lease_lapsed");
+            event!(Warn, "lease_lapsed", runner = self.instance_text(runner));
         }
         let today = self.context.shared.clock.unix_ms();
         self.state.begin_due_rounds(now, today);
@@ -461,59 +463,61 @@
         self.state.clear_suspects(now);
         self.state.move_off_draining(now);
         for runner in self.state.stop_stalled(now) {
-            self.count("task_stalled");
-            event!(Warn, "task_stalled", runner = self.life_text(runner));
+            self.count_event("task_stalled");
+            event!(Warn, "task_stalled", runner = self.instance_text(runner));
         }
     }
 
     /// Queues an order at the runner's session.
-    fn send(&self, runner: RunnerKey, order: RunnerOrder) {
+    fn queue_order(&self, runner: RunnerKey, order: RunnerOrder) {
         let sent = self
             .sessions
             .get(&runner)
-            .is_some_and(|session| session.order(order));
+            .is_some_and(|session| session.queue_order(order));
         if !sent {
             event!(Warn, "order_not_queued", pool = self.context.pool);
         }
     }
 
     /// Handles a session event; returns whether it shows that another node owns the pool.
-    fn take_event(&mut self, event: SessionEvent) -> bool {
+    fn handle_event(&mut self, event: SessionEvent) -> bool {
         let now = self.now();
         match event {
-            SessionEvent::Extended { runner, until } => self.state.extend_lease(runner, until),
-            SessionEvent::Held {
+            SessionEvent::LeaseGranted { runner, until } => self.state.extend_lease(runner, until),
+            SessionEvent::HeartbeatSucceeded {
                 runner,
                 report,
                 asked_at,
                 leased_until,
-                silences,
+                misses,
             } => {
                 if let Some(started_at) = report.started_at {
                     self.state.record_start_time(runner, started_at);
                 }
-                self.fence(runner, now);
+                self.handle_first_response(runner, now);
                 let again = self.state.record_heartbeat(runner, &report, asked_at, now);
-                self.take_answer(runner, silences);
+                self.handle_response(runner, misses);
                 if let Some(until) = leased_until {
                     self.state.confirm_runner_lease(runner, until);
                     self.state.mark_runner_ready(runner);
                 }
-                self.end_rivals(runner, asked_at);
-                self.start_all(again);
+                self.end_conflicting_instances(runner, asked_at);
+                self.queue_starts(again);
                 for pace in self.state.pace(runner, now) {
-                    self.send(runner, RunnerOrder::Pace(pace));
+                    self.queue_order(runner, RunnerOrder::Pace(pace));
                 }
             }
-            SessionEvent::Missed { runner, reset } => {
+            SessionEvent::HeartbeatMissed { runner, reset } => {
                 self.state.record_missed_heartbeat(runner, reset, now)
             }
-            SessionEvent::Ended { runner } => self.take_ended(runner, now),
+            SessionEvent::ProcessExited { runner } => self.handle_process_exit(runner, now),
             SessionEvent::Replaced { runner } => {
-                self.note_over(runner);
-                self.drop_runner(runner, GoneReason::Replaced);
+                self.mark_ended(runner);
+                self.remove_runner(runner, RemovalReason::Replaced);
+            }
+            SessionEvent::Restarted { runner, started_at } => {
+                self.handle_restart(runner, started_at)
             }
-            SessionEvent::Renewed { runner, started_at } => self.take_renewed(runner, started_at),
             // An order of a session that has ended was refused because of this owner's next
             // session with the runner.
             SessionEvent::Fenced { runner } if !self.sessions.contains_key(&runner) => {}
@@ -527,23 +531,23 @@
                 );
                 return true;
             }
-            SessionEvent::Started { order, outcome } => {
+            SessionEvent::StartFinished { order, outcome } => {
                 self.state.record_start_outcome(&order, outcome, now);
                 if outcome == StartOutcome::Started {
-                    self.measure_start(&order, now);
+                    self.observe_first_start(&order, now);
                 }
             }
-            SessionEvent::Stopped(order) => self.state.record_stop_ack(&order, now),
+            SessionEvent::StopAcknowledged(order) => self.state.record_stop_ack(&order, now),
             SessionEvent::PaceFailed(order) => self.state.record_pace_failure(&order, now),
         }
         false
     }
 
     /// Queues starts at their runners' sessions, as admitted now.
-    fn start_all(&self, orders: Vec<StartOrder>) {
+    fn queue_starts(&self, orders: Vec<StartOrder>) {
         let now = self.now();
         for order in orders {
-            self.send(order.runner, RunnerOrder::Start(order, now));
+            self.queue_order(order.runner, RunnerOrder::Start(order, now));
         }
     }
 }
--- a/crates/hoisthitch-scheduler/src/owner/quota.rs
+++ b/crates/hoisthitch-scheduler/src/owner/quota.rs
@@ -60,7 +60,7 @@
 }
 
 /// Result of a write or a read of the records.
-pub(super) struct QuotaReturn {
+pub(super) struct QuotaResult {
     /// Allocations of the write, by team; empty for a read.
     written: BTreeMap<String, QuotaAllocations>,
     outcome: Result<QuotaOutcome, StoreError>,
@@ -152,7 +152,7 @@
 
 impl<P: Platform> PoolOwner<P> {
     /// Adapts the pool's allocations to the usage of its teams, when that is due.
-    pub(super) fn look_at_quotas(&mut self, now: Millis) {
+    pub(super) fn update_quotas(&mut self, now: Millis) {
         let policy = self.context.shared.policy.load_full();
         let Some(policy) = policy else {
             return;
@@ -202,11 +202,11 @@
         self.apply_allowances();
         self.quotas.busy = true;
         let store = self.context.platform.store().clone();
-        let returns = self.quota_returns.clone();
+        let results = self.quota_results.clone();
         actix_rt::spawn(async move {
             let outcome = store.swap_all(items).await.map(QuotaOutcome::Swapped);
             // The send fails only if the owner has ended.
-            let _ = returns.send(QuotaReturn { written, outcome });
+            let _ = results.send(QuotaResult { written, outcome });
         });
     }
 
@@ -214,11 +214,11 @@
         self.quotas.busy = true;
         let store = self.context.platform.store().clone();
         let prefix = self.context.keys.quotas_prefix();
-        let returns = self.quota_returns.clone();
+        let results = self.quota_results.clone();
         actix_rt::spawn(async move {
             let outcome = store.read_prefix(&prefix).await.map(QuotaOutcome::Read);
             // The send fails only if the owner has ended.
-            let _ = returns.send(QuotaReturn {
+            let _ = results.send(QuotaResult {
                 written: BTreeMap::new(),
                 outcome,
             });
@@ -226,7 +226,7 @@
     }
 
     /// Applies the result of a write or a read of the records.
-    pub(super) fn take_quotas(&mut self, result: QuotaReturn) {
+    pub(super) fn apply_quota_result(&mut self, result: QuotaResult) {
         self.quotas.busy = false;
         match result.outcome {
             Ok(QuotaOutcome::Swapped(BatchOutcome::Written(revision))) => {
--- a/crates/hoisthitch-scheduler/src/owner/runners.rs
+++ b/crates/hoisthitch-scheduler/src/owner/runners.rs
@@ -21,15 +21,15 @@
 use crate::{
     platform::Platform,
     vms::{
-        PoolNeed,
-        SPARE_LIMIT,
+        DemandAnswer,
+        MAX_EVACUATING,
         VmRequest, //
     }, //
 };
 
 /// Why an owner removed a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum GoneReason {
+pub(super) enum RemovalReason {
     /// Its VM was shut down as ordered.
     Down,
     /// Another instance runs in its place.
@@ -40,9 +40,9 @@
     Silent,
 }
 
-impl GoneReason {
+impl RemovalReason {
     /// The kind of loss of its runs.
-    fn loss(self) -> RunnerLoss {
+    fn loss_kind(self) -> RunnerLoss {
         match self {
             Self::Down => RunnerLoss::Planned,
             Self::Ended | Self::Replaced => RunnerLoss::Crashed,
@@ -51,7 +51,7 @@
     }
 }
 
-impl Display for GoneReason {
+impl Display for RemovalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Down => "down",
@@ -64,32 +64,32 @@
 
 impl<P: Platform> PoolOwner<P> {
     /// Serves a request of the pool's VM loops.
-    pub(super) fn take_vm_request(&mut self, request: VmRequest) {
+    pub(super) fn handle_vm_request(&mut self, request: VmRequest) {
         let now = self.now();
         match request {
-            VmRequest::Leave {
+            VmRequest::Evacuate {
                 runners,
-                vacate,
+                evict,
                 reply,
             } => {
-                let statuses = self.prepare_leave(&runners, vacate, now);
+                let statuses = self.evacuate(&runners, evict, now);
                 // A loop that does not wait any more asks again.
                 let _ = reply.send(statuses);
             }
-            VmRequest::Stay { runners } => {
+            VmRequest::CancelEvacuation { runners } => {
                 for runner in runners {
                     if let Some(key) = self.state.runner_key(&runner) {
                         self.state.set_evacuating(key, false);
                     }
                 }
             }
-            VmRequest::Need { reply } => {
-                let spare = self.state.spare_runners(now, SPARE_LIMIT);
+            VmRequest::Demand { reply } => {
+                let spare = self.state.spare_runners(now, MAX_EVACUATING);
                 let spare = spare.into_iter().filter_map(|key| {
                     let facts = &self.state.runner(key)?.facts;
                     Some((facts.instance(), facts.vm.clone()))
                 });
-                let need = PoolNeed {
+                let need = DemandAnswer {
                     want: self.state.wanted_vms(now),
                     vms: self.state.vms(),
                     spare: spare.collect(),
@@ -97,36 +97,36 @@
                 // A loop that does not wait any more asks again.
                 let _ = reply.send(need);
             }
-            VmRequest::Doubt { runner } => {
+            VmRequest::VmDownUnconfirmed { runner } => {
                 // Its next heartbeat shows whether it still runs.
                 if let Some(key) = self.state.runner_key(&runner) {
                     self.state.mark_runner_unreachable(key);
                 }
             }
-            VmRequest::Down { instance } => self.take_down(&instance, now),
+            VmRequest::VmDown { instance } => self.handle_vm_down(&instance, now),
         }
     }
 
     /// Handles the shutdown of a VM with that instance of its runner. A later instance, which
     /// may have the same name, is not affected.
-    fn take_down(&mut self, instance: &RunnerInstance, now: Millis) {
+    fn handle_vm_down(&mut self, instance: &RunnerInstance, now: Millis) {
         let Some(key) = self.state.key_of_instance(instance) else {
             return;
         };
         self.state.record_planned_shutdown(key, now);
         // Its record stays listed until some of its heartbeats to the platform are missing.
-        self.note_over(key);
-        self.drop_runner(key, GoneReason::Down);
-        self.take_listed(&instance.name);
+        self.mark_ended(key);
+        self.remove_runner(key, RemovalReason::Down);
+        self.apply_listed_record(&instance.name);
     }
 
     /// Starts the evacuation of runners, or continues it. Returns the status of each, or none
     /// for a runner that is not known and has no recorded tasks. All VMs whose runners are
     /// free may go down together.
-    fn prepare_leave(
+    fn evacuate(
         &mut self,
         runners: &[String],
-        vacate: bool,
+        evict: bool,
         now: Millis,
     ) -> Vec<Option<EvacuationStatus>> {
         let keys: Vec<Option<RunnerKey>> = runners
@@ -135,7 +135,7 @@
             .collect();
         for key in keys.iter().flatten() {
             self.state.set_evacuating(*key, true);
-            if vacate {
+            if evict {
                 self.state.evict_resumable(*key, now);
             }
         }
@@ -164,9 +164,9 @@
         let now = self.now();
         // Runners that were listed before this owner took over count as long-standing
         // members of the pool; the VM loops know of those that have just been moved.
-        let since = if self.synced { now } else { 0 };
-        self.synced = true;
-        self.instances.take_list();
+        let since = if self.has_synced { now } else { 0 };
+        self.has_synced = true;
+        self.instances.handle_list_change();
         let fleet = self.context.fleet.borrow().clone();
         self.state.set_policies(&fleet.policies);
         let own: Vec<_> = fleet
@@ -175,7 +175,7 @@
             .filter(|record| record.pool == self.context.pool)
             .collect();
         for record in own {
-            self.take_record(record, since);
+            self.apply_runner_record(record, since);
         }
         let known: Vec<(RunnerKey, String)> = self
             .state
@@ -185,50 +185,50 @@
         for (key, name) in known {
             if !fleet.runners.contains_key(&name) {
                 self.state.unlist_runner(key);
-                self.drop_if_empty(key, now);
+                self.remove_if_expired(key, now);
             }
         }
     }
 
     /// Removes a runner that is not listed any more, once nothing can run on it.
-    fn drop_if_empty(&mut self, key: RunnerKey, now: Millis) {
+    fn remove_if_expired(&mut self, key: RunnerKey, now: Millis) {
         let over = self
             .state
             .runner(key)
             .is_some_and(|runner| !runner.ready && runner.lease_until <= now);
         if over {
-            self.drop_runner(key, GoneReason::Silent);
+            self.remove_runner(key, RemovalReason::Silent);
         }
     }
 
     /// Publishes the number of sessions, by which each session paces its heartbeats.
-    pub(super) fn count_sessions(&self) {
+    pub(super) fn publish_session_count(&self) {
         let sessions = u32::try_from(self.sessions.len());
-        self.open_sessions.set(sessions.unwrap_or(u32::MAX));
+        self.session_count.set(sessions.unwrap_or(u32::MAX));
     }
 
     /// Removes a runner and ends its session.
-    pub(super) fn drop_runner(&mut self, key: RunnerKey, why: GoneReason) {
+    pub(super) fn remove_runner(&mut self, key: RunnerKey, why: RemovalReason) {
         let now = self.now();
         let instance = self.state.instance_of(key);
         self.sessions.remove(&key);
-        self.instances.drop_key(key);
-        self.count_sessions();
+        self.instances.remove_key(key);
+        self.publish_session_count();
         if let Some(instance) = instance {
-            self.count("runner_gone");
+            self.count_event("runner_gone");
             event!(Info, "runner_gone", runner = instance, why = why);
-            self.state.remove_runner(key, why.loss(), now);
+            self.state.remove_runner(key, why.loss_kind(), now);
         }
     }
 
     /// Lets sessions acknowledge the ends that are recorded, if nothing waits to be written.
-    pub(super) fn tell_recorded(&mut self) {
+    pub(super) fn acknowledge_recorded(&mut self) {
         if self.journal.is_none() || self.state.needs_flush() {
             return;
         }
         for (key, session) in &self.sessions {
             if let Some(runner) = self.state.runner(*key) {
-                session.set_recorded(runner.last_seen_end);
+                session.acknowledge(runner.last_seen_end);
             }
         }
     }
--- a/crates/hoisthitch-scheduler/src/owner/silent.rs
+++ b/crates/hoisthitch-scheduler/src/owner/silent.rs
@@ -27,7 +27,7 @@
 use crate::{
     platform::Platform,
     session::{
-        LAST_RUN_MS,
+        MAX_RUN_AFTER_CONFIRMATION_MS,
         SessionEvent, //
     }, //
 };
@@ -43,25 +43,25 @@
 
 /// What the journal's head records of silent runners.
 #[derive(Debug, Default)]
-pub(super) struct SilenceNotes {
+pub(super) struct SilenceTracker {
     /// Runners that the head names, or may name if a write is in progress.
-    noted: BTreeSet<String>,
+    recorded: BTreeSet<String>,
     /// Runners that the write in progress names; none without such a write.
     writing: Option<BTreeSet<String>>,
     /// When the last write of them began.
-    noted_at: Millis,
+    recorded_at: Millis,
     /// Runners whose silence was logged.
     logged: BTreeSet<String>,
     /// Runners that responded while the head named them, with the number of heartbeats that
     /// each missed so far.
-    heard: BTreeMap<RunnerKey, u64>,
+    responded: BTreeMap<RunnerKey, u64>,
 }
 
-impl SilenceNotes {
+impl SilenceTracker {
     /// State of a new owner, whose head names the same runners as the previous owner's.
-    pub(super) fn inherited(left: &BTreeMap<String, Millis>) -> Self {
+    pub(super) fn inherited(previous: &BTreeMap<String, Millis>) -> Self {
         Self {
-            noted: left.keys().cloned().collect(),
+            recorded: previous.keys().cloned().collect(),
             ..Self::default()
         }
     }
@@ -69,10 +69,10 @@
 
 /// Ends of the runs that a new owner inherits, with the times that the previous owner recorded
 /// for silent runners.
-pub(super) fn inherited_runs(left: &BTreeMap<String, Millis>, now: Millis) -> InheritedRuns {
+pub(super) fn inherited_runs(previous: &BTreeMap<String, Millis>, now: Millis) -> InheritedRuns {
     InheritedRuns {
-        until: now + LAST_RUN_MS,
-        silent: left
+        until: now + MAX_RUN_AFTER_CONFIRMATION_MS,
+        silent: previous
             .iter()
             .map(|(runner, time)| (runner.clone(), now + time))
             .collect(),
@@ -81,30 +81,30 @@
 
 impl<P: Platform> PoolOwner<P> {
     /// Determines which runners with tasks are silent, and logs the changes.
-    pub(super) fn look_for_silence(&mut self, now: Millis) {
-        if self.leaving {
+    pub(super) fn update_silent(&mut self, now: Millis) {
+        if self.handing_over {
             self.silent = self.state.all_runs();
             return;
         }
         let since = now.saturating_sub(SILENT_AFTER_MS);
-        let long = self.state.silent_runs(self.owned_since, since);
+        let long = self.state.silent_runs(self.owner_since, since);
         self.log_silences(&long, now);
         // A runner that the head names stays in it until it responds; otherwise the end that
         // an earlier owner recorded would be lost.
-        let mut silent = self.state.silent_runs(self.owned_since, now);
-        let noted = &self.notes.noted;
-        silent.retain(|runner, _| long.contains_key(runner) || noted.contains(runner));
+        let mut silent = self.state.silent_runs(self.owner_since, now);
+        let recorded = &self.silence.recorded;
+        silent.retain(|runner, _| long.contains_key(runner) || recorded.contains(runner));
         self.silent = silent;
     }
 
     /// Logs which silences began and which are over.
     fn log_silences(&mut self, long: &BTreeMap<String, SilentRuns>, now: Millis) {
         for (runner, runs) in long {
-            if self.notes.logged.insert(runner.clone()) {
+            if self.silence.logged.insert(runner.clone()) {
                 self.log_silence(runner, *runs, now);
             }
         }
-        self.notes.logged.retain(|runner| {
+        self.silence.logged.retain(|runner| {
             let is_silent = long.contains_key(runner);
             if !is_silent {
                 event!(
@@ -130,35 +130,35 @@
     }
 
     /// Whether the journal's head has to be written because of silent runners.
-    pub(super) fn needs_note(&self, now: Millis) -> bool {
-        let old = now >= self.notes.noted_at + RECORD_AGE_MS;
-        (old && !self.silent.is_empty()) || !self.is_noted()
+    pub(super) fn needs_silence_write(&self, now: Millis) -> bool {
+        let old = now >= self.silence.recorded_at + RECORD_AGE_MS;
+        (old && !self.silent.is_empty()) || !self.is_silence_recorded()
     }
 
     /// Whether the journal's head names exactly the runners that are silent.
-    pub(super) fn is_noted(&self) -> bool {
-        self.silent.keys().eq(self.notes.noted.iter())
+    pub(super) fn is_silence_recorded(&self) -> bool {
+        self.silent.keys().eq(self.silence.recorded.iter())
     }
 
     /// Begins the handover of the pool: ends all sessions, so that no lease is extended any
     /// more and the ends of all runs are certain and can be recorded for the next owner. All
     /// runners are recorded, since a runner may just have been lost while its last heartbeat
     /// still waits for a response.
-    pub(super) fn begin_leaving(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) {
-        if self.leaving {
+    pub(super) fn begin_handover(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) {
+        if self.handing_over {
             return;
         }
-        self.leaving = true;
+        self.handing_over = true;
         self.sessions.clear();
-        self.instances.drop_waiting();
+        self.instances.clear_waiting();
         self.state.cancel_planned_starts(self.now());
         // Leases that were granted until now.
         while let Ok(event) = events.try_recv() {
-            if let SessionEvent::Extended { runner, until } = event {
+            if let SessionEvent::LeaseGranted { runner, until } = event {
                 self.state.extend_lease(runner, until);
             }
         }
-        self.look_for_silence(self.now());
+        self.update_silent(self.now());
         event!(
             Info,
             "pool_handed_on",
@@ -169,48 +169,48 @@
     }
 
     /// Whether the handover is complete: the ends of all runs are recorded.
-    pub(super) fn has_left_word(&self) -> bool {
-        self.leaving && self.is_noted()
+    pub(super) fn is_handed_over(&self) -> bool {
+        self.handing_over && self.is_silence_recorded()
     }
 
     /// Begins a write of the silent runners; returns the time for which each may still run
     /// something, by name.
-    pub(super) fn begin_note(&mut self, now: Millis) -> BTreeMap<String, Millis> {
-        self.look_for_silence(now);
+    pub(super) fn begin_silence_write(&mut self, now: Millis) -> BTreeMap<String, Millis> {
+        self.update_silent(now);
         let silent = self.silent.iter();
-        let note: BTreeMap<String, Millis> = silent
+        let times: BTreeMap<String, Millis> = silent
             .map(|(runner, runs)| (runner.clone(), runs.until.saturating_sub(now)))
             .collect();
-        self.notes.writing = Some(note.keys().cloned().collect());
-        self.notes.noted.extend(note.keys().cloned());
-        self.notes.noted_at = now;
-        note
+        self.silence.writing = Some(times.keys().cloned().collect());
+        self.silence.recorded.extend(times.keys().cloned());
+        self.silence.recorded_at = now;
+        times
     }
 
     /// Completes a write of the silent runners, if one was in progress: runners that the head
     /// does not name any more may have leases again.
-    pub(super) fn finish_note(&mut self) {
-        let Some(written) = self.notes.writing.take() else {
+    pub(super) fn finish_silence_write(&mut self) {
+        let Some(written) = self.silence.writing.take() else {
             return;
         };
-        self.notes.noted = written;
-        let heard = std::mem::take(&mut self.notes.heard);
-        for (runner, silences) in heard {
-            self.take_answer(runner, silences);
+        self.silence.recorded = written;
+        let responded = std::mem::take(&mut self.silence.responded);
+        for (runner, misses) in responded {
+            self.handle_response(runner, misses);
         }
     }
 
     /// Handles a response of a runner that missed that many heartbeats so far. It may have
     /// leases again at once if the head does not name it, otherwise after the next write.
-    pub(super) fn take_answer(&mut self, key: RunnerKey, silences: u64) {
+    pub(super) fn handle_response(&mut self, key: RunnerKey, misses: u64) {
         let Some(session) = self.sessions.get(&key) else {
             return;
         };
         let name = self.state.runner(key).map(|runner| &runner.facts.name);
-        if name.is_some_and(|name| self.notes.noted.contains(name)) {
-            self.notes.heard.insert(key, silences);
+        if name.is_some_and(|name| self.silence.recorded.contains(name)) {
+            self.silence.responded.insert(key, misses);
         } else {
-            session.settle(silences);
+            session.allow_leases(misses);
         }
     }
 }
--- a/crates/hoisthitch-scheduler/src/owner/writes.rs
+++ b/crates/hoisthitch-scheduler/src/owner/writes.rs
@@ -16,7 +16,7 @@
 use hoisthitch_telemetry::event;
 
 use super::{
-    JournalReturn,
+    JournalResult,
     PoolOwner, //
 };
 use crate::{
@@ -71,7 +71,7 @@
 
     /// Starts the next journal write, or a confirmation of ownership if there is nothing to
     /// write.
-    pub(super) fn write(&mut self, now: Millis) {
+    pub(super) fn start_write(&mut self, now: Millis) {
         if !self.may_write(now) {
             return;
         }
@@ -89,31 +89,31 @@
             .collect();
         items.extend(self.counts_item(now));
         self.add_deletions(&mut items, now);
-        if items.is_empty() && !self.needs_note(now) && !self.instances.wants_token() {
-            self.confirm(journal, now);
+        if items.is_empty() && !self.needs_silence_write(now) && !self.instances.needs_token() {
+            self.start_confirmation(journal, now);
             return;
         }
         self.wrote_at = now;
-        let silent = self.begin_note(now);
-        let returns = self.returns.clone();
+        let silent = self.begin_silence_write(now);
+        let results = self.journal_results.clone();
         let mut journal = journal;
         actix_rt::spawn(async move {
             let result = journal.write(items, silent).await;
             // The send fails only if the owner has ended.
-            let _ = returns.send((journal, plan, result));
+            let _ = results.send((journal, plan, result));
         });
     }
 
     /// Reads the journal's head to confirm ownership, unless that was done of late. A failed
     /// read leaves the time of the last confirmation as it was.
-    fn confirm(&mut self, journal: PoolJournal<P::Store>, now: Millis) {
-        if now < self.confirmed.get().max(self.wrote_at) + CONFIRM_INTERVAL_MS {
+    fn start_confirmation(&mut self, journal: PoolJournal<P::Store>, now: Millis) {
+        if now < self.confirmed_at.get().max(self.wrote_at) + CONFIRM_INTERVAL_MS {
             self.journal = Some(journal);
             return;
         }
         self.wrote_at = now;
-        let returns = self.returns.clone();
-        let known = self.confirmed.get();
+        let results = self.journal_results.clone();
+        let known = self.confirmed_at.get();
         actix_rt::spawn(async move {
             let result = match journal.confirm().await {
                 Ok(result) => result,
@@ -123,7 +123,7 @@
                 }
             };
             // The send fails only if the owner has ended.
-            let _ = returns.send((journal, FlushPlan::default(), result));
+            let _ = results.send((journal, FlushPlan::default(), result));
         });
     }
 
@@ -133,23 +133,24 @@
     /// # Errors
     ///
     /// Fails when another node owns the pool.
-    pub(super) fn take_journal(
+    pub(super) fn finish_write(
         &mut self,
-        back: JournalReturn<P::Store>,
+        result: JournalResult<P::Store>,
     ) -> Result<(), JournalError> {
-        let (journal, plan, result) = back;
-        let confirmed = result?;
+        let (journal, plan, result) = result;
+        let confirmed_at = result?;
         self.instances.tokens.raise(journal.token());
         self.journal = Some(journal);
         self.open_waiting();
-        self.finish_note();
-        self.confirmed.set(self.confirmed.get().max(confirmed));
+        self.finish_silence_write();
+        self.confirmed_at
+            .set(self.confirmed_at.get().max(confirmed_at));
         let now = self.now();
         let starts = self.state.finish_flush(&plan, now);
-        self.start_all(starts);
+        self.queue_starts(starts);
         for (runner, seen) in &plan.acked_ends {
             if let Some(session) = self.sessions.get(runner) {
-                session.set_recorded(*seen);
+                session.acknowledge(*seen);
             }
         }
         Ok(())
@@ -157,15 +158,15 @@
 
     /// The entry with the counts of waiting jobs, if they changed and a write of them is due.
     fn counts_item(&mut self, now: Millis) -> Option<SwapItem> {
-        if now < self.counted_at + COUNTS_INTERVAL_MS {
+        if now < self.counts_written_at + COUNTS_INTERVAL_MS {
             return None;
         }
         let counts = self.state.waiting_jobs();
-        if counts == self.counts {
+        if counts == self.waiting_counts {
             return None;
         }
-        self.counted_at = now;
-        self.counts.clone_from(&counts);
+        self.counts_written_at = now;
+        self.waiting_counts.clone_from(&counts);
         let key = self.context.keys.counts(&self.context.pool);
         Some(put(key, encode_record(&counts)))
     }
--- a/crates/hoisthitch-scheduler/src/session/holds.rs
+++ b/crates/hoisthitch-scheduler/src/session/heartbeats.rs
@@ -26,7 +26,7 @@
     SessionContext,
     SessionEvent,
     lease::{
-        HoldLease,
+        GrantedLease,
         LeaseClock, //
     }, //
 };
@@ -77,55 +77,55 @@
 const REFUSALS_OF_ENDED_PROCESS: u32 = 2;
 
 /// Signals of the owner to the heartbeats of a session.
-pub(super) struct HoldSignals {
+pub(super) struct HeartbeatSignals {
     /// Number of the last recorded end.
-    pub(super) told: watch::Receiver<u64>,
+    pub(super) recorded_end: watch::Receiver<u64>,
     /// Number of missed heartbeats up to which the runner may have leases again.
-    pub(super) settled: watch::Receiver<u64>,
+    pub(super) cleared_misses: watch::Receiver<u64>,
     /// Notified when the runner may have another instance.
-    pub(super) hint: Rc<Notify>,
+    pub(super) instance_check: Rc<Notify>,
 }
 
 /// The heartbeats of a session.
-pub(super) struct HoldLoop<R> {
+pub(super) struct HeartbeatLoop<R> {
     context: Rc<SessionContext<R>>,
     clock: Rc<LeaseClock>,
-    signals: HoldSignals,
+    signals: HeartbeatSignals,
     /// Start time of the current instance, if it is known.
     instance: Option<u64>,
     /// When the last response came; none after a heartbeat without one.
-    answered: Option<Millis>,
+    responded_at: Option<Millis>,
     /// Number of heartbeats without a response so far; one at the beginning, since a runner
     /// counts as silent before its first response.
-    silences: u64,
+    misses: u64,
     /// Consecutive heartbeats that found nothing listening; none before the first response.
     refusals: Option<u32>,
 }
 
 /// A heartbeat that is about to be sent.
 #[derive(Clone, Copy)]
-struct HoldPlan {
+struct HeartbeatPlan {
     asked_at: Millis,
     /// Number of the last recorded end, whether this heartbeat acknowledges it or not.
-    recorded: u64,
+    recorded_end: u64,
     /// Whether the heartbeat acknowledges it.
     acknowledges: bool,
-    lease: Option<HoldLease>,
+    lease: Option<GrantedLease>,
 }
 
-impl<R: RunnerControl> HoldLoop<R> {
+impl<R: RunnerControl> HeartbeatLoop<R> {
     pub(super) fn new(
         context: Rc<SessionContext<R>>,
         clock: Rc<LeaseClock>,
-        signals: HoldSignals,
+        signals: HeartbeatSignals,
     ) -> Self {
         Self {
             instance: context.address.instance.started_at,
             context,
             clock,
             signals,
-            answered: None,
-            silences: 1,
+            responded_at: None,
+            misses: 1,
             refusals: None,
         }
     }
@@ -133,7 +133,7 @@
     /// Sends heartbeats until the owner ends the session, or a response shows another instance,
     /// another runner or a higher fencing token.
     pub(super) async fn run(mut self) {
-        while self.signals.told.has_changed().is_ok() {
+        while self.signals.recorded_end.has_changed().is_ok() {
             let plan = self.plan();
             let asked = self
                 .context
@@ -141,64 +141,68 @@
                 .heartbeat(&self.context.address, self.request(plan));
             let answer = tokio::select! {
                 answer = asked => Some(answer),
-                () = self.signals.hint.notified() => None,
+                () = self.signals.instance_check.notified() => None,
             };
             match answer {
                 Some(Ok(report)) => {
-                    if let Some(started_at) = self.new_birth(&report) {
+                    if let Some(started_at) = self.new_start_time(&report) {
                         let runner = self.context.key;
                         return self
                             .context
-                            .tell(SessionEvent::Renewed { runner, started_at });
+                            .emit(SessionEvent::Restarted { runner, started_at });
                     }
-                    self.take_report(plan, report).await;
+                    self.handle_report(plan, report).await;
                 }
                 Some(Err(RunnerError::WrongLife)) => {
                     let runner = self.context.key;
-                    return self.context.tell(SessionEvent::Replaced { runner });
+                    return self.context.emit(SessionEvent::Replaced { runner });
                 }
                 Some(Err(RunnerError::Fenced)) => {
                     let runner = self.context.key;
-                    return self.context.tell(SessionEvent::Fenced { runner });
+                    return self.context.emit(SessionEvent::Fenced { runner });
                 }
                 Some(Err(err)) => {
                     self.log_lost(&err);
                     self.count_refusal(&err);
                     let now = self.context.shared.clock.now();
                     let waited = Duration::from_millis(now.saturating_sub(plan.asked_at));
-                    self.miss(waited < self.request(plan).wait + RESET_TIMEOUT);
+                    self.record_miss(waited < self.request(plan).wait + RESET_TIMEOUT);
                     if self.refusals == Some(REFUSALS_OF_ENDED_PROCESS) {
                         let runner = self.context.key;
-                        self.context.tell(SessionEvent::Ended { runner });
+                        self.context.emit(SessionEvent::ProcessExited { runner });
                     }
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
-                None => self.miss(false),
+                None => self.record_miss(false),
             }
         }
     }
 
     /// Plans the next heartbeat. It grants a lease only if the runner responded to the last one,
     /// and if the owner allows leases again after the missed ones.
-    fn plan(&mut self) -> HoldPlan {
-        let recorded = *self.signals.told.borrow_and_update();
+    fn plan(&mut self) -> HeartbeatPlan {
+        let recorded_end = *self.signals.recorded_end.borrow_and_update();
         let asked_at = self.context.shared.clock.now();
         let is_fresh = |at| asked_at < at + FRESH_RESPONSE_MS;
-        let is_settled = *self.signals.settled.borrow() >= self.silences;
-        let may_run = self.answered.is_some() && is_settled;
-        HoldPlan {
+        let is_cleared = *self.signals.cleared_misses.borrow() >= self.misses;
+        let may_run = self.responded_at.is_some() && is_cleared;
+        HeartbeatPlan {
             asked_at,
-            recorded,
-            acknowledges: self.answered.is_some_and(is_fresh),
+            recorded_end,
+            acknowledges: self.responded_at.is_some_and(is_fresh),
             lease: self.context.lease(&self.clock, asked_at, may_run),
         }
     }
 
-    fn request(&self, plan: HoldPlan) -> HeartbeatRequest {
-        let waits = plan.lease.is_some() && plan.is_whole();
+    fn request(&self, plan: HeartbeatPlan) -> HeartbeatRequest {
+        let waits = plan.lease.is_some() && plan.acknowledges_all();
         HeartbeatRequest {
             epoch: self.context.token,
-            acked_end: if plan.acknowledges { plan.recorded } else { 0 },
+            acked_end: if plan.acknowledges {
+                plan.recorded_end
+            } else {
+                0
+            },
             lease_end_ms: plan.lease.map(|lease| lease.lease_end_ms),
             wait: if waits {
                 HEARTBEAT_WAIT
@@ -211,39 +215,42 @@
     /// Start time of the instance that responded, if it is not the one before. Heartbeats of a
     /// session go one after the other, so that another instance is always a later one, whatever
     /// the start times say: a VM's time of day may have been set back.
-    fn new_birth(&self, report: &HeartbeatReport) -> Option<u64> {
+    fn new_start_time(&self, report: &HeartbeatReport) -> Option<u64> {
         let before = self.instance?;
         report.started_at.filter(|started_at| *started_at != before)
     }
 
     /// Handles the response to a heartbeat, and waits until the next one is due.
-    async fn take_report(&mut self, plan: HoldPlan, report: HeartbeatReport) {
+    async fn handle_report(&mut self, plan: HeartbeatPlan, report: HeartbeatReport) {
         let now = self.context.shared.clock.now();
-        self.answered = Some(now);
+        self.responded_at = Some(now);
         self.refusals = Some(0);
         self.instance = report.started_at.or(self.instance);
-        self.clock.read(report.clock_ms, now);
+        self.clock.record_reading(report.clock_ms, now);
         let last = report.ended.iter().map(|end| end.number).max();
-        self.context.tell(SessionEvent::Held {
+        self.context.emit(SessionEvent::HeartbeatSucceeded {
             runner: self.context.key,
             report,
             asked_at: plan.asked_at,
             leased_until: plan.lease.map(|lease| lease.until),
-            silences: self.silences,
+            misses: self.misses,
         });
-        if let Some(last) = last.filter(|last| *last > plan.recorded) {
-            let all_recorded = self.signals.told.wait_for(|recorded| *recorded >= last);
+        if let Some(last) = last.filter(|last| *last > plan.recorded_end) {
+            let all_recorded = self
+                .signals
+                .recorded_end
+                .wait_for(|recorded| *recorded >= last);
             // If they are not recorded in time, the next heartbeat reports the same ends.
             let _ = timeout(RECORD_TIMEOUT, all_recorded).await;
-        } else if plan.is_whole() {
+        } else if plan.acknowledges_all() {
             tokio::time::sleep(self.context.heartbeat_interval()).await;
         }
         // A heartbeat that may not grant a lease is not useful yet.
-        let silences = self.silences;
+        let misses = self.misses;
         let may_run = self
             .signals
-            .settled
-            .wait_for(|settled| *settled >= silences);
+            .cleared_misses
+            .wait_for(|cleared_misses| *cleared_misses >= misses);
         let _ = timeout(RECORD_TIMEOUT, may_run).await;
     }
 
@@ -257,7 +264,7 @@
 
     /// Logs the first failed heartbeat after a response.
     fn log_lost(&self, err: &RunnerError) {
-        if self.answered.is_some() {
+        if self.responded_at.is_some() {
             event!(
                 Warn,
                 "runner_lost",
@@ -268,25 +275,27 @@
     }
 
     /// Handles a heartbeat without a response; `reset` says that it failed at once.
-    fn miss(&mut self, reset: bool) {
-        self.answered = None;
-        self.silences += 1;
+    fn record_miss(&mut self, reset: bool) {
+        self.responded_at = None;
+        self.misses += 1;
         let runner = self.context.key;
-        self.context.tell(SessionEvent::Missed { runner, reset });
+        self.context
+            .emit(SessionEvent::HeartbeatMissed { runner, reset });
     }
 }
 
-impl HoldPlan {
+impl HeartbeatPlan {
     /// Whether no end is left to acknowledge with another heartbeat.
-    fn is_whole(self) -> bool {
-        self.acknowledges || self.recorded == 0
+    fn acknowledges_all(self) -> bool {
+        self.acknowledges || self.recorded_end == 0
     }
 }
 
 impl<R> SessionContext<R> {
     /// Interval between two heartbeats; it grows with the number of the owner's sessions.
     fn heartbeat_interval(&self) -> Duration {
-        let gap = MIN_HEARTBEAT_INTERVAL.max(HEARTBEAT_INTERVAL_PER_RUNNER * self.sessions.get());
+        let gap =
+            MIN_HEARTBEAT_INTERVAL.max(HEARTBEAT_INTERVAL_PER_RUNNER * self.session_count.get());
         gap.min(MAX_HEARTBEAT_INTERVAL)
     }
 }
--- a/crates/hoisthitch-scheduler/src/session/lease.rs
+++ b/crates/hoisthitch-scheduler/src/session/lease.rs
@@ -24,11 +24,11 @@
 
 /// Time after the last confirmation of its ownership by which everything that an owner ordered
 /// has ended, in milliseconds.
-pub(crate) const LAST_RUN_MS: Millis = longest_run(LEASE_CAP_MS);
+pub(crate) const MAX_RUN_AFTER_CONFIRMATION_MS: Millis = max_run_ms(LEASE_CAP_MS);
 
 /// Time by which everything on a runner has ended after an owner granted it the longest lease
 /// of a heartbeat, in milliseconds.
-pub(crate) const FULL_RUN_MS: Millis = longest_run(LEASE_MS);
+pub(crate) const MAX_RUN_MS: Millis = max_run_ms(LEASE_MS);
 
 /// Longest lease that a runner accepts, in milliseconds; the platform's longest limit in all
 /// deployments.
@@ -37,7 +37,7 @@
 /// Time by which everything has ended on a restarted runner, from when it refuses orders for
 /// its previous instance, in milliseconds. Until then such an order may have granted it a
 /// lease by the previous instance's clock, and so of any length.
-pub(crate) const STRAY_RUN_MS: Millis = longest_run(RUNNER_MAX_LEASE_MS);
+pub(crate) const MAX_STRAY_RUN_MS: Millis = max_run_ms(RUNNER_MAX_LEASE_MS);
 
 /// Maximum drift by which a runner's clock may run slow, in percent; the platform's limit.
 const MAX_CLOCK_DRIFT_PERCENT: Millis = 2;
@@ -52,14 +52,14 @@
     /// The runner's clock minus this node's, as a lower bound.
     pub(super) offset: Cell<Option<i64>>,
     /// Latest end of a granted lease, by the runner's clock.
-    pub(super) granted: Cell<u64>,
+    pub(super) granted_until_remote: Cell<u64>,
     /// The same by this node's clock.
-    pub(super) granted_here: Cell<Millis>,
+    pub(super) granted_until: Cell<Millis>,
 }
 
 /// The lease that a heartbeat grants.
 #[derive(Clone, Copy)]
-pub(super) struct HoldLease {
+pub(super) struct GrantedLease {
     /// Its end by the runner's clock.
     pub(super) lease_end_ms: u64,
     /// Its end by this node's clock.
@@ -77,20 +77,24 @@
         clock: &LeaseClock,
         now: Millis,
         may_run: bool,
-    ) -> Option<HoldLease> {
+    ) -> Option<GrantedLease> {
         let offset = clock.offset.get().filter(|_| may_run)?;
-        let until = (now + LEASE_MS).min(self.confirmed.get() + LEASE_CAP_MS);
+        let until = (now + LEASE_MS).min(self.confirmed_at.get() + LEASE_CAP_MS);
         if until <= now {
             return None;
         }
-        self.tell(SessionEvent::Extended {
+        self.emit(SessionEvent::LeaseGranted {
             runner: self.key,
-            until: now + longest_run(until - now),
+            until: now + max_run_ms(until - now),
         });
         let lease_end_ms = until.checked_add_signed(offset)?;
-        clock.granted.set(clock.granted.get().max(lease_end_ms));
-        clock.granted_here.set(clock.granted_here.get().max(until));
-        Some(HoldLease {
+        clock
+            .granted_until_remote
+            .set(clock.granted_until_remote.get().max(lease_end_ms));
+        clock
+            .granted_until
+            .set(clock.granted_until.get().max(until));
+        Some(GrantedLease {
             lease_end_ms,
             until,
         })
@@ -98,13 +102,13 @@
 }
 
 /// Time within which everything under a lease of that length has ended, in milliseconds.
-const fn longest_run(lease: Millis) -> Millis {
+const fn max_run_ms(lease: Millis) -> Millis {
     lease * (100 + MAX_CLOCK_DRIFT_PERCENT) / 100 + LEASE_SLACK_MS
 }
 
 impl LeaseClock {
     /// Records a reading of the runner's clock that was received at `now`.
-    pub(super) fn read(&self, clock_ms: u64, now: Millis) {
+    pub(super) fn record_reading(&self, clock_ms: u64, now: Millis) {
         let offset = i64::try_from(clock_ms).ok().zip(i64::try_from(now).ok());
         self.offset
             .set(offset.map(|(remote, local)| remote - local));
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -1,11 +1,11 @@
 //! Sessions of an owner with the runners of its pool.
 //!
 //! A session sends heartbeats without a break: each renews the lease of what runs on the
-//! runner, acknowledges the last recorded end, and waits for the next end ([`holds`]).
+//! runner, acknowledges the last recorded end, and waits for the next end ([`heartbeats`]).
 //! Independently of them, orders are sent one after the other ([`orders`]). The owner drops a
 //! [`RunnerSession`] to end the session, and receives [`SessionEvent`]s.
 
-mod holds;
+mod heartbeats;
 mod lease;
 mod orders;
 
@@ -32,20 +32,20 @@
 };
 
 pub(crate) use self::lease::{
-    FULL_RUN_MS,
-    LAST_RUN_MS,
-    STRAY_RUN_MS, //
+    MAX_RUN_AFTER_CONFIRMATION_MS,
+    MAX_RUN_MS,
+    MAX_STRAY_RUN_MS, //
 };
 use self::{
-    holds::{
-        HoldLoop, //
-        HoldSignals,
+    heartbeats::{
+        HeartbeatLoop,
+        HeartbeatSignals, //
     },
     lease::LeaseClock,
     orders::{
         OrderQueue,
         WithdrawnRuns,
-        carry_orders, //
+        send_orders, //
     }, //
 };
 use crate::{
@@ -64,9 +64,9 @@
 #[derive(Debug)]
 pub(crate) enum SessionEvent {
     /// A lease is granted with the next heartbeat: what runs on the runner has ended by `until`.
-    Extended { runner: RunnerKey, until: Millis },
+    LeaseGranted { runner: RunnerKey, until: Millis },
     /// A heartbeat succeeded.
-    Held {
+    HeartbeatSucceeded {
         runner: RunnerKey,
         report: HeartbeatReport,
         /// When the heartbeat was sent.
@@ -75,29 +75,29 @@
         /// granted none.
         leased_until: Option<Millis>,
         /// Number of heartbeats that the runner missed so far.
-        silences: u64,
+        misses: u64,
     },
     /// A heartbeat got no response.
-    Missed {
+    HeartbeatMissed {
         runner: RunnerKey,
         /// Whether it failed at once, since nothing listens at the address.
         reset: bool,
     },
     /// The runner's process has ended, and no other runs in its place.
-    Ended { runner: RunnerKey },
+    ProcessExited { runner: RunnerKey },
     /// Another runner responded at the runner's address.
     Replaced { runner: RunnerKey },
     /// Another instance of the runner responded, which started at `started_at`.
-    Renewed { runner: RunnerKey, started_at: u64 },
+    Restarted { runner: RunnerKey, started_at: u64 },
     /// The runner has seen a higher fencing token.
     Fenced { runner: RunnerKey },
     /// The outcome of a start.
-    Started {
+    StartFinished {
         order: StartOrder,
         outcome: StartOutcome,
     },
     /// A stop was acknowledged.
-    Stopped(StopOrder),
+    StopAcknowledged(StopOrder),
     /// The pace of a best-effort task was not set.
     PaceFailed(PaceOrder),
 }
@@ -114,13 +114,13 @@
 /// The owner's end of a session; the session ends when it is dropped.
 pub(crate) struct RunnerSession {
     /// Number of the last recorded end.
-    recorded: watch::Sender<u64>,
+    recorded_end: watch::Sender<u64>,
     orders: mpsc::Sender<RunnerOrder>,
     withdrawn: WithdrawnRuns,
     /// Number of missed heartbeats up to which the runner may have leases again.
-    settled: watch::Sender<u64>,
+    cleared_misses: watch::Sender<u64>,
     /// Notified when the runner may have another instance.
-    hint: Rc<Notify>,
+    instance_check: Rc<Notify>,
     /// Where the runner listens.
     pub(crate) address: SocketAddr,
 }
@@ -138,9 +138,9 @@
     /// When the ownership was last confirmed. Shared and read for each lease: when it was sent
     /// together with the recorded ends, it stood still while the owner had more to record than
     /// it could write, and all leases expired after eight seconds.
-    pub(crate) confirmed: Rc<Cell<Millis>>,
+    pub(crate) confirmed_at: Rc<Cell<Millis>>,
     /// Number of the owner's sessions.
-    pub(crate) sessions: Rc<Cell<u32>>,
+    pub(crate) session_count: Rc<Cell<u32>>,
     pub(crate) key: RunnerKey,
     pub(crate) address: RunnerAddress,
     pub(crate) events: mpsc::UnboundedSender<SessionEvent>,
@@ -149,54 +149,54 @@
 impl RunnerSession {
     /// Opens a session: starts its heartbeats and the sending of its orders.
     pub(crate) fn open<R: RunnerControl>(context: SessionContext<R>) -> Self {
-        let (recorded, told) = watch::channel(0);
+        let (recorded_end, end_receiver) = watch::channel(0);
         let (orders, queue) = mpsc::channel(ORDER_QUEUE_LEN);
         let context = Rc::new(context);
         let clock = Rc::new(LeaseClock::default());
-        let (settled, silences) = watch::channel(0);
-        let hint = Rc::new(Notify::new());
+        let (cleared_misses, miss_receiver) = watch::channel(0);
+        let instance_check = Rc::new(Notify::new());
         let withdrawn = WithdrawnRuns::default();
         let address = context.address.address;
-        let carried = OrderQueue {
+        let order_queue = OrderQueue {
             queue,
             withdrawn: withdrawn.clone(),
         };
-        actix_rt::spawn(carry_orders(context.clone(), clock.clone(), carried));
-        let signals = HoldSignals {
-            told,
-            settled: silences,
-            hint: hint.clone(),
+        actix_rt::spawn(send_orders(context.clone(), clock.clone(), order_queue));
+        let signals = HeartbeatSignals {
+            recorded_end: end_receiver,
+            cleared_misses: miss_receiver,
+            instance_check: instance_check.clone(),
         };
-        actix_rt::spawn(HoldLoop::new(context, clock, signals).run());
+        actix_rt::spawn(HeartbeatLoop::new(context, clock, signals).run());
         Self {
-            recorded,
+            recorded_end,
             orders,
             withdrawn,
-            settled,
-            hint,
+            cleared_misses,
+            instance_check,
             address,
         }
     }
 
     /// Sends a heartbeat at once, to learn which instance of the runner is current.
-    pub(crate) fn ask_life(&self) {
-        self.hint.notify_one();
+    pub(crate) fn check_instance(&self) {
+        self.instance_check.notify_one();
     }
 
     /// Lets the runner have leases again after that many missed heartbeats: an earlier end of
     /// its runs is not relied on any more.
-    pub(crate) fn settle(&self, silences: u64) {
-        self.settled.send_if_modified(|settled| {
-            let later = silences > *settled;
-            *settled = silences.max(*settled);
+    pub(crate) fn allow_leases(&self, misses: u64) {
+        self.cleared_misses.send_if_modified(|cleared_misses| {
+            let later = misses > *cleared_misses;
+            *cleared_misses = misses.max(*cleared_misses);
             later
         });
     }
 
     /// Acknowledges the ends up to that number with the next heartbeat; the runner may forget
     /// them.
-    pub(crate) fn set_recorded(&self, number: u64) {
-        self.recorded.send_if_modified(|recorded| {
+    pub(crate) fn acknowledge(&self, number: u64) {
+        self.recorded_end.send_if_modified(|recorded| {
             let changed = *recorded != number;
             *recorded = number;
             changed
@@ -204,7 +204,7 @@
     }
 
     /// Queues an order; returns whether there was room for it.
-    pub(crate) fn order(&self, order: RunnerOrder) -> bool {
+    pub(crate) fn queue_order(&self, order: RunnerOrder) -> bool {
         if let RunnerOrder::Stop(stop) = &order {
             let run = (stop.name.clone(), stop.run);
             self.withdrawn.borrow_mut().insert(run);
@@ -214,7 +214,7 @@
 }
 
 impl<R> SessionContext<R> {
-    fn tell(&self, event: SessionEvent) {
+    fn emit(&self, event: SessionEvent) {
         // The send fails only if the owner has ended.
         let _ = self.events.send(event);
     }
--- a/crates/hoisthitch-scheduler/src/session/orders.rs
+++ b/crates/hoisthitch-scheduler/src/session/orders.rs
@@ -90,7 +90,7 @@
 }
 
 /// Sends queued orders one after the other until the session ends.
-pub(super) async fn carry_orders<R: RunnerControl>(
+pub(super) async fn send_orders<R: RunnerControl>(
     context: Rc<SessionContext<R>>,
     clock: Rc<LeaseClock>,
     mut orders: OrderQueue,
@@ -121,7 +121,7 @@
 ) {
     let lease = OrderLease {
         epoch: context.token,
-        lease_end_ms: clock.granted.get(),
+        lease_end_ms: clock.granted_until_remote.get(),
     };
     let sent = context.shared.clock.now();
     let age_ms = sent.saturating_sub(order.decided_at);
@@ -151,13 +151,13 @@
     context.count("start", counted);
     if outcome == StartOutcome::Fenced {
         let runner = context.key;
-        context.tell(SessionEvent::Fenced { runner });
+        context.emit(SessionEvent::Fenced { runner });
     }
     if outcome == StartOutcome::WrongLife {
         let runner = context.key;
-        context.tell(SessionEvent::Replaced { runner });
+        context.emit(SessionEvent::Replaced { runner });
     }
-    context.tell(SessionEvent::Started { order, outcome });
+    context.emit(SessionEvent::StartFinished { order, outcome });
 }
 
 /// Sends a stop; only an acknowledged stop is reported to the owner.
@@ -176,7 +176,7 @@
         outcome = outcome
     );
     if stopped.is_ok() {
-        context.tell(SessionEvent::Stopped(order));
+        context.emit(SessionEvent::StopAcknowledged(order));
     }
 }
 
@@ -197,7 +197,7 @@
         outcome = outcome
     );
     if paced.is_err() {
-        context.tell(SessionEvent::PaceFailed(order));
+        context.emit(SessionEvent::PaceFailed(order));
     }
 }
 
@@ -227,7 +227,7 @@
         if now > admitted_at + MAX_START_QUEUED_MS {
             return Some(StartRefusal::QueuedTooLong);
         }
-        (clock.granted_here.get() <= now).then_some(StartRefusal::LeaseExpired)
+        (clock.granted_until.get() <= now).then_some(StartRefusal::LeaseExpired)
     }
 
     /// Drops a start and reports that to the owner, which decides again.
@@ -249,7 +249,7 @@
         let counter = &self.shared.metrics.starts_not_sent;
         counter.with_label_values(&[refusal.as_str()]).inc();
         let outcome = StartOutcome::NotSent;
-        self.tell(SessionEvent::Started { order, outcome });
+        self.emit(SessionEvent::StartFinished { order, outcome });
     }
 
     /// Counts an order in the metrics.
--- a/crates/hoisthitch-scheduler/src/vms/share.rs
+++ b/crates/hoisthitch-scheduler/src/vms/balance.rs
@@ -12,10 +12,10 @@
 use hoisthitch_store::StoreClient;
 
 use super::{
-    PoolNeed,
+    DemandAnswer,
     VmWorkError,
     ledger::{
-        ShareRecord,
+        BalanceRecord,
         VmClaim, //
     },
     moves::MoveWorker, //
@@ -32,17 +32,17 @@
 impl<P: Platform> MoveWorker<P> {
     /// Takes over the pool's record from an earlier owner, whose orders may still be in transit:
     /// blocks the VMs of those orders, and VMs that other pools are sending here.
-    pub(super) async fn settle_in(&mut self) -> Result<(), VmWorkError> {
+    pub(super) async fn adopt_record(&mut self) -> Result<(), VmWorkError> {
         let pool = &self.ledger.context.pool;
-        for (other, share) in self.read_shares().await? {
+        for (other, balance) in self.read_balances().await? {
             if other != *pool {
-                let here = share.sent.into_iter().filter(|(_, to)| to == pool);
+                let here = balance.sent.into_iter().filter(|(_, to)| to == pool);
                 self.ledger.block(here.map(|(vm, _)| vm));
             }
         }
         // A write that finds the record of an earlier owner blocks its VMs.
         self.ledger.publish(None).await?;
-        self.ledger.settle();
+        self.ledger.mark_adopted();
         Ok(())
     }
 
@@ -60,14 +60,14 @@
 
     /// The balance to publish now. VMs that have arrived elsewhere, or should have, are
     /// released.
-    pub(super) fn make_share(
+    pub(super) fn make_balance(
         &mut self,
-        need: &PoolNeed,
+        need: &DemandAnswer,
         vms: Vec<String>,
         spare: bool,
         now: Millis,
     ) -> VmBalance {
-        let forecast = self.wants.forecast(need.want, now);
+        let forecast = self.demand.forecast(need.want, now);
         let ledger = &self.ledger;
         self.sent.retain(|vm, (_, at)| {
             // A VM that is not listed here any more has certainly left; the other pool counts it
@@ -103,8 +103,8 @@
         let names: BTreeSet<String> = own.map(|row| row.name.clone()).collect();
         self.idle.retain(|vm, _| names.contains(vm));
         // VMs that were listed before the first pass have stayed long enough, or are blocked.
-        let since = if self.listed { now } else { 0 };
-        self.listed = true;
+        let since = if self.idle_listed { now } else { 0 };
+        self.idle_listed = true;
         for vm in names {
             self.idle.entry(vm).or_insert(since);
         }
@@ -112,16 +112,16 @@
     }
 
     /// Reads the published balances of all pools, by pool.
-    pub(super) async fn read_shares(&self) -> Result<BTreeMap<String, VmBalance>, VmWorkError> {
+    pub(super) async fn read_balances(&self) -> Result<BTreeMap<String, VmBalance>, VmWorkError> {
         let context = &self.ledger.context;
         let prefix = context.keys.vm_balances_prefix();
         let values = context.platform.store().read_prefix(&prefix).await?;
-        let mut shares = BTreeMap::new();
+        let mut balances = BTreeMap::new();
         for value in values {
-            let record: ShareRecord = serde_json::from_slice(&value.value)?;
+            let record: BalanceRecord = serde_json::from_slice(&value.value)?;
             let pool = value.key.strip_prefix(prefix.as_str()).unwrap_or_default();
-            shares.insert(pool.to_owned(), record.share);
+            balances.insert(pool.to_owned(), record.balance);
         }
-        Ok(shares)
+        Ok(balances)
     }
 }
--- a/crates/hoisthitch-scheduler/src/vms/ledger.rs
+++ b/crates/hoisthitch-scheduler/src/vms/ledger.rs
@@ -45,9 +45,9 @@
 
 /// Time for which a new owner gives no order about a VM that an earlier owner may have given
 /// an order about, in milliseconds: that order may be in transit until its owner's right to
-/// give orders ([`super::DOUBT_MS`]) and the timeout of a call are over, and orders of two
+/// give orders ([`super::OWNERSHIP_VALID_MS`]) and the timeout of a call are over, and orders of two
 /// owners about one VM may not alternate within the platform's three seconds.
-pub(super) const SETTLE_MS: Millis = 3_200;
+pub(super) const EARLIER_ORDER_BLOCK_MS: Millis = 3_200;
 
 /// Time for which an order about a VM counts as recent, in milliseconds; the time above with a
 /// margin.
@@ -55,13 +55,14 @@
 
 /// Record that the pool's owner publishes; written before each order about a VM.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub(super) struct ShareRecord {
+pub(super) struct BalanceRecord {
     /// Epoch of the owner: the revision of its election.
     pub(super) epoch: u64,
     /// Number of the write under this owner.
     pub(super) sequence: u64,
     /// VMs that the pool has, wants and keeps.
-    pub(super) share: VmBalance,
+    #[serde(rename = "share")]
+    pub(super) balance: VmBalance,
     /// VMs that this owner gave orders about recently, or is about to.
     #[serde(default)]
     pub(super) recent: Vec<String>,
@@ -83,15 +84,15 @@
 
 /// The record in the store, as last written or found.
 #[derive(Debug, Default)]
-struct ShareWriter {
-    record: ShareRecord,
+struct BalanceWriter {
+    record: BalanceRecord,
     revision: StoreRevision,
 }
 
 /// Which VMs of a pool orders may be given about, and under which token.
 pub(super) struct VmLedger<P> {
     pub(super) context: VmContext<P>,
-    writer: Mutex<ShareWriter>,
+    writer: Mutex<BalanceWriter>,
     /// VMs that orders were given about recently, and when.
     ordered: RefCell<BTreeMap<String, Millis>>,
     /// VMs that an earlier owner may have given orders about, and until when this owner gives
@@ -99,7 +100,7 @@
     blocked: RefCell<BTreeMap<String, Millis>>,
     claims: RefCell<BTreeMap<String, VmClaim>>,
     /// Whether the record was written by this owner.
-    settled: Cell<bool>,
+    adopted: Cell<bool>,
 }
 
 impl<P: Platform> VmLedger<P> {
@@ -111,7 +112,7 @@
             ordered: RefCell::default(),
             blocked: RefCell::default(),
             claims: RefCell::default(),
-            settled: Cell::new(false),
+            adopted: Cell::new(false),
         }
     }
 
@@ -128,13 +129,13 @@
     }
 
     /// Whether the recent orders of earlier owners are known.
-    pub(super) fn is_settled(&self) -> bool {
-        self.settled.get()
+    pub(super) fn is_adopted(&self) -> bool {
+        self.adopted.get()
     }
 
     /// Records that the recent orders of earlier owners are known.
-    pub(super) fn settle(&self) {
-        self.settled.set(true);
+    pub(super) fn mark_adopted(&self) {
+        self.adopted.set(true);
     }
 
     /// Claims a VM; returns whether it has no other claim.
@@ -157,9 +158,9 @@
         claims.get(vm).is_some_and(|claim| *claim != but)
     }
 
-    /// Blocks orders about VMs for [`SETTLE_MS`].
+    /// Blocks orders about VMs for [`EARLIER_ORDER_BLOCK_MS`].
     pub(super) fn block(&self, vms: impl IntoIterator<Item = String>) {
-        self.block_for(vms.into_iter().map(|vm| (vm, SETTLE_MS)));
+        self.block_for(vms.into_iter().map(|vm| (vm, EARLIER_ORDER_BLOCK_MS)));
     }
 
     /// Blocks orders about VMs, each for its own time in milliseconds.
@@ -173,7 +174,7 @@
     }
 
     /// VMs that are still blocked, with the remaining time in milliseconds.
-    fn still_blocked(&self, now: Millis) -> BTreeMap<String, Millis> {
+    fn remaining_blocks(&self, now: Millis) -> BTreeMap<String, Millis> {
         let mut blocked = self.blocked.borrow_mut();
         blocked.retain(|_, until| *until > now);
         blocked
@@ -192,39 +193,39 @@
     /// Records that orders about VMs follow, with the published state if that changes, and
     /// returns their fencing token. A token counts for the orders about one VM, so that several
     /// VMs may share it; each VM gets one order under it.
-    pub(super) async fn authorize<'a>(
+    pub(super) async fn issue_token<'a>(
         &self,
         vms: impl IntoIterator<Item = &'a String>,
-        share: Option<VmBalance>,
+        balance: Option<VmBalance>,
     ) -> Result<u64, VmWorkError> {
         let now = self.now();
         let vms = vms.into_iter().map(|vm| (vm.clone(), now));
         self.ordered.borrow_mut().extend(vms);
-        self.publish(share).await
+        self.publish(balance).await
     }
 
     /// The record to write now.
-    fn make_record(&self, share: VmBalance, sequence: u64) -> ShareRecord {
+    fn make_record(&self, balance: VmBalance, sequence: u64) -> BalanceRecord {
         let now = self.now();
         let mut ordered = self.ordered.borrow_mut();
         ordered.retain(|_, at| *at + RECENT_ORDER_MS > now);
-        ShareRecord {
+        BalanceRecord {
             epoch: self.context.epoch,
             sequence,
-            share,
+            balance,
             recent: ordered.keys().cloned().collect(),
-            blocked: self.still_blocked(now),
+            blocked: self.remaining_blocks(now),
         }
     }
 
     /// Writes the pool's record, with the last published state again if none is given; returns
     /// the revision of the write.
-    pub(super) async fn publish(&self, share: Option<VmBalance>) -> Result<u64, VmWorkError> {
+    pub(super) async fn publish(&self, balance: Option<VmBalance>) -> Result<u64, VmWorkError> {
         let key = self.context.keys.vm_balance(&self.context.pool);
         let mut writer = self.writer.lock().await;
-        let share = share.unwrap_or_else(|| writer.record.share.clone());
+        let balance = balance.unwrap_or_else(|| writer.record.balance.clone());
         loop {
-            let record = self.make_record(share.clone(), writer.record.sequence + 1);
+            let record = self.make_record(balance.clone(), writer.record.sequence + 1);
             let item = SwapItem {
                 key: key.clone(),
                 expected: writer.revision,
@@ -234,7 +235,7 @@
             let written = self.context.platform.store().swap_all(vec![item]).await?;
             match written {
                 BatchOutcome::Written(revision) => {
-                    *writer = ShareWriter { record, revision };
+                    *writer = BalanceWriter { record, revision };
                     return Ok(u64::try_from(revision.0).unwrap_or(0));
                 }
                 BatchOutcome::Conflict(found) => {
@@ -242,7 +243,7 @@
                         writer.revision = StoreRevision::default();
                         continue;
                     };
-                    let other: ShareRecord = serde_json::from_slice(&stored.value)?;
+                    let other: BalanceRecord = serde_json::from_slice(&stored.value)?;
                     if other.epoch > self.context.epoch {
                         return Err(VmWorkError::Deposed);
                     }
@@ -250,7 +251,7 @@
                     writer.revision = stored.revision;
                     if other.epoch < self.context.epoch {
                         self.block(other.recent);
-                        self.block(other.share.sent.into_keys());
+                        self.block(other.balance.sent.into_keys());
                         self.block_for(other.blocked);
                     }
                 }
--- a/crates/hoisthitch-scheduler/src/vms/mod.rs
+++ b/crates/hoisthitch-scheduler/src/vms/mod.rs
@@ -9,10 +9,10 @@
 //! The loops know nothing of tasks. They ask the pool's owner by [`VmRequest`]s to evacuate
 //! runners and what the pool needs.
 
+mod balance;
 mod ledger;
 mod list;
 mod moves;
-mod share;
 mod wave_state;
 mod waves;
 
@@ -73,38 +73,40 @@
 
 /// Time after the last confirmation of ownership for which orders about VMs may be given, in
 /// milliseconds.
-const DOUBT_MS: Millis = 1_200;
+const OWNERSHIP_VALID_MS: Millis = 1_200;
 
 /// Maximum number of VMs of a pool that are evacuated at once to be moved to other pools. An
 /// evacuation takes one to three seconds, in which the limit of moves admits two hundred VMs.
 /// With forty, pools of two hundred VMs released 20 a second, which cost 6 percent of the
 /// attainable value there (docs/decisions.md).
-pub(crate) const SPARE_LIMIT: usize = 200;
+pub(crate) const MAX_EVACUATING: usize = 200;
 
 /// Requests of the VM loops to the pool's owner.
 #[derive(Debug)]
 pub(crate) enum VmRequest {
     /// Evacuate the runners. The reply has the status of each, or none if the runner is not
     /// known; all VMs whose runners are free may go down together.
-    Leave {
+    Evacuate {
         runners: Vec<String>,
         /// Whether tasks that can resume elsewhere are evicted.
-        vacate: bool,
+        evict: bool,
         reply: oneshot::Sender<Vec<Option<EvacuationStatus>>>,
     },
     /// Cancel the evacuation of the runners.
-    Stay { runners: Vec<String> },
+    CancelEvacuation { runners: Vec<String> },
     /// A VM went down with that instance of its runner.
-    Down { instance: RunnerInstance },
+    VmDown { instance: RunnerInstance },
     /// The runner's VM was ordered to go down, and there was no response.
-    Doubt { runner: String },
+    VmDownUnconfirmed { runner: String },
     /// Ask what the pool needs, and which runners it can spare.
-    Need { reply: oneshot::Sender<PoolNeed> },
+    Demand {
+        reply: oneshot::Sender<DemandAnswer>,
+    },
 }
 
 /// What a pool needs, has and can spare.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PoolNeed {
+pub(crate) struct DemandAnswer {
     /// Number of VMs that it needs.
     pub(crate) want: WantedVms,
     /// VMs of its runners.
@@ -121,7 +123,7 @@
     pub(crate) node: String,
     pub(crate) pool: String,
     pub(crate) epoch: u64,
-    pub(crate) confirmed: Rc<Cell<Millis>>,
+    pub(crate) confirmed_at: Rc<Cell<Millis>>,
     pub(crate) fleet: watch::Receiver<Arc<FleetView>>,
     pub(crate) owner: mpsc::Sender<VmRequest>,
 }
@@ -136,7 +138,7 @@
     #[error("a record can't be read: {0}")]
     Record(#[from] serde_json::Error),
     #[error("whether this node still owns the pool is not known")]
-    Doubt,
+    OwnershipUnconfirmed,
     #[error("another node owns the pool")]
     Deposed,
 }
@@ -147,11 +149,11 @@
     const NAME: &'static str;
 
     /// Makes one pass over the pool's VMs, and gives the orders that are due.
-    async fn look(&mut self) -> Result<(), VmWorkError>;
+    async fn run_pass(&mut self) -> Result<(), VmWorkError>;
 }
 
 /// Runs the VM loops of a pool until its owner ends or another node owns the pool.
-pub(crate) async fn run_vms<P: Platform>(context: VmContext<P>) {
+pub(crate) async fn run_vm_loops<P: Platform>(context: VmContext<P>) {
     let ledger = Rc::new(VmLedger::new(context));
     let list = Rc::new(VmList::default());
     let moves = MoveWorker::new(ledger.clone(), list.clone());
@@ -168,7 +170,7 @@
     let context = &ledger.context;
     while !context.owner.is_closed() {
         let begun = Instant::now();
-        match worker.look().await {
+        match worker.run_pass().await {
             Ok(()) => {}
             Err(VmWorkError::Deposed) => return,
             Err(err) => event!(
@@ -200,15 +202,19 @@
 impl<P: Platform> VmLedger<P> {
     /// Asks the owner to evacuate runners; returns the status of each, all held if the owner
     /// has ended.
-    async fn ask_leave(&self, runners: Vec<String>, vacate: bool) -> Vec<Option<EvacuationStatus>> {
+    async fn request_evacuation(
+        &self,
+        runners: Vec<String>,
+        evict: bool,
+    ) -> Vec<Option<EvacuationStatus>> {
         let held = vec![Some(EvacuationStatus::Held); runners.len()];
         if runners.is_empty() {
             return held;
         }
         let (reply, answer) = oneshot::channel();
-        let request = VmRequest::Leave {
+        let request = VmRequest::Evacuate {
             runners,
-            vacate,
+            evict,
             reply,
         };
         if self.context.owner.send(request).await.is_err() {
@@ -218,22 +224,23 @@
     }
 
     /// Sends a request without a reply to the owner.
-    async fn tell(&self, request: VmRequest) {
+    async fn notify_owner(&self, request: VmRequest) {
         // The send fails only if the owner has ended.
         let _ = self.context.owner.send(request).await;
     }
 
     /// Cancels the evacuation of runners.
-    async fn let_stay(&self, runners: Vec<String>) {
+    async fn cancel_evacuation(&self, runners: Vec<String>) {
         if !runners.is_empty() {
-            self.tell(VmRequest::Stay { runners }).await;
+            self.notify_owner(VmRequest::CancelEvacuation { runners })
+                .await;
         }
     }
 
     /// Checks that this node's ownership was confirmed a moment ago.
-    fn check_owner(&self) -> Result<(), VmWorkError> {
-        if self.now() > self.context.confirmed.get() + DOUBT_MS {
-            return Err(VmWorkError::Doubt);
+    fn check_ownership(&self) -> Result<(), VmWorkError> {
+        if self.now() > self.context.confirmed_at.get() + OWNERSHIP_VALID_MS {
+            return Err(VmWorkError::OwnershipUnconfirmed);
         }
         Ok(())
     }
--- a/crates/hoisthitch-scheduler/src/vms/moves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/moves.rs
@@ -23,13 +23,13 @@
 use tokio::sync::oneshot;
 
 use super::{
-    PoolNeed,
-    SPARE_LIMIT,
+    DemandAnswer,
+    MAX_EVACUATING,
     VmLoop,
     VmRequest,
     VmWorkError,
     ledger::{
-        SETTLE_MS,
+        EARLIER_ORDER_BLOCK_MS,
         VmClaim,
         VmLedger, //
     },
@@ -51,27 +51,27 @@
     pub(super) ledger: Rc<VmLedger<P>>,
     pub(super) list: Rc<VmList>,
     /// The balance that was last published.
-    share: VmBalance,
+    balance: VmBalance,
     /// Number of VMs that the pool wanted in the last second.
-    pub(super) wants: DemandHistory,
+    pub(super) demand: DemandHistory,
     /// VMs that were sent away, with the target pool and the time.
     pub(super) sent: BTreeMap<String, (String, Millis)>,
     /// VMs without a runner, and since when each has been listed.
     pub(super) idle: BTreeMap<String, Millis>,
     /// Whether VMs without a runner were listed before.
-    pub(super) listed: bool,
+    pub(super) idle_listed: bool,
     /// Runners that are being evacuated so that their VMs can be moved, by VM.
-    giving: BTreeMap<String, RunnerInstance>,
+    evacuating: BTreeMap<String, RunnerInstance>,
 }
 
 impl<P: Platform> VmLoop for MoveWorker<P> {
     const NAME: &'static str = "moves";
 
-    async fn look(&mut self) -> Result<(), VmWorkError> {
-        if !self.ledger.is_settled() {
-            self.settle_in().await?;
+    async fn run_pass(&mut self) -> Result<(), VmWorkError> {
+        if !self.ledger.is_adopted() {
+            self.adopt_record().await?;
         }
-        self.balance().await
+        self.rebalance().await
     }
 }
 
@@ -80,19 +80,19 @@
         Self {
             ledger,
             list,
-            share: VmBalance::default(),
-            wants: DemandHistory::default(),
+            balance: VmBalance::default(),
+            demand: DemandHistory::default(),
             sent: BTreeMap::new(),
             idle: BTreeMap::new(),
-            listed: false,
-            giving: BTreeMap::new(),
+            idle_listed: false,
+            evacuating: BTreeMap::new(),
         }
     }
 
     /// Publishes the pool's balance, and moves VMs to pools that need them more.
-    async fn balance(&mut self) -> Result<(), VmWorkError> {
+    async fn rebalance(&mut self) -> Result<(), VmWorkError> {
         let now = self.ledger.now();
-        let Some(need) = self.ask_need().await else {
+        let Some(need) = self.request_demand().await else {
             return Ok(());
         };
         let spare = self.is_spare();
@@ -101,72 +101,74 @@
         } else {
             need.vms.clone()
         };
-        let share = self.make_share(&need, vms, spare, now);
-        self.tell_share(share).await?;
+        let balance = self.make_balance(&need, vms, spare, now);
+        self.publish_balance(balance).await?;
         // A pool without a VM to release needs no targets.
         let kept = if spare { 0 } else { need.want.steady };
-        let staying = u32::try_from(self.share.staying());
-        if staying.is_ok_and(|staying| staying <= kept) && self.giving.is_empty() {
+        let staying = u32::try_from(self.balance.staying());
+        if staying.is_ok_and(|staying| staying <= kept) && self.evacuating.is_empty() {
             return Ok(());
         }
         let targets = self.find_targets().await?;
         let vms = if spare {
             self.idle_vms(now)
         } else {
-            self.emptied_vms(&need, targets.len()).await
+            self.evacuated_vms(&need, targets.len()).await
         };
         let moves: Vec<(String, String)> =
             vms.into_iter().zip(targets).take(MOVES_PER_PASS).collect();
         if moves.is_empty() {
             return Ok(());
         }
-        self.send_away(moves, now).await
+        self.order_moves(moves, now).await
     }
 
     /// Asks the owner what the pool needs; none if the owner has ended.
-    async fn ask_need(&self) -> Option<PoolNeed> {
+    async fn request_demand(&self) -> Option<DemandAnswer> {
         let (reply, answer) = oneshot::channel();
-        let request = VmRequest::Need { reply };
+        let request = VmRequest::Demand { reply };
         self.ledger.context.owner.send(request).await.ok()?;
         answer.await.ok()
     }
 
     /// Publishes the pool's balance, if it changed.
-    async fn tell_share(&mut self, share: VmBalance) -> Result<(), VmWorkError> {
-        if share == self.share {
+    async fn publish_balance(&mut self, balance: VmBalance) -> Result<(), VmWorkError> {
+        if balance == self.balance {
             return Ok(());
         }
         event!(
             Info,
             "pool_needs",
             pool = self.ledger.context.pool,
-            want = share.want,
-            keep = share.keep,
-            has = share.vms.len(),
-            sent = share.sent.len()
+            want = balance.want,
+            keep = balance.keep,
+            has = balance.vms.len(),
+            sent = balance.sent.len()
         );
-        self.ledger.publish(Some(share.clone())).await?;
-        self.share = share;
+        self.ledger.publish(Some(balance.clone())).await?;
+        self.balance = balance;
         Ok(())
     }
 
     /// The pools that get VMs of this one, one entry for each VM.
     async fn find_targets(&self) -> Result<Vec<String>, VmWorkError> {
         let pool = &self.ledger.context.pool;
-        let mut pools = self.read_shares().await?;
-        pools.insert(pool.clone(), self.share.clone());
+        let mut pools = self.read_balances().await?;
+        pools.insert(pool.clone(), self.balance.clone());
         let own = plan_moves(&pools)
             .into_iter()
             .filter(|order| order.from == *pool);
         let targets = own.flat_map(|order| std::iter::repeat_n(order.to, order.count));
-        Ok(targets.take(SPARE_LIMIT).collect())
+        Ok(targets.take(MAX_EVACUATING).collect())
     }
 
     /// VMs without a runner that may be moved.
     fn idle_vms(&self, now: Millis) -> Vec<String> {
         self.idle
             .iter()
-            .filter(|(vm, since)| !self.sent.contains_key(*vm) && **since + SETTLE_MS <= now)
+            .filter(|(vm, since)| {
+                !self.sent.contains_key(*vm) && **since + EARLIER_ORDER_BLOCK_MS <= now
+            })
             .filter(|(vm, _)| !self.ledger.is_blocked(vm))
             .filter(|(vm, _)| !self.ledger.is_claimed(vm, VmClaim::Move))
             .map(|(vm, _)| vm.clone())
@@ -175,7 +177,7 @@
 
     /// Evacuates up to `count` runners, and returns the VMs whose evacuation is complete.
     /// Cancels those that are not candidates any more.
-    async fn emptied_vms(&mut self, need: &PoolNeed, count: usize) -> Vec<String> {
+    async fn evacuated_vms(&mut self, need: &DemandAnswer, count: usize) -> Vec<String> {
         let candidates: Vec<(RunnerInstance, String)> = need
             .spare
             .iter()
@@ -185,15 +187,15 @@
             .cloned()
             .collect();
         let dropped: Vec<String> = self
-            .giving
+            .evacuating
             .keys()
             .filter(|vm| !candidates.iter().any(|(_, candidate)| candidate == *vm))
             .cloned()
             .collect();
-        self.keep_vms(dropped).await;
+        self.cancel_moves(dropped).await;
         for (runner, vm) in &candidates {
             self.ledger.claim(vm, VmClaim::Move);
-            if self.giving.insert(vm.clone(), runner.clone()).is_none() {
+            if self.evacuating.insert(vm.clone(), runner.clone()).is_none() {
                 event!(
                     Info,
                     "vm_emptying",
@@ -206,20 +208,20 @@
         let candidates = candidates.into_iter();
         let (runners, vms): (Vec<String>, Vec<String>) =
             candidates.map(|(runner, vm)| (runner.name, vm)).unzip();
-        let views = self.ledger.ask_leave(runners, true).await;
-        let answered = vms.into_iter().zip(views);
+        let statuses = self.ledger.request_evacuation(runners, true).await;
+        let answered = vms.into_iter().zip(statuses);
         answered
-            .filter(|(_, view)| *view == Some(EvacuationStatus::Free))
+            .filter(|(_, status)| *status == Some(EvacuationStatus::Free))
             .map(|(vm, _)| vm)
             .collect()
     }
 
     /// Cancels the moves of VMs, and the evacuation of their runners.
-    async fn keep_vms(&mut self, vms: Vec<String>) {
+    async fn cancel_moves(&mut self, vms: Vec<String>) {
         let mut runners = Vec::new();
         for vm in vms {
             self.ledger.release(&vm, VmClaim::Move);
-            let Some(runner) = self.giving.remove(&vm) else {
+            let Some(runner) = self.evacuating.remove(&vm) else {
                 continue;
             };
             event!(
@@ -231,25 +233,25 @@
             );
             runners.push(runner.name);
         }
-        self.ledger.let_stay(runners).await;
+        self.ledger.cancel_evacuation(runners).await;
     }
 
     /// Orders moves of VMs to other pools, all under one token.
-    async fn send_away(
+    async fn order_moves(
         &mut self,
         moves: Vec<(String, String)>,
         now: Millis,
     ) -> Result<(), VmWorkError> {
-        let mut share = self.share.clone();
+        let mut balance = self.balance.clone();
         for (vm, target) in &moves {
             self.ledger.claim(vm, VmClaim::Move);
             self.sent.insert(vm.clone(), (target.clone(), now));
-            share.sent.insert(vm.clone(), target.clone());
+            balance.sent.insert(vm.clone(), target.clone());
         }
         let vms = moves.iter().map(|(vm, _)| vm);
-        let token = self.ledger.authorize(vms, Some(share.clone())).await?;
-        self.share = share;
-        self.ledger.check_owner()?;
+        let token = self.ledger.issue_token(vms, Some(balance.clone())).await?;
+        self.balance = balance;
+        self.ledger.check_ownership()?;
         let context = &self.ledger.context;
         let vms = context.platform.vms();
         let orders = moves
@@ -266,25 +268,27 @@
                 token = token,
                 outcome = format_args!("{outcome:?}")
             );
-            self.take_move(vm, &outcome).await;
+            self.handle_move_outcome(vm, &outcome).await;
         }
         Ok(())
     }
 
     /// Handles the response to the order of a move.
-    async fn take_move(&mut self, vm: String, outcome: &Result<(), VmError>) {
+    async fn handle_move_outcome(&mut self, vm: String, outcome: &Result<(), VmError>) {
         match outcome {
             Ok(()) => {
                 self.idle.remove(&vm);
-                if let Some(instance) = self.giving.remove(&vm) {
-                    self.ledger.tell(VmRequest::Down { instance }).await;
+                if let Some(instance) = self.evacuating.remove(&vm) {
+                    self.ledger
+                        .notify_owner(VmRequest::VmDown { instance })
+                        .await;
                 }
             }
             // The move may have been made; the list of runners shows it.
             Err(VmError::NoAnswer(_)) => {}
             Err(_) => {
                 self.sent.remove(&vm);
-                self.keep_vms(vec![vm]).await;
+                self.cancel_moves(vec![vm]).await;
             }
         }
     }
--- a/crates/hoisthitch-scheduler/src/vms/wave_state.rs
+++ b/crates/hoisthitch-scheduler/src/vms/wave_state.rs
@@ -63,7 +63,7 @@
 
 impl WaveState {
     /// Applies the record that was found in the store.
-    fn take_record(&mut self, found: Option<StoredValue>, now: Millis) -> Result<(), VmWorkError> {
+    fn apply_record(&mut self, found: Option<StoredValue>, now: Millis) -> Result<(), VmWorkError> {
         (self.progress, self.revision) = match found {
             Some(stored) => (serde_json::from_slice(&stored.value)?, stored.revision),
             None => Default::default(),
@@ -80,7 +80,7 @@
     /// Whether a VM has completed its maintenance and is up again: it has a new instance of its
     /// runner or, where start times can't tell, some time has passed since the order. A list
     /// that was requested at `asked_at`, before the order, shows nothing.
-    pub(super) fn is_back(
+    pub(super) fn has_returned(
         &self,
         row: &VmStatus,
         instance: Option<&RunnerInstance>,
@@ -96,25 +96,25 @@
         if asked_at < ordered.or(self.known_at).unwrap_or(0) {
             return false;
         }
-        let renewed = instance.is_some_and(|instance| !self.was_down_with(&row.name, instance));
+        let renewed = instance.is_some_and(|instance| !self.went_down_with(&row.name, instance));
         renewed || ordered.is_none_or(|at| at + SHOWN_DOWN_MS <= asked_at)
     }
 
     /// Whether a VM was recorded as down with that instance of its runner, as far as start
     /// times tell.
-    pub(super) fn was_down_with(&self, vm: &str, instance: &RunnerInstance) -> bool {
+    pub(super) fn went_down_with(&self, vm: &str, instance: &RunnerInstance) -> bool {
         let before = self.progress.down.get(vm);
         before.is_some_and(|before| RunnerInstance::parse(before).may_be(instance))
     }
 
     /// Whether a VM has been missing from the list for so long that it counts as removed.
-    pub(super) fn is_gone(&mut self, vm: &str, now: Millis) -> bool {
+    pub(super) fn is_removed(&mut self, vm: &str, now: Millis) -> bool {
         let since = self.missing.entry(vm.to_owned()).or_insert(now);
         *since + REMOVED_AFTER_MS <= now
     }
 
     /// Reads the wave's record, if the known one is too old.
-    pub(super) async fn read_if_old<P: Platform>(
+    pub(super) async fn refresh<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
         order: &WaveRequest,
@@ -126,11 +126,11 @@
         let context = &ledger.context;
         let key = context.keys.wave(order.wave);
         let found = context.platform.store().read(&key).await?;
-        self.take_record(found, now)
+        self.apply_record(found, now)
     }
 
     /// Writes the pending changes into the wave's record, on top of the changes of other owners.
-    pub(super) async fn write<P: Platform>(
+    pub(super) async fn write_pending<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
         order: &WaveRequest,
@@ -175,7 +175,7 @@
                     return Ok(());
                 }
                 BatchOutcome::Conflict(found) => {
-                    self.take_record(found.into_iter().next().flatten(), now)?;
+                    self.apply_record(found.into_iter().next().flatten(), now)?;
                 }
             }
         }
--- a/crates/hoisthitch-scheduler/src/vms/waves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/waves.rs
@@ -65,17 +65,17 @@
     waves: BTreeMap<u64, WaveState>,
     completed: BTreeSet<u64>,
     /// Runners that are being evacuated for a wave, by VM.
-    leaving: BTreeMap<String, String>,
+    evacuating: BTreeMap<String, String>,
     /// Why VMs wait for their maintenance, as last logged.
-    waits: BTreeMap<String, EvacuationStatus>,
+    logged_waits: BTreeMap<String, EvacuationStatus>,
 }
 
 impl<P: Platform> VmLoop for WaveWorker<P> {
     const NAME: &'static str = "waves";
 
-    async fn look(&mut self) -> Result<(), VmWorkError> {
+    async fn run_pass(&mut self) -> Result<(), VmWorkError> {
         // Before that, it is not known which VMs earlier owners gave orders about.
-        if !self.ledger.is_settled() {
+        if !self.ledger.is_adopted() {
             return Ok(());
         }
         let orders: Vec<WaveRequest> = {
@@ -105,8 +105,8 @@
             list,
             waves: BTreeMap::new(),
             completed: BTreeSet::new(),
-            leaving: BTreeMap::new(),
-            waits: BTreeMap::new(),
+            evacuating: BTreeMap::new(),
+            logged_waits: BTreeMap::new(),
         }
     }
 
@@ -117,16 +117,16 @@
         order: &WaveRequest,
         state: &mut WaveState,
     ) -> Result<(), VmWorkError> {
-        state.read_if_old(&self.ledger, order).await?;
+        state.refresh(&self.ledger, order).await?;
         if state.progress.is_completed(&order.vms) {
             return Ok(());
         }
         let context = &self.ledger.context;
         let rows = self.list.read(context).await?;
         let due = self.own_vms(order, &rows);
-        self.note_done(&due, &rows, state).await;
+        self.record_done(&due, &rows, state).await;
         let mut ready = self.unconfirmed(&due, &rows, state);
-        let fresh = self.empty_next(order, &due, &rows, state).await;
+        let fresh = self.evacuate_next(order, &due, &rows, state).await;
         // Drop VMs of an earlier write that failed: they may not be able to go down now.
         state.pending.down.clear();
         for row in &fresh {
@@ -134,11 +134,11 @@
             let before = before.map_or_else(String::new, |instance| instance.to_string());
             state.pending.down.insert(row.name.clone(), before);
         }
-        state.write(&self.ledger, order).await?;
+        state.write_pending(&self.ledger, order).await?;
         ready.extend(fresh);
         ready.retain(|row| state.progress.down.contains_key(&row.name));
         ready.truncate(ORDERS_PER_PASS);
-        self.take_down(order, state, &ready).await
+        self.order_maintenance(order, state, &ready).await
     }
 
     /// VMs of the wave that belong to this pool or are not listed.
@@ -151,7 +151,7 @@
     /// Records which VMs have completed their maintenance or are removed. If the maintenance was
     /// ordered twice, the current instance of the runner was evacuated for the second order;
     /// its evacuation has to be cancelled.
-    async fn note_done(&mut self, due: &[String], rows: &VmRows, state: &mut WaveState) {
+    async fn record_done(&mut self, due: &[String], rows: &VmRows, state: &mut WaveState) {
         let now = self.ledger.now();
         let mut runners = Vec::new();
         for vm in due {
@@ -160,20 +160,20 @@
             }
             let row = rows.find(vm);
             let over = match row {
-                None => state.is_gone(vm, now),
+                None => state.is_removed(vm, now),
                 Some(row) => {
                     state.missing.remove(vm);
                     let instance = self.ledger.life_on(row);
-                    state.is_back(row, instance.as_ref(), rows.asked_at)
+                    state.has_returned(row, instance.as_ref(), rows.asked_at)
                 }
             };
             if over && state.pending.done.insert(vm.clone()) {
-                self.leaving.remove(vm);
+                self.evacuating.remove(vm);
                 self.ledger.release(vm, VmClaim::Upkeep);
                 runners.extend(row.and_then(|row| row.runner.clone()));
             }
         }
-        self.ledger.let_stay(runners).await;
+        self.ledger.cancel_evacuation(runners).await;
     }
 
     /// Whether a VM is up, and no order of an earlier owner about it may be in transit.
@@ -202,7 +202,7 @@
     }
 
     /// Evacuates the next VMs, and returns those that may go down.
-    async fn empty_next<'a>(
+    async fn evacuate_next<'a>(
         &mut self,
         order: &WaveRequest,
         due: &[String],
@@ -217,7 +217,7 @@
             .filter(|row| !self.ledger.is_claimed(&row.name, VmClaim::Upkeep))
             .collect();
         // VMs that are being evacuated already come first.
-        candidates.sort_by_key(|row| !self.leaving.contains_key(&row.name));
+        candidates.sort_by_key(|row| !self.evacuating.contains_key(&row.name));
         let pool = &self.ledger.context.pool;
         let own = rows.iter().filter(|row| row.pool == *pool).count();
         let down = state.progress.down.len();
@@ -232,12 +232,12 @@
             if next.is_empty() {
                 break;
             }
-            let views = self.ask_rows(&next).await;
-            for (row, view) in next.into_iter().zip(views) {
+            let statuses = self.evacuate_vms(&next).await;
+            for (row, status) in next.into_iter().zip(statuses) {
                 // A VM without a runner takes no capacity from the pool.
-                let counts = row.runner.is_some() && view != Some(EvacuationStatus::Held);
+                let counts = row.runner.is_some() && status != Some(EvacuationStatus::Held);
                 emptied += usize::from(counts);
-                if may_go(view) {
+                if may_go_down(status) {
                     free.push(row);
                 }
             }
@@ -248,41 +248,45 @@
 
     /// Claims VMs and asks the owner to evacuate their runners; returns the status of each. The
     /// evacuation is cancelled where a task may not be interrupted.
-    async fn ask_rows(&mut self, rows: &[&VmStatus]) -> Vec<Option<EvacuationStatus>> {
+    async fn evacuate_vms(&mut self, rows: &[&VmStatus]) -> Vec<Option<EvacuationStatus>> {
         let mut runners = Vec::new();
         for row in rows {
             self.ledger.claim(&row.name, VmClaim::Upkeep);
             if let Some(runner) = &row.runner {
-                self.leaving.insert(row.name.clone(), runner.clone());
+                self.evacuating.insert(row.name.clone(), runner.clone());
                 runners.push(runner.clone());
             }
         }
-        let mut answers = self.ledger.ask_leave(runners, false).await.into_iter();
-        let mut views = Vec::new();
+        let mut answers = self
+            .ledger
+            .request_evacuation(runners, false)
+            .await
+            .into_iter();
+        let mut statuses = Vec::new();
         let mut held = Vec::new();
         for row in rows {
-            let view = row.runner.as_ref().and_then(|_| answers.next().flatten());
+            let status = row.runner.as_ref().and_then(|_| answers.next().flatten());
             if row.runner.is_some() {
-                self.note_wait(row, view);
+                self.log_wait(row, status);
             }
-            if view == Some(EvacuationStatus::Held) {
+            if status == Some(EvacuationStatus::Held) {
                 held.push(row.name.clone());
             }
-            views.push(view);
+            statuses.push(status);
         }
-        self.stay(&held).await;
-        views
+        self.cancel_evacuations(&held).await;
+        statuses
     }
 
     /// Logs why a VM's maintenance waits, when the reason changes.
-    fn note_wait(&mut self, row: &VmStatus, view: Option<EvacuationStatus>) {
-        let Some(view) = view.filter(|view| *view != EvacuationStatus::Free) else {
-            self.waits.remove(&row.name);
+    fn log_wait(&mut self, row: &VmStatus, status: Option<EvacuationStatus>) {
+        let Some(status) = status.filter(|status| *status != EvacuationStatus::Free) else {
+            self.logged_waits.remove(&row.name);
             return;
         };
-        let before = self.waits.insert(row.name.clone(), view);
+        let before = self.logged_waits.insert(row.name.clone(), status);
         // The number of running tasks changes with each pass and is not compared.
-        if before.map(|before| discriminant(&before)) != Some(discriminant(&view)) {
+        if before.map(|before| discriminant(&before)) != Some(discriminant(&status)) {
             let instance = self.ledger.life_on(row);
             event!(
                 Info,
@@ -290,25 +294,25 @@
                 vm = row.name,
                 runner = instance.map_or_else(String::new, |instance| instance.to_string()),
                 pool = self.ledger.context.pool,
-                view = format_args!("{view:?}")
+                view = format_args!("{status:?}")
             );
         }
     }
 
     /// Cancels the evacuation of VMs and releases their claims.
-    async fn stay(&mut self, vms: &[String]) {
+    async fn cancel_evacuations(&mut self, vms: &[String]) {
         let runners: Vec<String> = vms
             .iter()
-            .filter_map(|vm| self.leaving.remove(vm))
+            .filter_map(|vm| self.evacuating.remove(vm))
             .collect();
         for vm in vms {
             self.ledger.release(vm, VmClaim::Upkeep);
         }
-        self.ledger.let_stay(runners).await;
+        self.ledger.cancel_evacuation(runners).await;
     }
 
     /// Orders the maintenance of VMs that are recorded as down, as far as they may go down now.
-    async fn take_down(
+    async fn order_maintenance(
         &mut self,
         order: &WaveRequest,
         state: &mut WaveState,
@@ -318,14 +322,14 @@
             return Ok(());
         }
         let names = ready.iter().map(|row| &row.name);
-        let token = self.ledger.authorize(names, None).await?;
+        let token = self.ledger.issue_token(names, None).await?;
         // The writes may have taken long; what runs there may have changed.
-        let views = self.ask_rows(ready).await;
-        self.ledger.check_owner()?;
+        let statuses = self.evacuate_vms(ready).await;
+        self.ledger.check_ownership()?;
         let going: Vec<&VmStatus> = ready
             .iter()
-            .zip(views)
-            .filter(|(_, view)| may_go(*view))
+            .zip(statuses)
+            .filter(|(_, status)| may_go_down(*status))
             .map(|(row, _)| *row)
             .collect();
         // An instance that starts after the order is not the one that went down.
@@ -347,13 +351,13 @@
                 token = token,
                 outcome = format_args!("{outcome:?}")
             );
-            self.take_outcome(state, row, instance, &outcome).await;
+            self.handle_outcome(state, row, instance, &outcome).await;
         }
         Ok(())
     }
 
     /// Handles the response to an order for maintenance.
-    async fn take_outcome(
+    async fn handle_outcome(
         &mut self,
         state: &mut WaveState,
         row: &VmStatus,
@@ -363,25 +367,25 @@
         state.ordered.insert(row.name.clone(), self.ledger.now());
         if let Some(instance) = instance {
             // An order that had been carried out before does not affect a later instance.
-            let same_life = state.was_down_with(&row.name, &instance);
+            let same_life = state.went_down_with(&row.name, &instance);
             let runner = instance.name.clone();
             let request = match outcome {
-                Ok(()) if same_life => Some(VmRequest::Down { instance }),
-                Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::Doubt { runner }),
+                Ok(()) if same_life => Some(VmRequest::VmDown { instance }),
+                Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::VmDownUnconfirmed { runner }),
                 Err(_) => None,
             };
             if let Some(request) = request {
-                self.ledger.tell(request).await;
+                self.ledger.notify_owner(request).await;
             }
         }
         if outcome.is_ok() {
             state.pending.begun.insert(row.name.clone());
-            self.leaving.remove(&row.name);
+            self.evacuating.remove(&row.name);
         }
     }
 }
 
 /// Whether a VM may go down now; one without a runner may.
-fn may_go(view: Option<EvacuationStatus>) -> bool {
-    matches!(view, Some(EvacuationStatus::Free) | None)
+fn may_go_down(status: Option<EvacuationStatus>) -> bool {
+    matches!(status, Some(EvacuationStatus::Free) | None)
 }
