--- a/crates/hoisthitch-scheduler/src/owner/instances.rs
+++ b/crates/hoisthitch-scheduler/src/owner/instances.rs
@@ -43,7 +43,7 @@
     }, //
 };
 
-/// Age up to which a successful heartbeat proves that its runner is running, in milliseconds:
+/// Age up to which a successful heartbeat proves that its runner still runs, in milliseconds:
 /// longer than a heartbeat waits, shorter than a VM takes to come back with another runner.
 const LIVENESS_PROOF_MS: Millis = 1_200;
 
@@ -140,8 +140,8 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    /// Handles the first response of a runner to this owner: from then on the runner refuses
-    /// what earlier owners and sessions ordered.
+    /// Handles the first response of a runner to this owner, and no later one: from then on the
+    /// runner refuses what earlier owners and sessions ordered.
     ///
     /// Orders for a previous instance carry leases by that instance's clock, so that what the
     /// current one runs may run as long as the longest possible lease. A node that became the
@@ -243,13 +243,13 @@
         self.instances.remove_key(key);
         self.publish_session_count();
         let until = now + MAX_STRAY_RUN_MS;
-        let Some(renewed) = self
+        let Some(restarted) = self
             .state
             .replace_restarted_runner(key, started_at, until, now)
         else {
             return;
         };
-        let Some(instance) = self.state.instance_of(renewed.key) else {
+        let Some(instance) = self.state.instance_of(restarted.key) else {
             return;
         };
         self.instances.ended.remove(&instance);
@@ -260,10 +260,10 @@
             pool = self.context.pool,
             runner = instance,
             before = before,
-            ended = renewed.ended,
-            doubtful = renewed.doubtful
+            ended = restarted.ended,
+            doubtful = restarted.doubtful
         );
-        self.open_session(renewed.key, address);
+        self.open_session(restarted.key, address);
     }
 
     /// Applies the record that is listed under a name now.
@@ -275,51 +275,51 @@
         }
     }
 
-    /// Handles the response to a heartbeat that was sent at `asked_at`: instances of other
+    /// Handles the response to a heartbeat that was sent at `sent_at`: instances of other
     /// runners that were listed at the same address or VM before that have ended.
-    pub(super) fn end_conflicting_instances(&mut self, key: RunnerKey, asked_at: Millis) {
+    pub(super) fn end_conflicting_instances(&mut self, key: RunnerKey, sent_at: Millis) {
         let now = self.now();
         // A response that was queued here for long proves nothing about the present.
-        if asked_at + LIVENESS_PROOF_MS < now || self.instances.conflicts_checked.contains(&key) {
+        if sent_at + LIVENESS_PROOF_MS < now || self.instances.conflicts_checked.contains(&key) {
             return;
         }
         let Some(instance) = self.state.instance_of(key) else {
             return;
         };
-        let rivals = self
+        let conflicting = self
             .context
             .fleet
             .borrow()
             .conflicting_instances(&instance.name);
-        let (before, later): (Vec<_>, Vec<_>) = rivals
+        let (before, later): (Vec<_>, Vec<_>) = conflicting
             .into_iter()
-            .partition(|rival| rival.listed_at <= asked_at);
+            .partition(|conflict| conflict.listed_at <= sent_at);
         if later.is_empty() {
             self.instances.conflicts_checked.insert(key);
         }
-        for rival in before {
-            self.end_conflicting_instance(rival.instance, &instance, now);
+        for conflict in before {
+            self.end_conflicting_instance(conflict.instance, &instance, now);
         }
     }
 
     /// Marks a conflicting instance as ended, and removes its runner.
     fn end_conflicting_instance(
         &mut self,
-        rival: RunnerInstance,
+        conflict: RunnerInstance,
         by: &RunnerInstance,
         now: Millis,
     ) {
-        if !self.instances.ended.insert(rival.clone()) {
+        if !self.instances.ended.insert(conflict.clone()) {
             return;
         }
-        event!(Info, "runner_life_over", runner = rival, by = by);
-        if let Some(key) = self.state.key_of_instance(&rival) {
+        event!(Info, "runner_life_over", runner = conflict, by = by);
+        if let Some(key) = self.state.key_of_instance(&conflict) {
             self.remove_runner(key, RemovalReason::Ended);
-        } else if self.state.runner_key(&rival.name).is_some() {
+        } else if self.state.runner_key(&conflict.name).is_some() {
             // Its runs may be those of the instance that is current under that name.
             return;
         }
-        self.state.record_unlisted_loss(&rival.name, now);
+        self.state.record_unlisted_loss(&conflict.name, now);
     }
 
     /// Opens a session with a runner, or queues it until there is a token for it.
--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -207,7 +207,7 @@
     let mut recorded = decode_progress(&context, progress);
     let (vm_sender, vm_requests) = mpsc::channel(VM_REQUEST_QUEUE_LEN);
     let confirmed_at = Rc::new(Cell::new(takeover.confirmed_at));
-    let vms = start_vm_worker(&context, takeover.epoch, confirmed_at.clone(), vm_sender);
+    let vms = start_vm_loops(&context, takeover.epoch, confirmed_at.clone(), vm_sender);
     let (events, session_events) = mpsc::unbounded_channel();
     let (journal_results, journal_receiver) = mpsc::unbounded_channel();
     let (advice_results, advice_receiver) = mpsc::unbounded_channel();
@@ -288,7 +288,7 @@
 }
 
 /// Starts the loops that manage the pool's VMs.
-fn start_vm_worker<P: Platform>(
+fn start_vm_loops<P: Platform>(
     context: &OwnerContext<P>,
     epoch: u64,
     confirmed_at: Rc<Cell<Millis>>,
@@ -487,7 +487,7 @@
             SessionEvent::HeartbeatSucceeded {
                 runner,
                 report,
-                asked_at,
+                sent_at,
                 leased_until,
                 misses,
             } => {
@@ -495,14 +495,14 @@
                     self.state.record_start_time(runner, started_at);
                 }
                 self.handle_first_response(runner, now);
-                let again = self.state.record_heartbeat(runner, &report, asked_at, now);
+                let repeated_starts = self.state.record_heartbeat(runner, &report, sent_at, now);
                 self.handle_response(runner, misses);
                 if let Some(until) = leased_until {
                     self.state.confirm_runner_lease(runner, until);
                     self.state.mark_runner_ready(runner);
                 }
-                self.end_conflicting_instances(runner, asked_at);
-                self.queue_starts(again);
+                self.end_conflicting_instances(runner, sent_at);
+                self.queue_starts(repeated_starts);
                 for pace in self.state.pace(runner, now) {
                     self.queue_order(runner, RunnerOrder::Pace(pace));
                 }
--- a/crates/hoisthitch-scheduler/src/owner/runners.rs
+++ b/crates/hoisthitch-scheduler/src/owner/runners.rs
@@ -89,13 +89,13 @@
                     let facts = &self.state.runner(key)?.facts;
                     Some((facts.instance(), facts.vm.clone()))
                 });
-                let need = DemandAnswer {
+                let answer = DemandAnswer {
                     want: self.state.wanted_vms(now),
                     vms: self.state.vms(),
                     spare: spare.collect(),
                 };
                 // A loop that does not wait any more asks again.
-                let _ = reply.send(need);
+                let _ = reply.send(answer);
             }
             VmRequest::VmDownUnconfirmed { runner } => {
                 // Its next heartbeat shows whether it still runs.
--- a/crates/hoisthitch-scheduler/src/owner/writes.rs
+++ b/crates/hoisthitch-scheduler/src/owner/writes.rs
@@ -1,7 +1,7 @@
 //! Writes of an owner to its pool's journal.
 //!
 //! One write at a time carries the changed progress of jobs, the queues' counts, the
-//! deletions of old jobs and the list of unreachable runners. What depends on a record waits
+//! deletions of old jobs and the list of silent runners. What depends on a record waits
 //! for the write: starts are sent and ends are acknowledged only once it succeeded. An owner
 //! with nothing to write reads the journal's head instead, to confirm its ownership.
 
@@ -148,9 +148,9 @@
         let now = self.now();
         let starts = self.state.finish_flush(&plan, now);
         self.queue_starts(starts);
-        for (runner, seen) in &plan.acked_ends {
+        for (runner, last_end) in &plan.acked_ends {
             if let Some(session) = self.sessions.get(runner) {
-                session.acknowledge(*seen);
+                session.acknowledge(*last_end);
             }
         }
         Ok(())
@@ -181,13 +181,13 @@
         let keys = &self.context.keys;
         let pool = &self.context.pool;
         for id in old.into_iter().take(room) {
-            let gone = [
+            let deleted = [
                 keys.submission(pool, &id),
                 keys.cancel(pool, &id),
                 keys.progress(pool, &id),
                 keys.location(&id),
             ];
-            items.extend(gone.map(remove));
+            items.extend(deleted.map(remove));
             self.state.forget_job(&id);
         }
     }
--- a/crates/hoisthitch-scheduler/src/session/heartbeats.rs
+++ b/crates/hoisthitch-scheduler/src/session/heartbeats.rs
@@ -92,7 +92,7 @@
     clock: Rc<LeaseClock>,
     signals: HeartbeatSignals,
     /// Start time of the current instance, if it is known.
-    instance: Option<u64>,
+    started_at: Option<u64>,
     /// When the last response came; none after a heartbeat without one.
     responded_at: Option<Millis>,
     /// Number of heartbeats without a response so far; one at the beginning, since a runner
@@ -105,7 +105,7 @@
 /// A heartbeat that is about to be sent.
 #[derive(Clone, Copy)]
 struct HeartbeatPlan {
-    asked_at: Millis,
+    sent_at: Millis,
     /// Number of the last recorded end, whether this heartbeat acknowledges it or not.
     recorded_end: u64,
     /// Whether the heartbeat acknowledges it.
@@ -120,7 +120,7 @@
         signals: HeartbeatSignals,
     ) -> Self {
         Self {
-            instance: context.address.instance.started_at,
+            started_at: context.address.instance.started_at,
             context,
             clock,
             signals,
@@ -135,15 +135,15 @@
     pub(super) async fn run(mut self) {
         while self.signals.recorded_end.has_changed().is_ok() {
             let plan = self.plan();
-            let asked = self
+            let call = self
                 .context
                 .runners
                 .heartbeat(&self.context.address, self.request(plan));
-            let answer = tokio::select! {
-                answer = asked => Some(answer),
+            let response = tokio::select! {
+                response = call => Some(response),
                 () = self.signals.instance_check.notified() => None,
             };
-            match answer {
+            match response {
                 Some(Ok(report)) => {
                     if let Some(started_at) = self.new_start_time(&report) {
                         let runner = self.context.key;
@@ -165,7 +165,7 @@
                     self.log_lost(&err);
                     self.count_refusal(&err);
                     let now = self.context.shared.clock.now();
-                    let waited = Duration::from_millis(now.saturating_sub(plan.asked_at));
+                    let waited = Duration::from_millis(now.saturating_sub(plan.sent_at));
                     self.record_miss(waited < self.request(plan).wait + RESET_TIMEOUT);
                     if self.refusals == Some(REFUSALS_OF_ENDED_PROCESS) {
                         let runner = self.context.key;
@@ -182,15 +182,15 @@
     /// and if the owner allows leases again after the missed ones.
     fn plan(&mut self) -> HeartbeatPlan {
         let recorded_end = *self.signals.recorded_end.borrow_and_update();
-        let asked_at = self.context.shared.clock.now();
-        let is_fresh = |at| asked_at < at + FRESH_RESPONSE_MS;
+        let sent_at = self.context.shared.clock.now();
+        let is_fresh = |at| sent_at < at + FRESH_RESPONSE_MS;
         let is_cleared = *self.signals.cleared_misses.borrow() >= self.misses;
         let may_run = self.responded_at.is_some() && is_cleared;
         HeartbeatPlan {
-            asked_at,
+            sent_at,
             recorded_end,
             acknowledges: self.responded_at.is_some_and(is_fresh),
-            lease: self.context.lease(&self.clock, asked_at, may_run),
+            lease: self.context.next_lease(&self.clock, sent_at, may_run),
         }
     }
 
@@ -216,7 +216,7 @@
     /// session go one after the other, so that another instance is always a later one, whatever
     /// the start times say: a VM's time of day may have been set back.
     fn new_start_time(&self, report: &HeartbeatReport) -> Option<u64> {
-        let before = self.instance?;
+        let before = self.started_at?;
         report.started_at.filter(|started_at| *started_at != before)
     }
 
@@ -225,13 +225,13 @@
         let now = self.context.shared.clock.now();
         self.responded_at = Some(now);
         self.refusals = Some(0);
-        self.instance = report.started_at.or(self.instance);
+        self.started_at = report.started_at.or(self.started_at);
         self.clock.record_reading(report.clock_ms, now);
         let last = report.ended.iter().map(|end| end.number).max();
         self.context.emit(SessionEvent::HeartbeatSucceeded {
             runner: self.context.key,
             report,
-            asked_at: plan.asked_at,
+            sent_at: plan.sent_at,
             leased_until: plan.lease.map(|lease| lease.until),
             misses: self.misses,
         });
--- a/crates/hoisthitch-scheduler/src/session/lease.rs
+++ b/crates/hoisthitch-scheduler/src/session/lease.rs
@@ -72,7 +72,7 @@
     ///
     /// `may_run` is false for a runner that did not respond to the last heartbeat: its lease
     /// is not extended, or its tasks could never be given up.
-    pub(super) fn lease(
+    pub(super) fn next_lease(
         &self,
         clock: &LeaseClock,
         now: Millis,
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -70,7 +70,7 @@
         runner: RunnerKey,
         report: HeartbeatReport,
         /// When the heartbeat was sent.
-        asked_at: Millis,
+        sent_at: Millis,
         /// End of the lease that it granted, under which starts can be ordered; none if it
         /// granted none.
         leased_until: Option<Millis>,
--- a/crates/hoisthitch-scheduler/src/vms/balance.rs
+++ b/crates/hoisthitch-scheduler/src/vms/balance.rs
@@ -18,7 +18,7 @@
         BalanceRecord,
         VmClaim, //
     },
-    moves::MoveWorker, //
+    moves::MoveLoop, //
 };
 use crate::platform::{
     Platform,
@@ -29,7 +29,7 @@
 /// milliseconds; a move takes one and a half seconds.
 const ARRIVAL_TIMEOUT_MS: Millis = 6_000;
 
-impl<P: Platform> MoveWorker<P> {
+impl<P: Platform> MoveLoop<P> {
     /// Takes over the pool's record from an earlier owner, whose orders may still be in transit:
     /// blocks the VMs of those orders, and VMs that other pools are sending here.
     pub(super) async fn adopt_record(&mut self) -> Result<(), VmWorkError> {
@@ -62,12 +62,12 @@
     /// released.
     pub(super) fn make_balance(
         &mut self,
-        need: &DemandAnswer,
+        demand: &DemandAnswer,
         vms: Vec<String>,
         spare: bool,
         now: Millis,
     ) -> VmBalance {
-        let forecast = self.demand.forecast(need.want, now);
+        let forecast = self.demand.forecast(demand.want, now);
         let ledger = &self.ledger;
         self.sent.retain(|vm, (_, at)| {
             // A VM that is not listed here any more has certainly left; the other pool counts it
--- a/crates/hoisthitch-scheduler/src/vms/ledger.rs
+++ b/crates/hoisthitch-scheduler/src/vms/ledger.rs
@@ -79,7 +79,7 @@
     /// To be moved to another pool.
     Move,
     /// To go through maintenance.
-    Upkeep,
+    Maintenance,
 }
 
 /// The record in the store, as last written or found.
@@ -118,7 +118,7 @@
 
     /// The instance of a VM's runner: the platform's list names the runner, the runner's record
     /// has its start time.
-    pub(super) fn life_on(&self, row: &VmStatus) -> Option<RunnerInstance> {
+    pub(super) fn instance_on(&self, row: &VmStatus) -> Option<RunnerInstance> {
         let name = row.runner.as_ref()?;
         Some(self.context.fleet.borrow().instance_of(name))
     }
--- a/crates/hoisthitch-scheduler/src/vms/list.rs
+++ b/crates/hoisthitch-scheduler/src/vms/list.rs
@@ -26,20 +26,20 @@
 
 /// All VMs of the platform's list at a time.
 #[derive(Debug, Default)]
-pub(super) struct VmRows {
+pub(super) struct VmListing {
     /// When the list was requested; orders that were given later don't show in it.
-    pub(super) asked_at: Millis,
+    pub(super) requested_at: Millis,
     rows: Vec<VmStatus>,
     /// Position of each VM in the rows, by name.
     positions: HashMap<String, usize>,
 }
 
-impl VmRows {
-    fn new(rows: Vec<VmStatus>, asked_at: Millis) -> Self {
+impl VmListing {
+    fn new(rows: Vec<VmStatus>, requested_at: Millis) -> Self {
         let positions = rows.iter().enumerate();
         let positions = positions.map(|(position, row)| (row.name.clone(), position));
         Self {
-            asked_at,
+            requested_at,
             positions: positions.collect(),
             rows,
         }
@@ -59,7 +59,7 @@
 /// Reads the list and caches it.
 #[derive(Default)]
 pub(super) struct VmList {
-    last: RefCell<Option<Rc<VmRows>>>,
+    last: RefCell<Option<Rc<VmListing>>>,
 }
 
 impl VmList {
@@ -71,13 +71,13 @@
     pub(super) async fn read<P: Platform>(
         &self,
         context: &VmContext<P>,
-    ) -> Result<Rc<VmRows>, VmError> {
+    ) -> Result<Rc<VmListing>, VmError> {
         let now = context.shared.clock.now();
         let last = self.last.borrow().clone();
-        if let Some(rows) = last.filter(|rows| rows.asked_at + MAX_LIST_AGE_MS > now) {
+        if let Some(rows) = last.filter(|rows| rows.requested_at + MAX_LIST_AGE_MS > now) {
             return Ok(rows);
         }
-        let rows = Rc::new(VmRows::new(context.platform.vms().list().await?, now));
+        let rows = Rc::new(VmListing::new(context.platform.vms().list().await?, now));
         *self.last.borrow_mut() = Some(rows.clone());
         Ok(rows)
     }
--- a/crates/hoisthitch-scheduler/src/vms/mod.rs
+++ b/crates/hoisthitch-scheduler/src/vms/mod.rs
@@ -47,8 +47,8 @@
 use self::{
     ledger::VmLedger,
     list::VmList,
-    moves::MoveWorker,
-    waves::WaveWorker, //
+    moves::MoveLoop,
+    waves::WaveLoop, //
 };
 use crate::{
     fleet::FleetView,
@@ -156,8 +156,8 @@
 pub(crate) async fn run_vm_loops<P: Platform>(context: VmContext<P>) {
     let ledger = Rc::new(VmLedger::new(context));
     let list = Rc::new(VmList::default());
-    let moves = MoveWorker::new(ledger.clone(), list.clone());
-    let waves = WaveWorker::new(ledger.clone(), list);
+    let moves = MoveLoop::new(ledger.clone(), list.clone());
+    let waves = WaveLoop::new(ledger.clone(), list);
     // The first loop that finds another owner ends both.
     tokio::select! {
         () = run_loop(&ledger, moves) => {}
--- a/crates/hoisthitch-scheduler/src/vms/moves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/moves.rs
@@ -47,7 +47,7 @@
 const MOVES_PER_PASS: usize = 40;
 
 /// The loop that moves VMs of a pool to pools that need them more.
-pub(super) struct MoveWorker<P> {
+pub(super) struct MoveLoop<P> {
     pub(super) ledger: Rc<VmLedger<P>>,
     pub(super) list: Rc<VmList>,
     /// The balance that was last published.
@@ -64,7 +64,7 @@
     evacuating: BTreeMap<String, RunnerInstance>,
 }
 
-impl<P: Platform> VmLoop for MoveWorker<P> {
+impl<P: Platform> VmLoop for MoveLoop<P> {
     const NAME: &'static str = "moves";
 
     async fn run_pass(&mut self) -> Result<(), VmWorkError> {
@@ -75,7 +75,7 @@
     }
 }
 
-impl<P: Platform> MoveWorker<P> {
+impl<P: Platform> MoveLoop<P> {
     pub(super) fn new(ledger: Rc<VmLedger<P>>, list: Rc<VmList>) -> Self {
         Self {
             ledger,
@@ -92,19 +92,19 @@
     /// Publishes the pool's balance, and moves VMs to pools that need them more.
     async fn rebalance(&mut self) -> Result<(), VmWorkError> {
         let now = self.ledger.now();
-        let Some(need) = self.request_demand().await else {
+        let Some(demand) = self.request_demand().await else {
             return Ok(());
         };
         let spare = self.is_spare();
         let vms = if spare {
             self.list_idle(now).await?
         } else {
-            need.vms.clone()
+            demand.vms.clone()
         };
-        let balance = self.make_balance(&need, vms, spare, now);
+        let balance = self.make_balance(&demand, vms, spare, now);
         self.publish_balance(balance).await?;
         // A pool without a VM to release needs no targets.
-        let kept = if spare { 0 } else { need.want.steady };
+        let kept = if spare { 0 } else { demand.want.steady };
         let staying = u32::try_from(self.balance.staying());
         if staying.is_ok_and(|staying| staying <= kept) && self.evacuating.is_empty() {
             return Ok(());
@@ -113,7 +113,7 @@
         let vms = if spare {
             self.idle_vms(now)
         } else {
-            self.evacuated_vms(&need, targets.len()).await
+            self.evacuated_vms(&demand, targets.len()).await
         };
         let moves: Vec<(String, String)> =
             vms.into_iter().zip(targets).take(MOVES_PER_PASS).collect();
@@ -157,8 +157,8 @@
         pools.insert(pool.clone(), self.balance.clone());
         let own = plan_moves(&pools)
             .into_iter()
-            .filter(|order| order.from == *pool);
-        let targets = own.flat_map(|order| std::iter::repeat_n(order.to, order.count));
+            .filter(|planned| planned.from == *pool);
+        let targets = own.flat_map(|planned| std::iter::repeat_n(planned.to, planned.count));
         Ok(targets.take(MAX_EVACUATING).collect())
     }
 
@@ -177,8 +177,8 @@
 
     /// Evacuates up to `count` runners, and returns the VMs whose evacuation is complete.
     /// Cancels those that are not candidates any more.
-    async fn evacuated_vms(&mut self, need: &DemandAnswer, count: usize) -> Vec<String> {
-        let candidates: Vec<(RunnerInstance, String)> = need
+    async fn evacuated_vms(&mut self, demand: &DemandAnswer, count: usize) -> Vec<String> {
+        let candidates: Vec<(RunnerInstance, String)> = demand
             .spare
             .iter()
             .filter(|(_, vm)| !self.ledger.is_claimed(vm, VmClaim::Move))
--- a/crates/hoisthitch-scheduler/src/vms/wave_state.rs
+++ b/crates/hoisthitch-scheduler/src/vms/wave_state.rs
@@ -79,12 +79,12 @@
 
     /// Whether a VM has completed its maintenance and is up again: it has a new instance of its
     /// runner or, where start times can't tell, some time has passed since the order. A list
-    /// that was requested at `asked_at`, before the order, shows nothing.
+    /// that was requested at `requested_at`, before the order, shows nothing.
     pub(super) fn has_returned(
         &self,
         row: &VmStatus,
         instance: Option<&RunnerInstance>,
-        asked_at: Millis,
+        requested_at: Millis,
     ) -> bool {
         if !self.progress.down.contains_key(&row.name) {
             return false;
@@ -93,11 +93,12 @@
             return false;
         }
         let ordered = self.ordered.get(&row.name).copied();
-        if asked_at < ordered.or(self.known_at).unwrap_or(0) {
+        if requested_at < ordered.or(self.known_at).unwrap_or(0) {
             return false;
         }
-        let renewed = instance.is_some_and(|instance| !self.went_down_with(&row.name, instance));
-        renewed || ordered.is_none_or(|at| at + SHOWN_DOWN_MS <= asked_at)
+        let has_restarted =
+            instance.is_some_and(|instance| !self.went_down_with(&row.name, instance));
+        has_restarted || ordered.is_none_or(|at| at + SHOWN_DOWN_MS <= requested_at)
     }
 
     /// Whether a VM was recorded as down with that instance of its runner, as far as start
@@ -117,14 +118,14 @@
     pub(super) async fn refresh<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
-        order: &WaveRequest,
+        request: &WaveRequest,
     ) -> Result<(), VmWorkError> {
         let now = ledger.now();
         if self.known_at.is_some_and(|at| at + MAX_RECORD_AGE_MS > now) {
             return Ok(());
         }
         let context = &ledger.context;
-        let key = context.keys.wave(order.wave);
+        let key = context.keys.wave(request.wave);
         let found = context.platform.store().read(&key).await?;
         self.apply_record(found, now)
     }
@@ -133,7 +134,7 @@
     pub(super) async fn write_pending<P: Platform>(
         &mut self,
         ledger: &VmLedger<P>,
-        order: &WaveRequest,
+        request: &WaveRequest,
     ) -> Result<(), VmWorkError> {
         if self.pending.is_empty() {
             return Ok(());
@@ -141,33 +142,33 @@
         let context = &ledger.context;
         loop {
             let now = ledger.now();
-            let next = self.progress.with(&self.pending, order.max_down());
+            let next = self.progress.with(&self.pending, request.max_down());
             if next == self.progress {
                 self.pending = WaveChange::default();
                 return Ok(());
             }
-            let completed = next.is_completed(&order.vms);
-            let (status, told) = context
+            let completed = next.is_completed(&request.vms);
+            let (status_key, status) = context
                 .platform
                 .codec()
-                .encode_wave_status(order.wave, completed);
+                .encode_wave_status(request.wave, completed);
             let items = vec![
                 SwapItem {
-                    key: context.keys.wave(order.wave),
+                    key: context.keys.wave(request.wave),
                     expected: self.revision,
                     value: Some(encode_record(&next)),
                     lease: None,
                 },
                 SwapItem {
-                    key: status,
+                    key: status_key,
                     expected: StoreRevision::ANY,
-                    value: Some(told),
+                    value: Some(status),
                     lease: None,
                 },
             ];
             match context.platform.store().swap_all(items).await? {
                 BatchOutcome::Written(revision) => {
-                    self.log_written(&context.pool, order, &next);
+                    self.log_written(&context.pool, request, &next);
                     self.progress = next;
                     self.revision = revision;
                     self.known_at = Some(now);
@@ -181,17 +182,17 @@
         }
     }
 
-    fn log_written(&self, pool: &str, order: &WaveRequest, next: &WaveProgress) {
+    fn log_written(&self, pool: &str, request: &WaveRequest, next: &WaveProgress) {
         for vm in &self.pending.done {
-            event!(Info, "upkeep_done", wave = order.wave, vm = vm);
+            event!(Info, "upkeep_done", wave = request.wave, vm = vm);
         }
         event!(
             Info,
             "wave_written",
-            wave = order.wave,
+            wave = request.wave,
             pool = pool,
             done = next.done.len(),
-            due = order.vms.len(),
+            due = request.vms.len(),
             down = next.down.len()
         );
     }
--- a/crates/hoisthitch-scheduler/src/vms/waves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/waves.rs
@@ -31,7 +31,7 @@
     },
     list::{
         VmList,
-        VmRows, //
+        VmListing, //
     },
     wave_state::{
         SHOWN_DOWN_MS,
@@ -58,7 +58,7 @@
 const ORDERS_PER_PASS: usize = 20;
 
 /// The loop that takes the VMs of a pool through waves.
-pub(super) struct WaveWorker<P> {
+pub(super) struct WaveLoop<P> {
     ledger: Rc<VmLedger<P>>,
     list: Rc<VmList>,
     /// State of the waves that are not completed, by number.
@@ -70,27 +70,28 @@
     logged_waits: BTreeMap<String, EvacuationStatus>,
 }
 
-impl<P: Platform> VmLoop for WaveWorker<P> {
+impl<P: Platform> VmLoop for WaveLoop<P> {
     const NAME: &'static str = "waves";
 
     async fn run_pass(&mut self) -> Result<(), VmWorkError> {
-        // Before that, it is not known which VMs earlier owners gave orders about.
+        // Before the record of an earlier owner is adopted, it is not known which VMs earlier
+        // owners gave orders about.
         if !self.ledger.is_adopted() {
             return Ok(());
         }
-        let orders: Vec<WaveRequest> = {
+        let requests: Vec<WaveRequest> = {
             let fleet = self.ledger.context.fleet.borrow();
             let open = fleet.waves.values();
-            let open = open.filter(|order| !self.completed.contains(&order.wave));
+            let open = open.filter(|request| !self.completed.contains(&request.wave));
             open.cloned().collect()
         };
-        for order in orders {
-            let mut state = self.waves.remove(&order.wave).unwrap_or_default();
-            let advanced = self.advance(&order, &mut state).await;
-            if state.progress.is_completed(&order.vms) {
-                self.completed.insert(order.wave);
+        for request in requests {
+            let mut state = self.waves.remove(&request.wave).unwrap_or_default();
+            let advanced = self.advance(&request, &mut state).await;
+            if state.progress.is_completed(&request.vms) {
+                self.completed.insert(request.wave);
             } else {
-                self.waves.insert(order.wave, state);
+                self.waves.insert(request.wave, state);
             }
             advanced?;
         }
@@ -98,7 +99,7 @@
     }
 }
 
-impl<P: Platform> WaveWorker<P> {
+impl<P: Platform> WaveLoop<P> {
     pub(super) fn new(ledger: Rc<VmLedger<P>>, list: Rc<VmList>) -> Self {
         Self {
             ledger,
@@ -114,44 +115,44 @@
     /// maintenance of those that may go down.
     async fn advance(
         &mut self,
-        order: &WaveRequest,
+        request: &WaveRequest,
         state: &mut WaveState,
     ) -> Result<(), VmWorkError> {
-        state.refresh(&self.ledger, order).await?;
-        if state.progress.is_completed(&order.vms) {
+        state.refresh(&self.ledger, request).await?;
+        if state.progress.is_completed(&request.vms) {
             return Ok(());
         }
         let context = &self.ledger.context;
         let rows = self.list.read(context).await?;
-        let due = self.own_vms(order, &rows);
+        let due = self.own_vms(request, &rows);
         self.record_done(&due, &rows, state).await;
         let mut ready = self.unconfirmed(&due, &rows, state);
-        let fresh = self.evacuate_next(order, &due, &rows, state).await;
+        let fresh = self.evacuate_next(request, &due, &rows, state).await;
         // Drop VMs of an earlier write that failed: they may not be able to go down now.
         state.pending.down.clear();
         for row in &fresh {
-            let before = self.ledger.life_on(row);
+            let before = self.ledger.instance_on(row);
             let before = before.map_or_else(String::new, |instance| instance.to_string());
             state.pending.down.insert(row.name.clone(), before);
         }
-        state.write_pending(&self.ledger, order).await?;
+        state.write_pending(&self.ledger, request).await?;
         ready.extend(fresh);
         ready.retain(|row| state.progress.down.contains_key(&row.name));
         ready.truncate(ORDERS_PER_PASS);
-        self.order_maintenance(order, state, &ready).await
+        self.order_maintenance(request, state, &ready).await
     }
 
     /// VMs of the wave that belong to this pool or are not listed.
-    fn own_vms(&self, order: &WaveRequest, rows: &VmRows) -> Vec<String> {
+    fn own_vms(&self, request: &WaveRequest, rows: &VmListing) -> Vec<String> {
         let pool = &self.ledger.context.pool;
         let own = |vm: &&String| rows.find(vm).is_none_or(|row| row.pool == *pool);
-        order.vms.iter().filter(own).cloned().collect()
+        request.vms.iter().filter(own).cloned().collect()
     }
 
     /// Records which VMs have completed their maintenance or are removed. If the maintenance was
     /// ordered twice, the current instance of the runner was evacuated for the second order;
     /// its evacuation has to be cancelled.
-    async fn record_done(&mut self, due: &[String], rows: &VmRows, state: &mut WaveState) {
+    async fn record_done(&mut self, due: &[String], rows: &VmListing, state: &mut WaveState) {
         let now = self.ledger.now();
         let mut runners = Vec::new();
         for vm in due {
@@ -159,17 +160,17 @@
                 continue;
             }
             let row = rows.find(vm);
-            let over = match row {
+            let is_done = match row {
                 None => state.is_removed(vm, now),
                 Some(row) => {
                     state.missing.remove(vm);
-                    let instance = self.ledger.life_on(row);
-                    state.has_returned(row, instance.as_ref(), rows.asked_at)
+                    let instance = self.ledger.instance_on(row);
+                    state.has_returned(row, instance.as_ref(), rows.requested_at)
                 }
             };
-            if over && state.pending.done.insert(vm.clone()) {
+            if is_done && state.pending.done.insert(vm.clone()) {
                 self.evacuating.remove(vm);
-                self.ledger.release(vm, VmClaim::Upkeep);
+                self.ledger.release(vm, VmClaim::Maintenance);
                 runners.extend(row.and_then(|row| row.runner.clone()));
             }
         }
@@ -186,27 +187,27 @@
     fn unconfirmed<'a>(
         &self,
         due: &[String],
-        rows: &'a VmRows,
+        rows: &'a VmListing,
         state: &WaveState,
     ) -> Vec<&'a VmStatus> {
         due.iter()
             .filter(|vm| state.progress.down.contains_key(*vm) && !state.has_begun(vm))
             .filter(|vm| {
                 let ordered = state.ordered.get(*vm);
-                ordered.is_none_or(|at| *at + SHOWN_DOWN_MS <= rows.asked_at)
+                ordered.is_none_or(|at| *at + SHOWN_DOWN_MS <= rows.requested_at)
             })
             .filter_map(|vm| rows.find(vm))
             .filter(|row| self.may_order(row))
-            .filter(|row| self.ledger.claim(&row.name, VmClaim::Upkeep))
+            .filter(|row| self.ledger.claim(&row.name, VmClaim::Maintenance))
             .collect()
     }
 
     /// Evacuates the next VMs, and returns those that may go down.
     async fn evacuate_next<'a>(
         &mut self,
-        order: &WaveRequest,
+        request: &WaveRequest,
         due: &[String],
-        rows: &'a VmRows,
+        rows: &'a VmListing,
         state: &WaveState,
     ) -> Vec<&'a VmStatus> {
         let mut candidates: Vec<&VmStatus> = due
@@ -214,21 +215,21 @@
             .filter(|vm| state.progress.is_due(vm) && !state.pending.done.contains(*vm))
             .filter_map(|vm| rows.find(vm))
             .filter(|row| self.may_order(row))
-            .filter(|row| !self.ledger.is_claimed(&row.name, VmClaim::Upkeep))
+            .filter(|row| !self.ledger.is_claimed(&row.name, VmClaim::Maintenance))
             .collect();
         // VMs that are being evacuated already come first.
         candidates.sort_by_key(|row| !self.evacuating.contains_key(&row.name));
         let pool = &self.ledger.context.pool;
         let own = rows.iter().filter(|row| row.pool == *pool).count();
         let down = state.progress.down.len();
-        let room = order.max_down().saturating_sub(down);
+        let room = request.max_down().saturating_sub(down);
         // One more than may go down, so that it is evacuated when it may.
-        let at_once = (own / EVACUATION_DIVISOR).max(1).min(room + 1);
-        let mut emptied = 0;
+        let limit = (own / EVACUATION_DIVISOR).max(1).min(room + 1);
+        let mut evacuated = 0;
         let mut free = Vec::new();
         let mut candidates = candidates.into_iter();
-        while emptied < at_once {
-            let next: Vec<&VmStatus> = candidates.by_ref().take(at_once - emptied).collect();
+        while evacuated < limit {
+            let next: Vec<&VmStatus> = candidates.by_ref().take(limit - evacuated).collect();
             if next.is_empty() {
                 break;
             }
@@ -236,7 +237,7 @@
             for (row, status) in next.into_iter().zip(statuses) {
                 // A VM without a runner takes no capacity from the pool.
                 let counts = row.runner.is_some() && status != Some(EvacuationStatus::Held);
-                emptied += usize::from(counts);
+                evacuated += usize::from(counts);
                 if may_go_down(status) {
                     free.push(row);
                 }
@@ -251,7 +252,7 @@
     async fn evacuate_vms(&mut self, rows: &[&VmStatus]) -> Vec<Option<EvacuationStatus>> {
         let mut runners = Vec::new();
         for row in rows {
-            self.ledger.claim(&row.name, VmClaim::Upkeep);
+            self.ledger.claim(&row.name, VmClaim::Maintenance);
             if let Some(runner) = &row.runner {
                 self.evacuating.insert(row.name.clone(), runner.clone());
                 runners.push(runner.clone());
@@ -287,7 +288,7 @@
         let before = self.logged_waits.insert(row.name.clone(), status);
         // The number of running tasks changes with each pass and is not compared.
         if before.map(|before| discriminant(&before)) != Some(discriminant(&status)) {
-            let instance = self.ledger.life_on(row);
+            let instance = self.ledger.instance_on(row);
             event!(
                 Info,
                 "upkeep_waits",
@@ -306,7 +307,7 @@
             .filter_map(|vm| self.evacuating.remove(vm))
             .collect();
         for vm in vms {
-            self.ledger.release(vm, VmClaim::Upkeep);
+            self.ledger.release(vm, VmClaim::Maintenance);
         }
         self.ledger.cancel_evacuation(runners).await;
     }
@@ -314,7 +315,7 @@
     /// Orders the maintenance of VMs that are recorded as down, as far as they may go down now.
     async fn order_maintenance(
         &mut self,
-        order: &WaveRequest,
+        request: &WaveRequest,
         state: &mut WaveState,
         ready: &[&VmStatus],
     ) -> Result<(), VmWorkError> {
@@ -333,11 +334,11 @@
             .map(|(row, _)| *row)
             .collect();
         // An instance that starts after the order is not the one that went down.
-        let instances = going.iter().map(|row| self.ledger.life_on(row));
+        let instances = going.iter().map(|row| self.ledger.instance_on(row));
         let instances: Vec<Option<RunnerInstance>> = instances.collect();
         let context = &self.ledger.context;
         let vms = context.platform.vms();
-        let wave = order.wave;
+        let wave = request.wave;
         let orders = going
             .iter()
             .map(|row| vms.start_maintenance(&row.name, wave, &context.node, token));
