--- a/crates/hoisthitch-scheduler/src/journal.rs
+++ b/crates/hoisthitch-scheduler/src/journal.rs
@@ -51,7 +51,7 @@
     pub(crate) sequence: u64,
     /// Silent runners by name, with the time from this write on after which all runs on each
     /// have ended, in milliseconds. The owner gives none of them a new lease before it has
-    /// written a head without it.
+    /// written a head that does not name it.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub(crate) silent: BTreeMap<String, Millis>,
 }
@@ -153,13 +153,13 @@
             return Err(JournalError::Deposed);
         };
         let record = decode_head(&stored).ok_or(JournalError::Deposed)?;
-        let made = record == *wanted;
-        if !made && record != self.head {
+        let was_written = record == *wanted;
+        if !was_written && record != self.head {
             return Err(JournalError::Deposed);
         }
         self.revision = stored.revision;
         self.head = record;
-        Ok(made)
+        Ok(was_written)
     }
 
     /// Fencing token: the revision of the last write, which is lower than that of any write of
--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -11,12 +11,12 @@
 
 mod advice;
 mod awaited;
-mod events;
 mod inbox;
 mod instances;
 mod quota;
 mod runners;
 mod silent;
+mod telemetry;
 mod writes;
 
 use std::{
@@ -143,8 +143,10 @@
 /// which the write was sent.
 type JournalResult<S> = (PoolJournal<S>, FlushPlan, Result<Millis, JournalError>);
 
+/// State of the event loop of a pool's owner.
 struct PoolOwner<P: Platform> {
     context: OwnerContext<P>,
+    /// Revision of the owner's election.
     epoch: u64,
     state: PoolState,
     /// The journal; none while a write is in progress.
@@ -160,7 +162,7 @@
     sessions: HashMap<RunnerKey, RunnerSession>,
     /// Number of sessions, shared with them.
     session_count: Rc<Cell<u32>>,
-    /// Whether the list of runners was applied before.
+    /// Whether a list of runners was applied before.
     has_synced: bool,
     /// Which instances of runners are current, and which have ended.
     instances: InstanceTracker,
@@ -176,8 +178,11 @@
     silence: SilenceTracker,
     /// When the ownership was last confirmed; shared with sessions and VM loops.
     confirmed_at: Rc<Cell<Millis>>,
+    /// When deadlines were last checked.
     checked_at: Millis,
+    /// When the last write or confirmation began.
     wrote_at: Millis,
+    /// Number of waiting jobs of each queue, as last written.
     waiting_counts: HashMap<String, u32>,
     counts_written_at: Millis,
 }
--- a/crates/hoisthitch-scheduler/src/owner/quota.rs
+++ b/crates/hoisthitch-scheduler/src/owner/quota.rs
@@ -53,7 +53,7 @@
 /// A team's record, as last written or found.
 #[derive(Clone, Debug, Default)]
 struct TeamRecord {
-    parts: QuotaAllocations,
+    allocations: QuotaAllocations,
     revision: StoreRevision,
     /// Whether the outcome of the last write is unknown, or the record can't be read.
     uncertain: bool,
@@ -92,20 +92,22 @@
         &mut self,
         pool: &str,
         teams: &TeamTable,
-        uses: &HashMap<&str, TeamUsage>,
+        usage: &HashMap<&str, TeamUsage>,
     ) -> BTreeMap<String, QuotaAllocations> {
         let mut changes = BTreeMap::new();
         self.is_short = false;
         for team in limited(teams) {
-            let needs = uses.get(&*team.name).copied().unwrap_or_default();
+            let team_usage = usage.get(&*team.name).copied().unwrap_or_default();
             let record = self.records.entry(team.name.to_string()).or_default();
-            let part = record.parts.next_allocation(pool, team.limit, needs);
-            let asked = needs.used.plus(needs.waiting);
-            self.is_short |= !part.is_enough(team.limit, asked);
-            if part != record.parts.allocation(pool) && !record.uncertain {
-                let mut parts = record.parts.clone();
-                parts.set(pool, part);
-                changes.insert(team.name.to_string(), parts);
+            let allocation = record
+                .allocations
+                .next_allocation(pool, team.limit, team_usage);
+            let requested = team_usage.used.plus(team_usage.waiting);
+            self.is_short |= !allocation.is_enough(team.limit, requested);
+            if allocation != record.allocations.allocation(pool) && !record.uncertain {
+                let mut allocations = record.allocations.clone();
+                allocations.set(pool, allocation);
+                changes.insert(team.name.to_string(), allocations);
             }
             self.is_short |= record.uncertain;
             if changes.len() == TEAMS_PER_WRITE {
@@ -120,24 +122,27 @@
     /// record is written again.
     fn apply_record(&mut self, pool: &str, team: &str, stored: Option<&StoredValue>) {
         let record = self.records.entry(team.to_owned()).or_default();
-        let lower = record.uncertain.then(|| record.parts.allocation(pool));
+        let lower = record
+            .uncertain
+            .then(|| record.allocations.allocation(pool));
         record.uncertain = false;
         let Some(stored) = stored else {
             *record = TeamRecord::default();
             return;
         };
         match serde_json::from_slice::<QuotaAllocations>(&stored.value) {
-            Ok(parts) => {
-                let part = parts.allocation(pool);
-                record.parts = parts;
-                record
-                    .parts
-                    .set(pool, lower.map_or(part, |lower| part.least(lower)));
+            Ok(allocations) => {
+                let allocation = allocations.allocation(pool);
+                record.allocations = allocations;
+                record.allocations.set(
+                    pool,
+                    lower.map_or(allocation, |lower| allocation.least(lower)),
+                );
                 record.revision = stored.revision;
             }
             // No task is started under a record that can't be read.
             Err(err) => {
-                record.parts = QuotaAllocations::default();
+                record.allocations = QuotaAllocations::default();
                 record.uncertain = true;
                 event!(Error, "quota_unreadable", team = team, error = err);
             }
@@ -174,30 +179,33 @@
             return;
         }
         self.quotas.checked_at = now;
-        let uses = self.state.team_usage();
-        let written = self.quotas.changes(&self.context.pool, teams, &uses);
+        let usage = self.state.team_usage();
+        let written = self.quotas.changes(&self.context.pool, teams, &usage);
         if !written.is_empty() {
-            self.write_parts(written);
+            self.write_allocations(written);
         } else if self.quotas.is_short && now >= self.quotas.read_at + READ_INTERVAL_MS {
             self.quotas.read_at = now;
-            self.read_parts();
+            self.read_records();
         }
     }
 
-    fn write_parts(&mut self, written: BTreeMap<String, QuotaAllocations>) {
+    fn write_allocations(&mut self, written: BTreeMap<String, QuotaAllocations>) {
         let pool = &self.context.pool;
         let mut items = Vec::new();
-        for (team, parts) in &written {
+        for (team, allocations) in &written {
             let record = self.quotas.records.entry(team.clone()).or_default();
             items.push(SwapItem {
                 key: self.context.keys.quota(team),
                 expected: record.revision,
-                value: Some(encode_record(parts)),
+                value: Some(encode_record(allocations)),
                 lease: None,
             });
             // What is released is not used any more, whatever the outcome of the write.
-            let lower = record.parts.allocation(pool).least(parts.allocation(pool));
-            record.parts.set(pool, lower);
+            let lower = record
+                .allocations
+                .allocation(pool)
+                .least(allocations.allocation(pool));
+            record.allocations.set(pool, lower);
         }
         self.apply_allowances();
         self.quotas.busy = true;
@@ -210,7 +218,7 @@
         });
     }
 
-    fn read_parts(&mut self) {
+    fn read_records(&mut self) {
         self.quotas.busy = true;
         let store = self.context.platform.store().clone();
         let prefix = self.context.keys.quotas_prefix();
@@ -230,17 +238,17 @@
         self.quotas.busy = false;
         match result.outcome {
             Ok(QuotaOutcome::Swapped(BatchOutcome::Written(revision))) => {
-                for (team, parts) in result.written {
+                for (team, allocations) in result.written {
                     event!(
                         Info,
                         "quota_part",
                         team = team,
                         pool = self.context.pool,
-                        cpu_milli = parts.allocation(&self.context.pool).cpu_milli,
-                        memory_mb = parts.allocation(&self.context.pool).memory_mb
+                        cpu_milli = allocations.allocation(&self.context.pool).cpu_milli,
+                        memory_mb = allocations.allocation(&self.context.pool).memory_mb
                     );
                     let record = self.quotas.records.entry(team).or_default();
-                    record.parts = parts;
+                    record.allocations = allocations;
                     record.revision = revision;
                 }
             }
@@ -309,7 +317,7 @@
         for (team, record) in &self.quotas.records {
             let limit = policy.teams().and_then(|teams| teams.find(team));
             if let Some(team) = limit {
-                let allowed = record.parts.allowed(&self.context.pool, team.limit);
+                let allowed = record.allocations.allowed(&self.context.pool, team.limit);
                 self.state.set_quota_allocation(&team.name, allowed);
             }
         }
--- a/crates/hoisthitch-scheduler/src/owner/runners.rs
+++ b/crates/hoisthitch-scheduler/src/owner/runners.rs
@@ -141,8 +141,8 @@
         }
         let known: Vec<RunnerKey> = keys.iter().flatten().copied().collect();
         let mut statuses = self.state.evacuation_statuses(&known).into_iter();
-        let asked = runners.iter().zip(keys);
-        asked
+        let requested = runners.iter().zip(keys);
+        requested
             .map(|(runner, key)| match key {
                 Some(key) => {
                     let status = statuses.next()?;
@@ -192,11 +192,11 @@
 
     /// Removes a runner that is not listed any more, once nothing can run on it.
     fn remove_if_expired(&mut self, key: RunnerKey, now: Millis) {
-        let over = self
+        let is_expired = self
             .state
             .runner(key)
             .is_some_and(|runner| !runner.ready && runner.lease_until <= now);
-        if over {
+        if is_expired {
             self.remove_runner(key, RemovalReason::Silent);
         }
     }
@@ -208,7 +208,7 @@
     }
 
     /// Removes a runner and ends its session.
-    pub(super) fn remove_runner(&mut self, key: RunnerKey, why: RemovalReason) {
+    pub(super) fn remove_runner(&mut self, key: RunnerKey, reason: RemovalReason) {
         let now = self.now();
         let instance = self.state.instance_of(key);
         self.sessions.remove(&key);
@@ -216,8 +216,8 @@
         self.publish_session_count();
         if let Some(instance) = instance {
             self.count_event("runner_gone");
-            event!(Info, "runner_gone", runner = instance, why = why);
-            self.state.remove_runner(key, why.loss_kind(), now);
+            event!(Info, "runner_gone", runner = instance, why = reason);
+            self.state.remove_runner(key, reason.loss_kind(), now);
         }
     }
 
--- a/crates/hoisthitch-scheduler/src/session/heartbeats.rs
+++ b/crates/hoisthitch-scheduler/src/session/heartbeats.rs
@@ -185,12 +185,12 @@
         let sent_at = self.context.shared.clock.now();
         let is_fresh = |at| sent_at < at + FRESH_RESPONSE_MS;
         let is_cleared = *self.signals.cleared_misses.borrow() >= self.misses;
-        let may_run = self.responded_at.is_some() && is_cleared;
+        let may_extend = self.responded_at.is_some() && is_cleared;
         HeartbeatPlan {
             sent_at,
             recorded_end,
             acknowledges: self.responded_at.is_some_and(is_fresh),
-            lease: self.context.next_lease(&self.clock, sent_at, may_run),
+            lease: self.context.next_lease(&self.clock, sent_at, may_extend),
         }
     }
 
@@ -247,11 +247,11 @@
         }
         // A heartbeat that may not grant a lease is not useful yet.
         let misses = self.misses;
-        let may_run = self
+        let cleared = self
             .signals
             .cleared_misses
             .wait_for(|cleared_misses| *cleared_misses >= misses);
-        let _ = timeout(RECORD_TIMEOUT, may_run).await;
+        let _ = timeout(RECORD_TIMEOUT, cleared).await;
     }
 
     /// Counts consecutive heartbeats that found nothing listening.
--- a/crates/hoisthitch-scheduler/src/session/lease.rs
+++ b/crates/hoisthitch-scheduler/src/session/lease.rs
@@ -70,15 +70,15 @@
     /// The lease to grant with the next heartbeat, if any; tells the owner how long runs may
     /// last under it.
     ///
-    /// `may_run` is false for a runner that did not respond to the last heartbeat: its lease
+    /// `may_extend` is false for a runner that did not respond to the last heartbeat: its lease
     /// is not extended, or its tasks could never be given up.
     pub(super) fn next_lease(
         &self,
         clock: &LeaseClock,
         now: Millis,
-        may_run: bool,
+        may_extend: bool,
     ) -> Option<GrantedLease> {
-        let offset = clock.offset.get().filter(|_| may_run)?;
+        let offset = clock.offset.get().filter(|_| may_extend)?;
         let until = (now + LEASE_MS).min(self.confirmed_at.get() + LEASE_CAP_MS);
         if until <= now {
             return None;
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -107,7 +107,9 @@
 pub(crate) enum RunnerOrder {
     /// Start a task; with the time at which the start was admitted and queued.
     Start(StartOrder, Millis),
+    /// Stop a run.
     Stop(StopOrder),
+    /// Set the pace of a best-effort task.
     Pace(PaceOrder),
 }
 
