--- a/crates/hoisthitch-scheduler/src/owner/telemetry.rs
+++ b/crates/hoisthitch-scheduler/src/owner/telemetry.rs
@@ -14,8 +14,8 @@
 };
 
 impl<P: Platform> PoolOwner<P> {
-    /// Logs the runs that were lost with their runners, and the tasks that were given up for
-    /// such losses.
+    /// Logs the runs that were lost with their runners, and the tasks that are failed as the
+    /// cause of such losses.
     pub(super) fn log_lost_runs(&mut self) {
         for lost in self.state.take_lost_runs() {
             event!(
@@ -35,16 +35,16 @@
                 weight = lost.suspicion.weight()
             );
         }
-        for given_up in self.state.take_crashing_tasks() {
+        for crashing in self.state.take_crashing_tasks() {
             self.count_event("task_given_up");
             event!(
                 Warn,
                 "task_given_up",
-                task = given_up.task,
-                run = given_up.run,
+                task = crashing.task,
+                run = crashing.run,
                 pool = self.context.pool,
-                losses = given_up.suspicion.losses,
-                weight = given_up.suspicion.weight()
+                losses = crashing.suspicion.losses,
+                weight = crashing.suspicion.weight()
             );
         }
     }
