--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -1,17 +1,22 @@
-//! The owner of a pool: decides, records, orders, and takes in what happens.
+//! The owner of a pool: plans its tasks, records decisions, and gives orders to its runners.
 //!
-//! One task runs all of it for a pool, so that nothing is decided on a state
-//! that another decision changes. What has to be recorded first waits for the
-//! journal; meanwhile events are taken in and further decisions gathered.
+//! One event loop per pool handles everything that changes the pool's state: submissions and
+//! cancels from the inbox, events of the sessions with runners, changes of the fleet, requests
+//! of the VM loops, and results of writes. No decision is therefore made on a state that
+//! another decision changes at the same time.
+//!
+//! The rule that the loop must keep: nothing is ordered before it is recorded in the pool's
+//! journal. While a write is in progress, events are handled and further decisions collected
+//! for the next write.
 
 mod advice;
 mod awaited;
-mod events;
 mod inbox;
-mod lives;
+mod instances;
 mod quota;
 mod runners;
 mod silent;
+mod telemetry;
 mod writes;
 
 use std::{
@@ -54,16 +59,16 @@
     }, //
 };
 
-use self::advice::AdviceReturn;
+use self::advice::AdviceResult;
 use self::awaited::AwaitedPolicy;
-use self::lives::LifeNotes;
+use self::instances::InstanceTracker;
 use self::quota::{
     QuotaLedger,
-    QuotaReturn, //
+    QuotaResult, //
 };
-use self::runners::GoneReason;
+use self::runners::RemovalReason;
 use self::silent::{
-    SilenceNotes,
+    SilenceTracker,
     inherited_runs, //
 };
 use crate::{
@@ -93,28 +98,28 @@
     vms::{
         VmContext,
         VmRequest,
-        run_vms, //
+        run_vm_loops, //
     }, //
 };
 
-/// Time between two looks at what time alone changes.
-const TICK: Duration = Duration::from_millis(100);
+/// Longest sleep of the event loop, after which deadlines are checked without any event.
+const MAX_SLEEP: Duration = Duration::from_millis(100);
 
-/// Least time between two looks at what time alone changes, in milliseconds:
-/// they go through all tasks, and events come by the hundred in a second.
-const CHECK_MS: Millis = 50;
+/// Minimum interval between two checks of deadlines, in milliseconds: a check visits all
+/// tasks, and events arrive by the hundred in a second.
+const DEADLINE_CHECK_INTERVAL_MS: Millis = 50;
 
-/// Longest wait of a new owner for the list of runners: some reads of a slow
-/// store. Without it the owner goes on, and takes runners in as it hears of them.
-const LIST_WAIT: Duration = Duration::from_millis(1_500);
+/// Maximum wait of a new owner for the list of runners: some reads of a slow store. After it,
+/// the owner continues without the list and adds runners as their records arrive.
+const RUNNER_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Questions of the VM worker that may wait.
-const VM_QUEUE: usize = 16;
+/// Number of requests of the VM loops that may be queued.
+const VM_REQUEST_QUEUE_LEN: usize = 16;
 
-/// Events taken in before the next decision.
-const EVENT_BATCH: usize = 256;
+/// Maximum number of session events that are handled before the next decision.
+const EVENT_BATCH_LEN: usize = 256;
 
-/// What the owner of a pool works with.
+/// Everything that the owner of a pool is given.
 pub(crate) struct OwnerContext<P> {
     pub(crate) platform: P,
     pub(crate) shared: Arc<NodeShared>,
@@ -130,58 +135,65 @@
 pub(crate) enum OwnerEnd {
     /// Another node owns the pool.
     Deposed,
-    /// The node was told to stop.
+    /// The node stops.
     Stopped,
 }
 
-type JournalReturn<S> = (PoolJournal<S>, FlushPlan, Result<Millis, JournalError>);
+/// A journal that comes back from a write, with what was written and the result: the time at
+/// which the write was sent.
+type JournalResult<S> = (PoolJournal<S>, FlushPlan, Result<Millis, JournalError>);
 
+/// State of the event loop of a pool's owner.
 struct PoolOwner<P: Platform> {
     context: OwnerContext<P>,
+    /// Revision of the owner's election.
     epoch: u64,
     state: PoolState,
-    /// The journal; away while a write is under way.
+    /// The journal; none while a write is in progress.
     journal: Option<PoolJournal<P::Store>>,
-    returns: mpsc::UnboundedSender<JournalReturn<P::Store>>,
-    advice: mpsc::UnboundedSender<AdviceReturn>,
-    /// Whether an adviser is being asked.
-    asking: bool,
-    /// Parts of teams' limits.
+    journal_results: mpsc::UnboundedSender<JournalResult<P::Store>>,
+    advice_results: mpsc::UnboundedSender<AdviceResult>,
+    /// Whether a request to an adviser is in progress.
+    advice_pending: bool,
+    /// The pool's quota allocations.
     quotas: QuotaLedger,
-    quota_returns: mpsc::UnboundedSender<QuotaReturn>,
+    quota_results: mpsc::UnboundedSender<QuotaResult>,
     events: mpsc::UnboundedSender<SessionEvent>,
     sessions: HashMap<RunnerKey, RunnerSession>,
-    /// How many they are.
-    open_sessions: Rc<Cell<u32>>,
-    /// Whether the list of runners was taken in.
-    synced: bool,
-    /// Which lives of runners are there, and which are over.
-    instances: LifeNotes,
-    /// Configuration that this node lacks and some job was taken by.
-    awaited: Option<AwaitedPolicy>,
-    /// Whether the pool is being handed on.
-    leaving: bool,
-    /// When this node began to own the pool.
-    owned_since: Millis,
-    /// Runners that do not answer and may run something, as last looked at.
+    /// Number of sessions, shared with them.
+    session_count: Rc<Cell<u32>>,
+    /// Whether a list of runners was applied before.
+    has_synced: bool,
+    /// Which instances of runners are current, and which have ended.
+    instances: InstanceTracker,
+    /// Configuration that this node does not have yet, though a job was accepted under it.
+    awaited_policy: Option<AwaitedPolicy>,
+    /// Whether the pool is being handed over to the next owner.
+    handing_over: bool,
+    /// When this node became the owner.
+    owner_since: Millis,
+    /// Silent runners that may still run something, as of the last check.
     silent: BTreeMap<String, SilentRuns>,
-    /// What is recorded of silent runners.
-    notes: SilenceNotes,
-    /// When this node was last surely the owner.
-    confirmed: Rc<Cell<Millis>>,
+    /// What the journal records of silent runners.
+    silence: SilenceTracker,
+    /// When the ownership was last confirmed; shared with sessions and VM loops.
+    confirmed_at: Rc<Cell<Millis>>,
+    /// When deadlines were last checked.
     checked_at: Millis,
+    /// When the last write or confirmation began.
     wrote_at: Millis,
-    counts: HashMap<String, u32>,
-    counted_at: Millis,
+    /// Number of waiting jobs of each queue, as last written.
+    waiting_counts: HashMap<String, u32>,
+    counts_written_at: Millis,
 }
 
-/// What an owner hears through.
+/// Receiving ends of the owner's event sources.
 struct OwnerChannels<S> {
     inbox: mpsc::UnboundedReceiver<FollowEvent>,
     events: mpsc::UnboundedReceiver<SessionEvent>,
-    returned: mpsc::UnboundedReceiver<JournalReturn<S>>,
-    advised: mpsc::UnboundedReceiver<AdviceReturn>,
-    quotas: mpsc::UnboundedReceiver<QuotaReturn>,
+    journal_results: mpsc::UnboundedReceiver<JournalResult<S>>,
+    advice_results: mpsc::UnboundedReceiver<AdviceResult>,
+    quota_results: mpsc::UnboundedReceiver<QuotaResult>,
     vm_requests: mpsc::Receiver<VmRequest>,
 }
 
@@ -197,20 +209,20 @@
     let inbox = follow_inbox(&context);
     let prefix = context.keys.progress_prefix(&context.pool);
     let progress = context.platform.store().read_prefix(&prefix).await?;
-    let mut recorded = read_progress(&context, progress);
-    let (vm_sender, vm_requests) = mpsc::channel(VM_QUEUE);
-    let confirmed = Rc::new(Cell::new(takeover.confirmed_at));
-    let vms = start_vm_worker(&context, takeover.epoch, confirmed.clone(), vm_sender);
+    let mut recorded = decode_progress(&context, progress);
+    let (vm_sender, vm_requests) = mpsc::channel(VM_REQUEST_QUEUE_LEN);
+    let confirmed_at = Rc::new(Cell::new(takeover.confirmed_at));
+    let vms = start_vm_loops(&context, takeover.epoch, confirmed_at.clone(), vm_sender);
     let (events, session_events) = mpsc::unbounded_channel();
-    let (returns, returned) = mpsc::unbounded_channel();
-    let (advice, advised) = mpsc::unbounded_channel();
-    let (quota_returns, quotas) = mpsc::unbounded_channel();
+    let (journal_results, journal_receiver) = mpsc::unbounded_channel();
+    let (advice_results, advice_receiver) = mpsc::unbounded_channel();
+    let (quota_results, quota_receiver) = mpsc::unbounded_channel();
     let mut channels = OwnerChannels {
         inbox,
         events: session_events,
-        returned,
-        advised,
-        quotas,
+        journal_results: journal_receiver,
+        advice_results: advice_receiver,
+        quota_results: quota_receiver,
         vm_requests,
     };
     let now = context.shared.clock.now();
@@ -218,44 +230,44 @@
         epoch: takeover.epoch,
         state: PoolState::new(inherited_runs(&takeover.silent, now)),
         journal: Some(takeover.journal),
-        returns,
-        advice,
-        asking: false,
+        journal_results,
+        advice_results,
+        advice_pending: false,
         quotas: QuotaLedger::default(),
-        quota_returns,
+        quota_results,
         events,
         sessions: HashMap::new(),
-        open_sessions: Rc::default(),
-        instances: LifeNotes::new(takeover.epoch),
-        awaited: None,
-        leaving: false,
-        owned_since: now,
+        session_count: Rc::default(),
+        instances: InstanceTracker::new(takeover.epoch),
+        awaited_policy: None,
+        handing_over: false,
+        owner_since: now,
         silent: BTreeMap::new(),
-        notes: SilenceNotes::inherited(&takeover.silent),
-        synced: false,
-        confirmed,
+        silence: SilenceTracker::inherited(&takeover.silent),
+        has_synced: false,
+        confirmed_at,
         checked_at: 0,
         wrote_at: 0,
-        counts: HashMap::new(),
-        counted_at: 0,
+        waiting_counts: HashMap::new(),
+        counts_written_at: 0,
         context,
     };
-    owner.count("pool_taken");
-    // Runners are asked only once all jobs are known: what they report of an
-    // unknown job would be stopped, and its ends forgotten.
+    owner.count_event("pool_taken");
+    // Sessions with runners are opened only once all jobs are known: runs of an unknown job
+    // would be stopped, and its ends acknowledged and lost.
     if let Some(all) = channels.inbox.recv().await {
-        owner.take_inbox(all, &mut recorded);
+        owner.apply_inbox_change(all, &mut recorded);
     }
-    // A node that did not stand by reads the list of runners only now.
+    // A node that was not a standby reads the list of runners only now.
     let mut fleet = owner.context.fleet.clone();
     let listed = fleet.wait_for(|fleet| fleet.listed);
-    if timeout(LIST_WAIT, listed).await.is_err() {
+    if timeout(RUNNER_LIST_TIMEOUT, listed).await.is_err() {
         event!(Warn, "runners_not_listed", pool = owner.context.pool);
     }
     owner.sync_fleet();
-    let end = owner.serve(&mut channels, &mut recorded).await;
+    let end = owner.run(&mut channels, &mut recorded).await;
     vms.abort();
-    owner.count("pool_left");
+    owner.count_event("pool_left");
     event!(
         Info,
         "pool_left",
@@ -266,7 +278,7 @@
     Ok(end)
 }
 
-/// Follows what the nodes that take jobs in write for the pool.
+/// Watches the pool's inbox in the store.
 fn follow_inbox<P: Platform>(context: &OwnerContext<P>) -> mpsc::UnboundedReceiver<FollowEvent> {
     let (sender, inbox) = mpsc::unbounded_channel();
     let order = FollowOptions {
@@ -280,28 +292,29 @@
     inbox
 }
 
-/// Starts the worker for the pool's VMs.
-fn start_vm_worker<P: Platform>(
+/// Starts the loops that manage the pool's VMs.
+fn start_vm_loops<P: Platform>(
     context: &OwnerContext<P>,
     epoch: u64,
-    confirmed: Rc<Cell<Millis>>,
+    confirmed_at: Rc<Cell<Millis>>,
     owner: mpsc::Sender<VmRequest>,
 ) -> JoinHandle<()> {
-    actix_rt::spawn(run_vms(VmContext {
+    actix_rt::spawn(run_vm_loops(VmContext {
         platform: context.platform.clone(),
         shared: context.shared.clone(),
         keys: context.keys.clone(),
         node: context.identity.node.clone(),
         pool: context.pool.clone(),
         epoch,
-        confirmed,
+        confirmed_at,
         fleet: context.fleet.clone(),
         owner,
     }))
 }
 
-/// Decodes the progress of jobs, by identifier.
-fn read_progress<P: Platform>(
+/// Decodes the recorded progress of jobs, by identifier; unreadable records are logged and
+/// left out.
+fn decode_progress<P: Platform>(
     context: &OwnerContext<P>,
     values: Vec<StoredValue>,
 ) -> HashMap<String, JobProgress> {
@@ -326,14 +339,13 @@
         self.context.shared.clock.now()
     }
 
-    /// Whether tasks may be started by the list of runners, as far as its age tells.
-    fn holds_list(&self, now: Millis) -> bool {
+    /// Whether the list of runners is recent enough to start tasks by it.
+    fn is_runner_list_valid(&self, now: Millis) -> bool {
         self.context.shared.runner_list_lease.is_valid(now)
     }
 
-    /// Takes in what comes, and acts, until the pool is another's or the node
-    /// stops.
-    async fn serve(
+    /// Runs the event loop until another node owns the pool or this node stops.
+    async fn run(
         &mut self,
         channels: &mut OwnerChannels<P::Store>,
         recorded: &mut HashMap<String, JobProgress>,
@@ -343,107 +355,112 @@
         loop {
             tokio::select! {
                 Some(event) = channels.events.recv() => {
-                    if self.take_event(event) {
+                    if self.handle_event(event) {
                         return OwnerEnd::Deposed;
                     }
                 }
-                Some(change) = channels.inbox.recv() => self.take_inbox(change, recorded),
-                Some(back) = channels.returned.recv() => {
-                    if self.take_journal(back).is_err() {
+                Some(change) = channels.inbox.recv() => self.apply_inbox_change(change, recorded),
+                Some(result) = channels.journal_results.recv() => {
+                    if self.finish_write(result).is_err() {
                         return OwnerEnd::Deposed;
                     }
                 }
-                Some(request) = channels.vm_requests.recv() => self.take_vm_request(request),
-                Some(back) = channels.advised.recv() => self.take_advice(back),
-                Some(back) = channels.quotas.recv() => self.take_quotas(back),
+                Some(request) = channels.vm_requests.recv() => self.handle_vm_request(request),
+                Some(result) = channels.advice_results.recv() => self.apply_advice(result),
+                Some(result) = channels.quota_results.recv() => self.apply_quota_result(result),
                 Ok(()) = fleet.changed() => {
                     fleet.borrow_and_update();
                     self.sync_fleet();
                 }
-                told = stop.changed() => {
-                    // The node is over, and waits for no pool any more.
-                    if told.is_err() {
+                changed = stop.changed() => {
+                    // The node has ended and does not wait for a handover.
+                    if changed.is_err() {
                         return OwnerEnd::Stopped;
                     }
                 }
                 () = sleep_until(self.next_wake()) => {}
             }
-            // A lease that was given must be known before time is judged.
-            if self.take_events(&mut channels.events) {
+            // Leases that were extended must be known before deadlines are checked.
+            if self.drain_events(&mut channels.events) {
                 return OwnerEnd::Deposed;
             }
             if *stop.borrow() && self.journal.is_some() {
-                self.begin_leaving(&mut channels.events);
+                self.begin_handover(&mut channels.events);
             }
-            if self.journal.is_some() && self.has_left_word() {
+            if self.journal.is_some() && self.is_handed_over() {
                 return OwnerEnd::Stopped;
             }
             self.advance();
         }
     }
 
-    /// Takes in events that wait; answers whether one shows another owner.
-    fn take_events(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) -> bool {
+    /// Handles queued session events; returns whether one shows that another node owns the
+    /// pool.
+    fn drain_events(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) -> bool {
         let mut deposed = false;
-        for _ in 0..EVENT_BATCH {
+        for _ in 0..EVENT_BATCH_LEN {
             let Ok(event) = events.try_recv() else {
                 break;
             };
-            deposed |= self.take_event(event);
+            deposed |= self.handle_event(event);
         }
         deposed
     }
 
-    /// When something is to be done without an event.
+    /// When the loop has to wake without an event.
     fn next_wake(&self) -> Instant {
         let wanted = || {
-            let writes =
-                self.state.needs_flush() || !self.is_noted() || self.instances.wants_token();
-            writes || (self.state.needs_plan() && self.holds_list(self.now()))
+            let writes = self.state.needs_flush()
+                || !self.is_silence_recorded()
+                || self.instances.needs_token();
+            writes || (self.state.needs_plan() && self.is_runner_list_valid(self.now()))
         };
-        if self.journal.is_none() || self.awaited.is_some() || !wanted() {
-            return Instant::now() + TICK;
+        if self.journal.is_none() || self.awaited_policy.is_some() || !wanted() {
+            return Instant::now() + MAX_SLEEP;
         }
         let wait = self.next_write().saturating_sub(self.now());
         Instant::now() + Duration::from_millis(wait.max(1))
     }
 
-    /// Decides, and does what can be done now.
+    /// Makes the decisions that are due, sends orders, and starts the next write.
     fn advance(&mut self) {
         let now = self.now();
-        if self.leaving {
-            return self.write(now);
+        if self.handing_over {
+            return self.start_write(now);
         }
         let mut due = self.state.needs_plan();
-        if now >= self.checked_at + CHECK_MS {
+        if now >= self.checked_at + DEADLINE_CHECK_INTERVAL_MS {
             self.checked_at = now;
-            self.check_times(now);
-            self.look_for_silence(now);
-            self.tell_recorded();
+            self.check_deadlines(now);
+            self.update_silent(now);
+            self.acknowledge_recorded();
             due = true;
         }
-        // Nothing is ordered before it is recorded. To plan at each event, with the
-        // order of a thousand jobs and the room of hundreds of runners, took a large
-        // pool's owner the processor time that its starts need: 4 in 100 of what is owed
-        // on a fleet of 1,100 VMs (two plays, docs/MEASURED.md).
-        self.look_at_quotas(now);
-        if due && self.holds_list(now) && self.may_write(now) && !self.awaits_policy(now) {
+        // Nothing is ordered before it is recorded, so that a plan is made only when the
+        // journal can be written. To plan at each event, by the order of a thousand jobs and
+        // the free capacity of hundreds of runners, takes a large pool's owner the processor
+        // time that its starts need: it cost 4 percent of the attainable value on a fleet of
+        // 1,100 VMs (docs/MEASURED.md).
+        self.update_quotas(now);
+        if due && self.is_runner_list_valid(now) && self.may_write(now) && !self.awaits_policy(now)
+        {
             self.state.plan(now);
         }
-        self.ask_advice(now);
+        self.request_advice(now);
         for stop in self.state.take_stop_orders() {
-            self.send(stop.runner, RunnerOrder::Stop(stop));
+            self.queue_order(stop.runner, RunnerOrder::Stop(stop));
         }
-        self.log_lost();
-        self.log_ended();
-        self.write(now);
+        self.log_lost_runs();
+        self.log_ended_jobs();
+        self.start_write(now);
     }
 
-    /// Looks at what time alone changes.
-    fn check_times(&mut self, now: Millis) {
+    /// Checks everything that changes by time alone: leases, rounds, unanswered stops, suspect
+    /// tasks, draining runners and stalled tasks.
+    fn check_deadlines(&mut self, now: Millis) {
         for runner in self.state.expire_leases(now) {
-            self.count("lease_lapsed");
-            event!(Warn, "lease_lapsed", runner = self.life_text(runner));
+            self.count_event("lease_lapsed");
+            event!(Warn, "lease_lapsed", runner = self.instance_text(runner));
         }
         let today = self.context.shared.clock.unix_ms();
         self.state.begin_due_rounds(now, today);
@@ -451,62 +468,66 @@
         self.state.clear_suspects(now);
         self.state.move_off_draining(now);
         for runner in self.state.stop_stalled(now) {
-            self.count("task_stalled");
-            event!(Warn, "task_stalled", runner = self.life_text(runner));
+            self.count_event("task_stalled");
+            event!(Warn, "task_stalled", runner = self.instance_text(runner));
         }
     }
 
-    fn send(&self, runner: RunnerKey, order: RunnerOrder) {
+    /// Queues an order at the runner's session.
+    fn queue_order(&self, runner: RunnerKey, order: RunnerOrder) {
         let sent = self
             .sessions
             .get(&runner)
-            .is_some_and(|session| session.order(order));
+            .is_some_and(|session| session.queue_order(order));
         if !sent {
             event!(Warn, "order_not_queued", pool = self.context.pool);
         }
     }
 
-    /// Takes an event in; answers whether it shows another owner.
-    fn take_event(&mut self, event: SessionEvent) -> bool {
+    /// Handles a session event; returns whether it shows that another node owns the pool.
+    fn handle_event(&mut self, event: SessionEvent) -> bool {
         let now = self.now();
         match event {
-            SessionEvent::Extended { runner, until } => self.state.extend_lease(runner, until),
-            SessionEvent::Held {
+            SessionEvent::LeaseGranted { runner, until } => self.state.extend_lease(runner, until),
+            SessionEvent::HeartbeatSucceeded {
                 runner,
                 report,
-                asked_at,
+                sent_at,
                 leased_until,
-                silences,
+                misses,
             } => {
                 if let Some(started_at) = report.started_at {
                     self.state.record_start_time(runner, started_at);
                 }
-                self.fence(runner, now);
-                let again = self.state.record_heartbeat(runner, &report, asked_at, now);
-                self.take_answer(runner, silences);
+                self.handle_first_response(runner, now);
+                let repeated_starts = self.state.record_heartbeat(runner, &report, sent_at, now);
+                self.handle_response(runner, misses);
                 if let Some(until) = leased_until {
                     self.state.confirm_runner_lease(runner, until);
                     self.state.mark_runner_ready(runner);
                 }
-                self.end_rivals(runner, asked_at);
-                self.start_all(again);
+                self.end_conflicting_instances(runner, sent_at);
+                self.queue_starts(repeated_starts);
                 for pace in self.state.pace(runner, now) {
-                    self.send(runner, RunnerOrder::Pace(pace));
+                    self.queue_order(runner, RunnerOrder::Pace(pace));
                 }
             }
-            SessionEvent::Missed { runner, reset } => {
+            SessionEvent::HeartbeatMissed { runner, reset } => {
                 self.state.record_missed_heartbeat(runner, reset, now)
             }
-            SessionEvent::Ended { runner } => self.take_ended(runner, now),
+            SessionEvent::ProcessExited { runner } => self.handle_process_exit(runner, now),
             SessionEvent::Replaced { runner } => {
-                self.note_over(runner);
-                self.drop_runner(runner, GoneReason::Replaced);
+                self.mark_ended(runner);
+                self.remove_runner(runner, RemovalReason::Replaced);
+            }
+            SessionEvent::Restarted { runner, started_at } => {
+                self.handle_restart(runner, started_at)
             }
-            SessionEvent::Renewed { runner, started_at } => self.take_renewed(runner, started_at),
-            // An order for a life that is over met this owner's next session.
+            // An order of a session that has ended was refused because of this owner's next
+            // session with the runner.
             SessionEvent::Fenced { runner } if !self.sessions.contains_key(&runner) => {}
             SessionEvent::Fenced { .. } => {
-                // Only a later owner's token is higher.
+                // Only a later owner has a higher token.
                 event!(
                     Warn,
                     "runner_fenced",
@@ -515,22 +536,23 @@
                 );
                 return true;
             }
-            SessionEvent::Started { order, outcome } => {
+            SessionEvent::StartFinished { order, outcome } => {
                 self.state.record_start_outcome(&order, outcome, now);
                 if outcome == StartOutcome::Started {
-                    self.measure_start(&order, now);
+                    self.observe_first_start(&order, now);
                 }
             }
-            SessionEvent::Stopped(order) => self.state.record_stop_ack(&order, now),
+            SessionEvent::StopAcknowledged(order) => self.state.record_stop_ack(&order, now),
             SessionEvent::PaceFailed(order) => self.state.record_pace_failure(&order, now),
         }
         false
     }
 
-    fn start_all(&self, orders: Vec<StartOrder>) {
+    /// Queues starts at their runners' sessions, as admitted now.
+    fn queue_starts(&self, orders: Vec<StartOrder>) {
         let now = self.now();
         for order in orders {
-            self.send(order.runner, RunnerOrder::Start(order, now));
+            self.queue_order(order.runner, RunnerOrder::Start(order, now));
         }
     }
 }
--- a/crates/hoisthitch-scheduler/src/owner/runners.rs
+++ b/crates/hoisthitch-scheduler/src/owner/runners.rs
@@ -1,4 +1,7 @@
-//! The runners of an owned pool, and the VMs below them.
+//! The runners of an owned pool, and the VMs that they run on.
+//!
+//! Keeps the pool's state in line with the list of runners, and serves the requests of the
+//! pool's VM loops: evacuating runners, and telling what the pool needs and can spare.
 
 use std::fmt::{
     self,
@@ -18,28 +21,28 @@
 use crate::{
     platform::Platform,
     vms::{
-        PoolNeed,
-        SPARE_LIMIT,
+        DemandAnswer,
+        MAX_EVACUATING,
         VmRequest, //
     }, //
 };
 
-/// Why an owner gave a runner up.
+/// Why an owner removed a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum GoneReason {
-    /// Its VM went down as ordered.
+pub(super) enum RemovalReason {
+    /// Its VM was shut down as ordered.
     Down,
-    /// A later life runs in its place.
+    /// Another instance runs in its place.
     Ended,
     /// Another runner answers at its address.
     Replaced,
-    /// Nothing was heard of it until its leases were over.
+    /// It did not respond until its lease had expired.
     Silent,
 }
 
-impl GoneReason {
-    /// How what it ran was lost.
-    fn loss(self) -> RunnerLoss {
+impl RemovalReason {
+    /// The kind of loss of its runs.
+    fn loss_kind(self) -> RunnerLoss {
         match self {
             Self::Down => RunnerLoss::Planned,
             Self::Ended | Self::Replaced => RunnerLoss::Crashed,
@@ -48,7 +51,7 @@
     }
 }
 
-impl Display for GoneReason {
+impl Display for RemovalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Down => "down",
@@ -60,68 +63,70 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    pub(super) fn take_vm_request(&mut self, request: VmRequest) {
+    /// Serves a request of the pool's VM loops.
+    pub(super) fn handle_vm_request(&mut self, request: VmRequest) {
         let now = self.now();
         match request {
-            VmRequest::Leave {
+            VmRequest::Evacuate {
                 runners,
-                vacate,
+                evict,
                 reply,
             } => {
-                let views = self.prepare_leave(&runners, vacate, now);
-                // A worker that is gone asks again.
-                let _ = reply.send(views);
+                let statuses = self.evacuate(&runners, evict, now);
+                // A loop that does not wait any more asks again.
+                let _ = reply.send(statuses);
             }
-            VmRequest::Stay { runners } => {
+            VmRequest::CancelEvacuation { runners } => {
                 for runner in runners {
                     if let Some(key) = self.state.runner_key(&runner) {
                         self.state.set_evacuating(key, false);
                     }
                 }
             }
-            VmRequest::Need { reply } => {
-                let spare = self.state.spare_runners(now, SPARE_LIMIT);
+            VmRequest::Demand { reply } => {
+                let spare = self.state.spare_runners(now, MAX_EVACUATING);
                 let spare = spare.into_iter().filter_map(|key| {
                     let facts = &self.state.runner(key)?.facts;
                     Some((facts.instance(), facts.vm.clone()))
                 });
-                let need = PoolNeed {
+                let answer = DemandAnswer {
                     want: self.state.wanted_vms(now),
                     vms: self.state.vms(),
                     spare: spare.collect(),
                 };
-                // A worker that is gone asks again.
-                let _ = reply.send(need);
+                // A loop that does not wait any more asks again.
+                let _ = reply.send(answer);
             }
-            VmRequest::Doubt { runner } => {
-                // Its next answer to a hold tells that it is still there.
+            VmRequest::VmDownUnconfirmed { runner } => {
+                // Its next heartbeat shows whether it still runs.
                 if let Some(key) = self.state.runner_key(&runner) {
                     self.state.mark_runner_unreachable(key);
                 }
             }
-            VmRequest::Down { instance } => self.take_down(&instance, now),
+            VmRequest::VmDown { instance } => self.handle_vm_down(&instance, now),
         }
     }
 
-    /// Takes in that a VM went down with that life of its runner. One that came since is
-    /// not concerned: its name may be the same.
-    fn take_down(&mut self, instance: &RunnerInstance, now: Millis) {
+    /// Handles the shutdown of a VM with that instance of its runner. A later instance, which
+    /// may have the same name, is not affected.
+    fn handle_vm_down(&mut self, instance: &RunnerInstance, now: Millis) {
         let Some(key) = self.state.key_of_instance(instance) else {
             return;
         };
         self.state.record_planned_shutdown(key, now);
-        // Its record stays for some heartbeats.
-        self.note_over(key);
-        self.drop_runner(key, GoneReason::Down);
-        self.take_listed(&instance.name);
+        // Its record stays listed until some of its heartbeats to the platform are missing.
+        self.mark_ended(key);
+        self.remove_runner(key, RemovalReason::Down);
+        self.apply_listed_record(&instance.name);
     }
 
-    /// Has runners emptied; answers how far each is, or nothing where it is not known
-    /// and nothing was recorded on it. Those that are free may go down together.
-    fn prepare_leave(
+    /// Starts the evacuation of runners, or continues it. Returns the status of each, or none
+    /// for a runner that is not known and has no recorded tasks. All VMs whose runners are
+    /// free may go down together.
+    fn evacuate(
         &mut self,
         runners: &[String],
-        vacate: bool,
+        evict: bool,
         now: Millis,
     ) -> Vec<Option<EvacuationStatus>> {
         let keys: Vec<Option<RunnerKey>> = runners
@@ -130,23 +135,23 @@
             .collect();
         for key in keys.iter().flatten() {
             self.state.set_evacuating(*key, true);
-            if vacate {
+            if evict {
                 self.state.evict_resumable(*key, now);
             }
         }
         let known: Vec<RunnerKey> = keys.iter().flatten().copied().collect();
-        let mut views = self.state.evacuation_statuses(&known).into_iter();
-        let asked = runners.iter().zip(keys);
-        asked
+        let mut statuses = self.state.evacuation_statuses(&known).into_iter();
+        let requested = runners.iter().zip(keys);
+        requested
             .map(|(runner, key)| match key {
                 Some(key) => {
-                    let view = views.next()?;
-                    let moves =
-                        view == EvacuationStatus::Held && self.state.relocate_task(key, now);
-                    Some(if moves {
+                    let status = statuses.next()?;
+                    let relocates =
+                        status == EvacuationStatus::Held && self.state.relocate_task(key, now);
+                    Some(if relocates {
                         EvacuationStatus::Busy(1)
                     } else {
-                        view
+                        status
                     })
                 }
                 None => self.state.unlisted_evacuation_status(runner),
@@ -154,14 +159,14 @@
             .collect()
     }
 
-    /// Takes in the runners of the pool, and the policies in force.
+    /// Applies the listed runners of the pool and the queue policies in effect.
     pub(super) fn sync_fleet(&mut self) {
         let now = self.now();
-        // What was there before this owner has been in the pool for long, or
-        // the VM worker knows better.
-        let since = if self.synced { now } else { 0 };
-        self.synced = true;
-        self.instances.take_list();
+        // Runners that were listed before this owner took over count as long-standing
+        // members of the pool; the VM loops know of those that have just been moved.
+        let since = if self.has_synced { now } else { 0 };
+        self.has_synced = true;
+        self.instances.handle_list_change();
         let fleet = self.context.fleet.borrow().clone();
         self.state.set_policies(&fleet.policies);
         let own: Vec<_> = fleet
@@ -170,7 +175,7 @@
             .filter(|record| record.pool == self.context.pool)
             .collect();
         for record in own {
-            self.take_record(record, since);
+            self.apply_runner_record(record, since);
         }
         let known: Vec<(RunnerKey, String)> = self
             .state
@@ -180,48 +185,50 @@
         for (key, name) in known {
             if !fleet.runners.contains_key(&name) {
                 self.state.unlist_runner(key);
-                self.drop_if_empty(key, now);
+                self.remove_if_expired(key, now);
             }
         }
     }
 
-    /// Forgets a runner that is listed no more, once nothing can run on it.
-    fn drop_if_empty(&mut self, key: RunnerKey, now: Millis) {
-        let over = self
+    /// Removes a runner that is not listed any more, once nothing can run on it.
+    fn remove_if_expired(&mut self, key: RunnerKey, now: Millis) {
+        let is_expired = self
             .state
             .runner(key)
             .is_some_and(|runner| !runner.ready && runner.lease_until <= now);
-        if over {
-            self.drop_runner(key, GoneReason::Silent);
+        if is_expired {
+            self.remove_runner(key, RemovalReason::Silent);
         }
     }
 
-    pub(super) fn count_sessions(&self) {
+    /// Publishes the number of sessions, by which each session paces its heartbeats.
+    pub(super) fn publish_session_count(&self) {
         let sessions = u32::try_from(self.sessions.len());
-        self.open_sessions.set(sessions.unwrap_or(u32::MAX));
+        self.session_count.set(sessions.unwrap_or(u32::MAX));
     }
 
-    pub(super) fn drop_runner(&mut self, key: RunnerKey, why: GoneReason) {
+    /// Removes a runner and ends its session.
+    pub(super) fn remove_runner(&mut self, key: RunnerKey, reason: RemovalReason) {
         let now = self.now();
         let instance = self.state.instance_of(key);
         self.sessions.remove(&key);
-        self.instances.drop_key(key);
-        self.count_sessions();
+        self.instances.remove_key(key);
+        self.publish_session_count();
         if let Some(instance) = instance {
-            self.count("runner_gone");
-            event!(Info, "runner_gone", runner = instance, why = why);
-            self.state.remove_runner(key, why.loss(), now);
+            self.count_event("runner_gone");
+            event!(Info, "runner_gone", runner = instance, why = reason);
+            self.state.remove_runner(key, reason.loss_kind(), now);
         }
     }
 
-    /// Tells sessions what is recorded.
-    pub(super) fn tell_recorded(&mut self) {
+    /// Lets sessions acknowledge the ends that are recorded, if nothing waits to be written.
+    pub(super) fn acknowledge_recorded(&mut self) {
         if self.journal.is_none() || self.state.needs_flush() {
             return;
         }
         for (key, session) in &self.sessions {
             if let Some(runner) = self.state.runner(*key) {
-                session.set_recorded(runner.last_seen_end);
+                session.acknowledge(runner.last_seen_end);
             }
         }
     }
--- a/crates/hoisthitch-scheduler/src/owner/silent.rs
+++ b/crates/hoisthitch-scheduler/src/owner/silent.rs
@@ -1,13 +1,13 @@
-//! Runners of an owned pool that do not answer.
+//! Runners of an owned pool that do not respond ("silent" runners).
 //!
-//! What such a runner was told to run ends with its lease, which only the owner
-//! that gave it knows. The owner therefore records when that is, in the head of
-//! the pool's journal, so that the next owner goes on with the same wait: alone
-//! it would have to wait for the longest lease there can be, from its own
-//! election on, and a task would stay away for as long as owners change.
+//! The runs on such a runner end with its lease, whose end only the owner that granted it
+//! knows. The owner therefore records that end in the head of the pool's journal, so that the
+//! next owner continues the same wait. Without the record, the next owner would have to wait
+//! for the longest possible lease from its own election on, and a task would stay unavailable
+//! for as long as the pool keeps changing owners.
 //!
-//! A recorded end has to stay true. A runner that was silent gets its next lease
-//! only after it was heard and no record names it any more.
+//! A recorded end must stay valid: a silent runner gets its next lease only after it has
+//! responded and the journal's head does not name it any more.
 
 use std::collections::{
     BTreeMap,
@@ -27,50 +27,52 @@
 use crate::{
     platform::Platform,
     session::{
-        LAST_RUN_MS,
+        MAX_RUN_AFTER_CONFIRMATION_MS,
         SessionEvent, //
     }, //
 };
 
-/// Time without an answer after which a runner's silence is recorded, in
-/// milliseconds: a hold that failed and the next one. The wait of a next owner
-/// and this together stay under the nine seconds that a lasting task may be away.
-const SILENT_MS: Millis = 300;
+/// Time without a response after which a runner is recorded as silent, in milliseconds: one
+/// failed heartbeat and the next one. This time and the wait of the next owner together stay
+/// under the nine seconds that a long-running task may be unavailable.
+const SILENT_AFTER_MS: Millis = 300;
 
-/// Time after which what is recorded of silent runners is written anew, in
-/// milliseconds: by so much longer the next owner waits.
-const NOTE_AGE_MS: Millis = 500;
+/// Age at which the record of silent runners is written again, in milliseconds; the next owner
+/// waits longer by up to this time.
+const RECORD_AGE_MS: Millis = 500;
 
-/// What the journal's head says of silent runners.
+/// What the journal's head records of silent runners.
 #[derive(Debug, Default)]
-pub(super) struct SilenceNotes {
-    /// Runners that it names, or may name by a write under way.
-    noted: BTreeSet<String>,
-    /// Runners that the write under way names; none without one.
+pub(super) struct SilenceTracker {
+    /// Runners that the head names, or may name if a write is in progress.
+    recorded: BTreeSet<String>,
+    /// Runners that the write in progress names; none without such a write.
     writing: Option<BTreeSet<String>>,
-    /// When it was last written.
-    noted_at: Millis,
+    /// When the last write of them began.
+    recorded_at: Millis,
     /// Runners whose silence was logged.
     logged: BTreeSet<String>,
-    /// Runners that were heard while they were named, with their silences.
-    heard: BTreeMap<RunnerKey, u64>,
+    /// Runners that responded while the head named them, with the number of heartbeats that
+    /// each missed so far.
+    responded: BTreeMap<RunnerKey, u64>,
 }
 
-impl SilenceNotes {
-    /// Notes of a new owner, whose head names the runners that the last one's did.
-    pub(super) fn inherited(left: &BTreeMap<String, Millis>) -> Self {
+impl SilenceTracker {
+    /// State of a new owner, whose head names the same runners as the previous owner's.
+    pub(super) fn inherited(previous: &BTreeMap<String, Millis>) -> Self {
         Self {
-            noted: left.keys().cloned().collect(),
+            recorded: previous.keys().cloned().collect(),
             ..Self::default()
         }
     }
 }
 
-/// What a new owner inherits, from the word that the last one left.
-pub(super) fn inherited_runs(left: &BTreeMap<String, Millis>, now: Millis) -> InheritedRuns {
+/// Ends of the runs that a new owner inherits, with the times that the previous owner recorded
+/// for silent runners.
+pub(super) fn inherited_runs(previous: &BTreeMap<String, Millis>, now: Millis) -> InheritedRuns {
     InheritedRuns {
-        until: now + LAST_RUN_MS,
-        silent: left
+        until: now + MAX_RUN_AFTER_CONFIRMATION_MS,
+        silent: previous
             .iter()
             .map(|(runner, time)| (runner.clone(), now + time))
             .collect(),
@@ -78,40 +80,40 @@
 }
 
 impl<P: Platform> PoolOwner<P> {
-    /// Looks which runners with tasks are silent, and says what is new.
-    pub(super) fn look_for_silence(&mut self, now: Millis) {
-        if self.leaving {
+    /// Determines which runners with tasks are silent, and logs the changes.
+    pub(super) fn update_silent(&mut self, now: Millis) {
+        if self.handing_over {
             self.silent = self.state.all_runs();
             return;
         }
-        let since = now.saturating_sub(SILENT_MS);
-        let long = self.state.silent_runs(self.owned_since, since);
+        let since = now.saturating_sub(SILENT_AFTER_MS);
+        let long = self.state.silent_runs(self.owner_since, since);
         self.log_silences(&long, now);
-        // One that is named stays so until it is heard, or what an earlier owner
-        // recorded would be lost.
-        let mut silent = self.state.silent_runs(self.owned_since, now);
-        let noted = &self.notes.noted;
-        silent.retain(|runner, _| long.contains_key(runner) || noted.contains(runner));
+        // A runner that the head names stays in it until it responds; otherwise the end that
+        // an earlier owner recorded would be lost.
+        let mut silent = self.state.silent_runs(self.owner_since, now);
+        let recorded = &self.silence.recorded;
+        silent.retain(|runner, _| long.contains_key(runner) || recorded.contains(runner));
         self.silent = silent;
     }
 
-    /// Logs which silences began, and which are over.
+    /// Logs which silences began and which are over.
     fn log_silences(&mut self, long: &BTreeMap<String, SilentRuns>, now: Millis) {
         for (runner, runs) in long {
-            if self.notes.logged.insert(runner.clone()) {
+            if self.silence.logged.insert(runner.clone()) {
                 self.log_silence(runner, *runs, now);
             }
         }
-        self.notes.logged.retain(|runner| {
-            let goes_on = long.contains_key(runner);
-            if !goes_on {
+        self.silence.logged.retain(|runner| {
+            let is_silent = long.contains_key(runner);
+            if !is_silent {
                 event!(
                     Info,
                     "runner_silence_over",
                     runner = self.state.instance_by_name(runner)
                 );
             }
-            goes_on
+            is_silent
         });
     }
 
@@ -127,36 +129,36 @@
         );
     }
 
-    /// Whether the journal's head has to be written for the silent runners.
-    pub(super) fn needs_note(&self, now: Millis) -> bool {
-        let old = now >= self.notes.noted_at + NOTE_AGE_MS;
-        (old && !self.silent.is_empty()) || !self.is_noted()
+    /// Whether the journal's head has to be written because of silent runners.
+    pub(super) fn needs_silence_write(&self, now: Millis) -> bool {
+        let old = now >= self.silence.recorded_at + RECORD_AGE_MS;
+        (old && !self.silent.is_empty()) || !self.is_silence_recorded()
     }
 
-    /// Whether the journal's head names the runners that are silent, and no
-    /// others.
-    pub(super) fn is_noted(&self) -> bool {
-        self.silent.keys().eq(self.notes.noted.iter())
+    /// Whether the journal's head names exactly the runners that are silent.
+    pub(super) fn is_silence_recorded(&self) -> bool {
+        self.silent.keys().eq(self.silence.recorded.iter())
     }
 
-    /// Stops giving leases, so that the ends of all runs are certain and can be
-    /// recorded for the next owner: of a runner that was just lost nobody may know
-    /// yet, for its last hold waits for an answer.
-    pub(super) fn begin_leaving(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) {
-        if self.leaving {
+    /// Begins the handover of the pool: ends all sessions, so that no lease is extended any
+    /// more and the ends of all runs are certain and can be recorded for the next owner. All
+    /// runners are recorded, since a runner may just have been lost while its last heartbeat
+    /// still waits for a response.
+    pub(super) fn begin_handover(&mut self, events: &mut mpsc::UnboundedReceiver<SessionEvent>) {
+        if self.handing_over {
             return;
         }
-        self.leaving = true;
+        self.handing_over = true;
         self.sessions.clear();
-        self.instances.drop_waiting();
+        self.instances.clear_waiting();
         self.state.cancel_planned_starts(self.now());
-        // Leases that were given until now.
+        // Leases that were granted until now.
         while let Ok(event) = events.try_recv() {
-            if let SessionEvent::Extended { runner, until } = event {
+            if let SessionEvent::LeaseGranted { runner, until } = event {
                 self.state.extend_lease(runner, until);
             }
         }
-        self.look_for_silence(self.now());
+        self.update_silent(self.now());
         event!(
             Info,
             "pool_handed_on",
@@ -166,48 +168,49 @@
         );
     }
 
-    /// Whether the next owner knows when all runs end.
-    pub(super) fn has_left_word(&self) -> bool {
-        self.leaving && self.is_noted()
+    /// Whether the handover is complete: the ends of all runs are recorded.
+    pub(super) fn is_handed_over(&self) -> bool {
+        self.handing_over && self.is_silence_recorded()
     }
 
-    /// What to write of the silent runners now, with the time that each may still
-    /// run something.
-    pub(super) fn begin_note(&mut self, now: Millis) -> BTreeMap<String, Millis> {
-        self.look_for_silence(now);
+    /// Begins a write of the silent runners; returns the time for which each may still run
+    /// something, by name.
+    pub(super) fn begin_silence_write(&mut self, now: Millis) -> BTreeMap<String, Millis> {
+        self.update_silent(now);
         let silent = self.silent.iter();
-        let note: BTreeMap<String, Millis> = silent
+        let times: BTreeMap<String, Millis> = silent
             .map(|(runner, runs)| (runner.clone(), runs.until.saturating_sub(now)))
             .collect();
-        self.notes.writing = Some(note.keys().cloned().collect());
-        self.notes.noted.extend(note.keys().cloned());
-        self.notes.noted_at = now;
-        note
+        self.silence.writing = Some(times.keys().cloned().collect());
+        self.silence.recorded.extend(times.keys().cloned());
+        self.silence.recorded_at = now;
+        times
     }
 
-    /// Takes in that the head was written, if it was: runners that it names no more
-    /// may have leases again.
-    pub(super) fn finish_note(&mut self) {
-        let Some(written) = self.notes.writing.take() else {
+    /// Completes a write of the silent runners, if one was in progress: runners that the head
+    /// does not name any more may have leases again.
+    pub(super) fn finish_silence_write(&mut self) {
+        let Some(written) = self.silence.writing.take() else {
             return;
         };
-        self.notes.noted = written;
-        let heard = std::mem::take(&mut self.notes.heard);
-        for (runner, silences) in heard {
-            self.take_answer(runner, silences);
+        self.silence.recorded = written;
+        let responded = std::mem::take(&mut self.silence.responded);
+        for (runner, misses) in responded {
+            self.handle_response(runner, misses);
         }
     }
 
-    /// Takes in that a runner was heard after that many silences.
-    pub(super) fn take_answer(&mut self, key: RunnerKey, silences: u64) {
+    /// Handles a response of a runner that missed that many heartbeats so far. It may have
+    /// leases again at once if the head does not name it, otherwise after the next write.
+    pub(super) fn handle_response(&mut self, key: RunnerKey, misses: u64) {
         let Some(session) = self.sessions.get(&key) else {
             return;
         };
         let name = self.state.runner(key).map(|runner| &runner.facts.name);
-        if name.is_some_and(|name| self.notes.noted.contains(name)) {
-            self.notes.heard.insert(key, silences);
+        if name.is_some_and(|name| self.silence.recorded.contains(name)) {
+            self.silence.responded.insert(key, misses);
         } else {
-            session.settle(silences);
+            session.allow_leases(misses);
         }
     }
 }
--- a/crates/hoisthitch-scheduler/src/owner/events.rs
+++ b/crates/hoisthitch-scheduler/src/owner/telemetry.rs
@@ -1,4 +1,4 @@
-//! What an owner tells of its pool: lines, counters and times.
+//! Log events and metrics of a pool's owner.
 
 use hoisthitch_jobs::{
     Millis,
@@ -14,8 +14,9 @@
 };
 
 impl<P: Platform> PoolOwner<P> {
-    /// Tells of the runs that were lost with their runners.
-    pub(super) fn log_lost(&mut self) {
+    /// Logs the runs that were lost with their runners, and the tasks that are failed as the
+    /// cause of such losses.
+    pub(super) fn log_lost_runs(&mut self) {
         for lost in self.state.take_lost_runs() {
             event!(
                 Warn,
@@ -34,22 +35,22 @@
                 weight = lost.suspicion.weight()
             );
         }
-        for given_up in self.state.take_crashing_tasks() {
-            self.count("task_given_up");
+        for crashing in self.state.take_crashing_tasks() {
+            self.count_event("task_given_up");
             event!(
                 Warn,
                 "task_given_up",
-                task = given_up.task,
-                run = given_up.run,
+                task = crashing.task,
+                run = crashing.run,
                 pool = self.context.pool,
-                losses = given_up.suspicion.losses,
-                weight = given_up.suspicion.weight()
+                losses = crashing.suspicion.losses,
+                weight = crashing.suspicion.weight()
             );
         }
     }
 
-    /// Tells of the jobs that ended, and where their time went.
-    pub(super) fn log_ended(&mut self) {
+    /// Logs the jobs that ended, with the time that each spent per phase.
+    pub(super) fn log_ended_jobs(&mut self) {
         for ended in self.state.take_ended_jobs() {
             event!(
                 Info,
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Measures how long a job waited for its first task.
-    pub(super) fn measure_start(&self, order: &StartOrder, now: Millis) {
+    /// Records the time from the acceptance of a job to the start of its first task.
+    pub(super) fn observe_first_start(&self, order: &StartOrder, now: Millis) {
         let first = order.run == 1 && order.task.slot == 0;
         if let Some(job) = self.state.job(&order.name.job).filter(|_| first) {
             let histogram = &self.context.shared.metrics.first_start;
@@ -78,14 +79,14 @@
         }
     }
 
-    /// The life of a runner, for the log.
-    pub(super) fn life_text(&self, key: RunnerKey) -> String {
+    /// The instance of a runner as text for the log; empty if the runner is not known.
+    pub(super) fn instance_text(&self, key: RunnerKey) -> String {
         let instance = self.state.instance_of(key);
         instance.map_or_else(String::new, |instance| instance.to_string())
     }
 
-    /// Counts an event of the pool.
-    pub(super) fn count(&self, event: &str) {
+    /// Counts an event of the pool in the metrics.
+    pub(super) fn count_event(&self, event: &str) {
         let events = &self.context.shared.metrics.events;
         events.with_label_values(&[event]).inc();
     }
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -1,10 +1,11 @@
 //! Sessions of an owner with the runners of its pool.
 //!
-//! One call is always open at a runner: it renews the lease of what runs there,
-//! tells the last end that is recorded, and waits for the next end ([`holds`]). Orders go
-//! one after the other beside it ([`orders`]).
+//! A session sends heartbeats without a break: each renews the lease of what runs on the
+//! runner, acknowledges the last recorded end, and waits for the next end ([`heartbeats`]).
+//! Independently of them, orders are sent one after the other ([`orders`]). The owner drops a
+//! [`RunnerSession`] to end the session, and receives [`SessionEvent`]s.
 
-mod holds;
+mod heartbeats;
 mod lease;
 mod orders;
 
@@ -31,20 +32,20 @@
 };
 
 pub(crate) use self::lease::{
-    FULL_RUN_MS,
-    LAST_RUN_MS,
-    STRAY_RUN_MS, //
+    MAX_RUN_AFTER_CONFIRMATION_MS,
+    MAX_RUN_MS,
+    MAX_STRAY_RUN_MS, //
 };
 use self::{
-    holds::{
-        HoldLoop, //
-        HoldSignals,
+    heartbeats::{
+        HeartbeatLoop,
+        HeartbeatSignals, //
     },
     lease::LeaseClock,
     orders::{
         OrderQueue,
         WithdrawnRuns,
-        carry_orders, //
+        send_orders, //
     }, //
 };
 use crate::{
@@ -56,152 +57,156 @@
     shared::NodeShared, //
 };
 
-/// Orders that may wait for one runner.
-const ORDER_QUEUE: usize = 1_024;
+/// Maximum number of orders that are queued for one runner.
+const ORDER_QUEUE_LEN: usize = 1_024;
 
-/// What sessions tell the owner.
+/// Events that sessions send to the owner.
 #[derive(Debug)]
 pub(crate) enum SessionEvent {
-    /// What runs on the runner may go on until then.
-    Extended { runner: RunnerKey, until: Millis },
-    /// A hold was answered.
-    Held {
+    /// A lease is granted with the next heartbeat: what runs on the runner has ended by `until`.
+    LeaseGranted { runner: RunnerKey, until: Millis },
+    /// A heartbeat succeeded.
+    HeartbeatSucceeded {
         runner: RunnerKey,
         report: HeartbeatReport,
-        asked_at: Millis,
-        /// End of the lease that it gave, under which starts can be ordered; none
-        /// where it gave none.
+        /// When the heartbeat was sent.
+        sent_at: Millis,
+        /// End of the lease that it granted, under which starts can be ordered; none if it
+        /// granted none.
         leased_until: Option<Millis>,
-        /// Silences of the runner so far.
-        silences: u64,
+        /// Number of heartbeats that the runner missed so far.
+        misses: u64,
     },
-    /// A hold was not answered.
-    Missed {
+    /// A heartbeat got no response.
+    HeartbeatMissed {
         runner: RunnerKey,
-        /// Whether it failed at once: nothing listens there.
+        /// Whether it failed at once, since nothing listens at the address.
         reset: bool,
     },
-    /// The runner's process has ended, and no other is in its place.
-    Ended { runner: RunnerKey },
-    /// Another runner answered at the runner's address.
+    /// The runner's process has ended, and no other runs in its place.
+    ProcessExited { runner: RunnerKey },
+    /// Another runner responded at the runner's address.
     Replaced { runner: RunnerKey },
-    /// The runner answered with another life, born then.
-    Renewed { runner: RunnerKey, started_at: u64 },
-    /// Orders of a higher token came to the runner.
+    /// Another instance of the runner responded, which started at `started_at`.
+    Restarted { runner: RunnerKey, started_at: u64 },
+    /// The runner has seen a higher fencing token.
     Fenced { runner: RunnerKey },
-    /// What became of a start.
-    Started {
+    /// The outcome of a start.
+    StartFinished {
         order: StartOrder,
         outcome: StartOutcome,
     },
-    /// A stop was answered.
-    Stopped(StopOrder),
-    /// A pace was not set.
+    /// A stop was acknowledged.
+    StopAcknowledged(StopOrder),
+    /// The pace of a best-effort task was not set.
     PaceFailed(PaceOrder),
 }
 
 /// An order for one runner.
 #[derive(Debug)]
 pub(crate) enum RunnerOrder {
-    /// Start a task, as admitted at that time.
+    /// Start a task; with the time at which the start was admitted and queued.
     Start(StartOrder, Millis),
+    /// Stop a run.
     Stop(StopOrder),
+    /// Set the pace of a best-effort task.
     Pace(PaceOrder),
 }
 
-/// The owner's end of a session; the session ends with it.
+/// The owner's end of a session; the session ends when it is dropped.
 pub(crate) struct RunnerSession {
-    /// Last end that is recorded.
-    recorded: watch::Sender<u64>,
+    /// Number of the last recorded end.
+    recorded_end: watch::Sender<u64>,
     orders: mpsc::Sender<RunnerOrder>,
     withdrawn: WithdrawnRuns,
-    /// Silences of the runner after which it may have leases again.
-    settled: watch::Sender<u64>,
-    /// Told that the runner may have another life.
-    hint: Rc<Notify>,
+    /// Number of missed heartbeats up to which the runner may have leases again.
+    cleared_misses: watch::Sender<u64>,
+    /// Notified when the runner may have another instance.
+    instance_check: Rc<Notify>,
     /// Where the runner listens.
     pub(crate) address: SocketAddr,
 }
 
-/// What a session works with.
+/// Everything that a session is given.
 pub(crate) struct SessionContext<R> {
     pub(crate) runners: R,
     pub(crate) shared: Arc<NodeShared>,
-    /// Which runners are listed, as the node knows when an order's turn comes.
+    /// The listed runners; read when an order is about to be sent.
     pub(crate) fleet: watch::Receiver<Arc<FleetView>>,
-    /// Fencing token of the orders, higher than those of all earlier sessions with a
-    /// runner of that name: what was ordered of a life that is over may be carried out
-    /// seconds later, and the next life refuses it once it was asked under this token.
+    /// Fencing token of the orders, higher than those of all earlier sessions with a runner of
+    /// that name: an order for an ended instance may arrive seconds later, and the next
+    /// instance refuses it once it has seen this token.
     pub(crate) token: u64,
-    /// When the owner last made sure that it is the owner. Read for each lease: told
-    /// together with what is recorded it stood still while the owner had more to record than it could
-    /// write, and after eight seconds all leases lapsed.
-    pub(crate) confirmed: Rc<Cell<Millis>>,
-    /// Sessions that the owner has.
-    pub(crate) sessions: Rc<Cell<u32>>,
+    /// When the ownership was last confirmed. Shared and read for each lease: when it was sent
+    /// together with the recorded ends, it stood still while the owner had more to record than
+    /// it could write, and all leases expired after eight seconds.
+    pub(crate) confirmed_at: Rc<Cell<Millis>>,
+    /// Number of the owner's sessions.
+    pub(crate) session_count: Rc<Cell<u32>>,
     pub(crate) key: RunnerKey,
     pub(crate) address: RunnerAddress,
     pub(crate) events: mpsc::UnboundedSender<SessionEvent>,
 }
 
 impl RunnerSession {
-    /// Opens a session.
+    /// Opens a session: starts its heartbeats and the sending of its orders.
     pub(crate) fn open<R: RunnerControl>(context: SessionContext<R>) -> Self {
-        let (recorded, told) = watch::channel(0);
-        let (orders, queue) = mpsc::channel(ORDER_QUEUE);
+        let (recorded_end, end_receiver) = watch::channel(0);
+        let (orders, queue) = mpsc::channel(ORDER_QUEUE_LEN);
         let context = Rc::new(context);
         let clock = Rc::new(LeaseClock::default());
-        let (settled, silences) = watch::channel(0);
-        let hint = Rc::new(Notify::new());
+        let (cleared_misses, miss_receiver) = watch::channel(0);
+        let instance_check = Rc::new(Notify::new());
         let withdrawn = WithdrawnRuns::default();
         let address = context.address.address;
-        let carried = OrderQueue {
+        let order_queue = OrderQueue {
             queue,
             withdrawn: withdrawn.clone(),
         };
-        actix_rt::spawn(carry_orders(context.clone(), clock.clone(), carried));
-        let signals = HoldSignals {
-            told,
-            settled: silences,
-            hint: hint.clone(),
+        actix_rt::spawn(send_orders(context.clone(), clock.clone(), order_queue));
+        let signals = HeartbeatSignals {
+            recorded_end: end_receiver,
+            cleared_misses: miss_receiver,
+            instance_check: instance_check.clone(),
         };
-        actix_rt::spawn(HoldLoop::new(context, clock, signals).run());
+        actix_rt::spawn(HeartbeatLoop::new(context, clock, signals).run());
         Self {
-            recorded,
+            recorded_end,
             orders,
             withdrawn,
-            settled,
-            hint,
+            cleared_misses,
+            instance_check,
             address,
         }
     }
 
-    /// Has the runner asked at once which life it is.
-    pub(crate) fn ask_life(&self) {
-        self.hint.notify_one();
+    /// Sends a heartbeat at once, to learn which instance of the runner is current.
+    pub(crate) fn check_instance(&self) {
+        self.instance_check.notify_one();
     }
 
-    /// Lets the runner have leases again after that many silences: nobody goes by
-    /// an earlier end of its runs any more.
-    pub(crate) fn settle(&self, silences: u64) {
-        self.settled.send_if_modified(|settled| {
-            let later = silences > *settled;
-            *settled = silences.max(*settled);
+    /// Lets the runner have leases again after that many missed heartbeats: an earlier end of
+    /// its runs is not relied on any more.
+    pub(crate) fn allow_leases(&self, misses: u64) {
+        self.cleared_misses.send_if_modified(|cleared_misses| {
+            let later = misses > *cleared_misses;
+            *cleared_misses = misses.max(*cleared_misses);
             later
         });
     }
 
-    /// Tells the last end that is recorded; the runner may forget it.
-    pub(crate) fn set_recorded(&self, number: u64) {
-        self.recorded.send_if_modified(|recorded| {
+    /// Acknowledges the ends up to that number with the next heartbeat; the runner may forget
+    /// them.
+    pub(crate) fn acknowledge(&self, number: u64) {
+        self.recorded_end.send_if_modified(|recorded| {
             let changed = *recorded != number;
             *recorded = number;
             changed
         });
     }
 
-    /// Sends an order; answers whether there was room for it.
-    pub(crate) fn order(&self, order: RunnerOrder) -> bool {
+    /// Queues an order; returns whether there was room for it.
+    pub(crate) fn queue_order(&self, order: RunnerOrder) -> bool {
         if let RunnerOrder::Stop(stop) = &order {
             let run = (stop.name.clone(), stop.run);
             self.withdrawn.borrow_mut().insert(run);
@@ -211,8 +216,8 @@
 }
 
 impl<R> SessionContext<R> {
-    fn tell(&self, event: SessionEvent) {
-        // An owner that is gone needs no more events.
+    fn emit(&self, event: SessionEvent) {
+        // The send fails only if the owner has ended.
         let _ = self.events.send(event);
     }
 }
--- a/crates/hoisthitch-scheduler/src/vms/moves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/moves.rs
@@ -1,4 +1,9 @@
 //! Moves of VMs between pools.
+//!
+//! The loop publishes which VMs the pool has and needs, reads the same of all pools, and works
+//! out the moves that are due. It orders only those of its own VMs: it evacuates the runner,
+//! writes the pool's record, whose revision is the order's fencing token, and then calls the
+//! platform.
 
 use std::{
     collections::BTreeMap,
@@ -18,13 +23,13 @@
 use tokio::sync::oneshot;
 
 use super::{
-    PoolNeed,
-    SPARE_LIMIT,
+    DemandAnswer,
+    MAX_EVACUATING,
     VmLoop,
     VmRequest,
     VmWorkError,
     ledger::{
-        SETTLE_MS,
+        EARLIER_ORDER_BLOCK_MS,
         VmClaim,
         VmLedger, //
     },
@@ -36,139 +41,144 @@
     VmError, //
 };
 
-/// Moves that a pool makes in one look: one with many VMs to spare gives them
-/// within some looks. The platform takes 64 a second of all, or more, and what it
-/// refuses is ordered again.
-const MOVE_LIMIT: usize = 40;
+/// Maximum number of moves that a pool orders in one pass: a pool with many VMs to spare
+/// releases them within some passes. The platform accepts 64 a second of all pools, or more,
+/// and what it refuses is ordered again.
+const MOVES_PER_PASS: usize = 40;
 
-/// Moves VMs of a pool that others need more.
-pub(super) struct MoveWorker<P> {
+/// The loop that moves VMs of a pool to pools that need them more.
+pub(super) struct MoveLoop<P> {
     pub(super) ledger: Rc<VmLedger<P>>,
     pub(super) list: Rc<VmList>,
-    /// What was last published.
-    share: VmBalance,
-    /// What the pool wanted in the last second.
-    pub(super) wants: DemandHistory,
-    /// VMs sent away, where to and when.
+    /// The balance that was last published.
+    balance: VmBalance,
+    /// Number of VMs that the pool wanted in the last second.
+    pub(super) demand: DemandHistory,
+    /// VMs that were sent away, with the target pool and the time.
     pub(super) sent: BTreeMap<String, (String, Millis)>,
-    /// VMs without a runner, as last listed, and since when.
+    /// VMs without a runner, and since when each has been listed.
     pub(super) idle: BTreeMap<String, Millis>,
-    /// Whether those VMs were listed before.
-    pub(super) listed: bool,
-    /// Runners that are being emptied to be given away, by VM.
-    giving: BTreeMap<String, RunnerInstance>,
+    /// Whether VMs without a runner were listed before.
+    pub(super) idle_listed: bool,
+    /// Runners that are being evacuated so that their VMs can be moved, by VM.
+    evacuating: BTreeMap<String, RunnerInstance>,
 }
 
-impl<P: Platform> VmLoop for MoveWorker<P> {
+impl<P: Platform> VmLoop for MoveLoop<P> {
     const NAME: &'static str = "moves";
 
-    async fn look(&mut self) -> Result<(), VmWorkError> {
-        if !self.ledger.is_settled() {
-            self.settle_in().await?;
+    async fn run_pass(&mut self) -> Result<(), VmWorkError> {
+        if !self.ledger.is_adopted() {
+            self.adopt_record().await?;
         }
-        self.balance().await
+        self.rebalance().await
     }
 }
 
-impl<P: Platform> MoveWorker<P> {
+impl<P: Platform> MoveLoop<P> {
     pub(super) fn new(ledger: Rc<VmLedger<P>>, list: Rc<VmList>) -> Self {
         Self {
             ledger,
             list,
-            share: VmBalance::default(),
-            wants: DemandHistory::default(),
+            balance: VmBalance::default(),
+            demand: DemandHistory::default(),
             sent: BTreeMap::new(),
             idle: BTreeMap::new(),
-            listed: false,
-            giving: BTreeMap::new(),
+            idle_listed: false,
+            evacuating: BTreeMap::new(),
         }
     }
 
-    /// Publishes what the pool needs, and sends away what others need more.
-    async fn balance(&mut self) -> Result<(), VmWorkError> {
+    /// Publishes the pool's balance, and moves VMs to pools that need them more.
+    async fn rebalance(&mut self) -> Result<(), VmWorkError> {
         let now = self.ledger.now();
-        let Some(need) = self.ask_need().await else {
+        let Some(demand) = self.request_demand().await else {
             return Ok(());
         };
         let spare = self.is_spare();
         let vms = if spare {
             self.list_idle(now).await?
         } else {
-            need.vms.clone()
+            demand.vms.clone()
         };
-        let share = self.make_share(&need, vms, spare, now);
-        self.tell_share(share).await?;
-        // Without a VM to give there is nothing to look for.
-        let kept = if spare { 0 } else { need.want.steady };
-        let staying = u32::try_from(self.share.staying());
-        if staying.is_ok_and(|staying| staying <= kept) && self.giving.is_empty() {
+        let balance = self.make_balance(&demand, vms, spare, now);
+        self.publish_balance(balance).await?;
+        // A pool without a VM to release needs no targets.
+        let kept = if spare { 0 } else { demand.want.steady };
+        let staying = u32::try_from(self.balance.staying());
+        if staying.is_ok_and(|staying| staying <= kept) && self.evacuating.is_empty() {
             return Ok(());
         }
         let targets = self.find_targets().await?;
         let vms = if spare {
             self.idle_vms(now)
         } else {
-            self.emptied_vms(&need, targets.len()).await
+            self.evacuated_vms(&demand, targets.len()).await
         };
-        let moves: Vec<(String, String)> = vms.into_iter().zip(targets).take(MOVE_LIMIT).collect();
+        let moves: Vec<(String, String)> =
+            vms.into_iter().zip(targets).take(MOVES_PER_PASS).collect();
         if moves.is_empty() {
             return Ok(());
         }
-        self.send_away(moves, now).await
+        self.order_moves(moves, now).await
     }
 
-    async fn ask_need(&self) -> Option<PoolNeed> {
+    /// Asks the owner what the pool needs; none if the owner has ended.
+    async fn request_demand(&self) -> Option<DemandAnswer> {
         let (reply, answer) = oneshot::channel();
-        let request = VmRequest::Need { reply };
+        let request = VmRequest::Demand { reply };
         self.ledger.context.owner.send(request).await.ok()?;
         answer.await.ok()
     }
 
-    /// Publishes the pool's share, if it changed.
-    async fn tell_share(&mut self, share: VmBalance) -> Result<(), VmWorkError> {
-        if share == self.share {
+    /// Publishes the pool's balance, if it changed.
+    async fn publish_balance(&mut self, balance: VmBalance) -> Result<(), VmWorkError> {
+        if balance == self.balance {
             return Ok(());
         }
         event!(
             Info,
             "pool_needs",
             pool = self.ledger.context.pool,
-            want = share.want,
-            keep = share.keep,
-            has = share.vms.len(),
-            sent = share.sent.len()
+            want = balance.want,
+            keep = balance.keep,
+            has = balance.vms.len(),
+            sent = balance.sent.len()
         );
-        self.ledger.publish(Some(share.clone())).await?;
-        self.share = share;
+        self.ledger.publish(Some(balance.clone())).await?;
+        self.balance = balance;
         Ok(())
     }
 
-    /// Pools that are to get VMs of this one, once for each VM.
+    /// The pools that get VMs of this one, one entry for each VM.
     async fn find_targets(&self) -> Result<Vec<String>, VmWorkError> {
         let pool = &self.ledger.context.pool;
-        let mut pools = self.read_shares().await?;
-        pools.insert(pool.clone(), self.share.clone());
+        let mut pools = self.read_balances().await?;
+        pools.insert(pool.clone(), self.balance.clone());
         let own = plan_moves(&pools)
             .into_iter()
-            .filter(|order| order.from == *pool);
-        let targets = own.flat_map(|order| std::iter::repeat_n(order.to, order.count));
-        Ok(targets.take(SPARE_LIMIT).collect())
+            .filter(|planned| planned.from == *pool);
+        let targets = own.flat_map(|planned| std::iter::repeat_n(planned.to, planned.count));
+        Ok(targets.take(MAX_EVACUATING).collect())
     }
 
-    /// VMs without a runner that may be sent away.
+    /// VMs without a runner that may be moved.
     fn idle_vms(&self, now: Millis) -> Vec<String> {
         self.idle
             .iter()
-            .filter(|(vm, since)| !self.sent.contains_key(*vm) && **since + SETTLE_MS <= now)
+            .filter(|(vm, since)| {
+                !self.sent.contains_key(*vm) && **since + EARLIER_ORDER_BLOCK_MS <= now
+            })
             .filter(|(vm, _)| !self.ledger.is_blocked(vm))
             .filter(|(vm, _)| !self.ledger.is_claimed(vm, VmClaim::Move))
             .map(|(vm, _)| vm.clone())
             .collect()
     }
 
-    /// Has up to `count` runners emptied; answers with the VMs that are.
-    async fn emptied_vms(&mut self, need: &PoolNeed, count: usize) -> Vec<String> {
-        let candidates: Vec<(RunnerInstance, String)> = need
+    /// Evacuates up to `count` runners, and returns the VMs whose evacuation is complete.
+    /// Cancels those that are not candidates any more.
+    async fn evacuated_vms(&mut self, demand: &DemandAnswer, count: usize) -> Vec<String> {
+        let candidates: Vec<(RunnerInstance, String)> = demand
             .spare
             .iter()
             .filter(|(_, vm)| !self.ledger.is_claimed(vm, VmClaim::Move))
@@ -176,16 +186,16 @@
             .take(count)
             .cloned()
             .collect();
-        let over: Vec<String> = self
-            .giving
+        let dropped: Vec<String> = self
+            .evacuating
             .keys()
             .filter(|vm| !candidates.iter().any(|(_, candidate)| candidate == *vm))
             .cloned()
             .collect();
-        self.keep_vms(over).await;
+        self.cancel_moves(dropped).await;
         for (runner, vm) in &candidates {
             self.ledger.claim(vm, VmClaim::Move);
-            if self.giving.insert(vm.clone(), runner.clone()).is_none() {
+            if self.evacuating.insert(vm.clone(), runner.clone()).is_none() {
                 event!(
                     Info,
                     "vm_emptying",
@@ -198,20 +208,20 @@
         let candidates = candidates.into_iter();
         let (runners, vms): (Vec<String>, Vec<String>) =
             candidates.map(|(runner, vm)| (runner.name, vm)).unzip();
-        let views = self.ledger.ask_leave(runners, true).await;
-        let answered = vms.into_iter().zip(views);
+        let statuses = self.ledger.request_evacuation(runners, true).await;
+        let answered = vms.into_iter().zip(statuses);
         answered
-            .filter(|(_, view)| *view == Some(EvacuationStatus::Free))
+            .filter(|(_, status)| *status == Some(EvacuationStatus::Free))
             .map(|(vm, _)| vm)
             .collect()
     }
 
-    /// Lets runners go on that were to be given away.
-    async fn keep_vms(&mut self, vms: Vec<String>) {
+    /// Cancels the moves of VMs, and the evacuation of their runners.
+    async fn cancel_moves(&mut self, vms: Vec<String>) {
         let mut runners = Vec::new();
         for vm in vms {
             self.ledger.release(&vm, VmClaim::Move);
-            let Some(runner) = self.giving.remove(&vm) else {
+            let Some(runner) = self.evacuating.remove(&vm) else {
                 continue;
             };
             event!(
@@ -223,25 +233,25 @@
             );
             runners.push(runner.name);
         }
-        self.ledger.let_stay(runners).await;
+        self.ledger.cancel_evacuation(runners).await;
     }
 
-    /// Sends VMs to other pools, under one token.
-    async fn send_away(
+    /// Orders moves of VMs to other pools, all under one token.
+    async fn order_moves(
         &mut self,
         moves: Vec<(String, String)>,
         now: Millis,
     ) -> Result<(), VmWorkError> {
-        let mut share = self.share.clone();
+        let mut balance = self.balance.clone();
         for (vm, target) in &moves {
             self.ledger.claim(vm, VmClaim::Move);
             self.sent.insert(vm.clone(), (target.clone(), now));
-            share.sent.insert(vm.clone(), target.clone());
+            balance.sent.insert(vm.clone(), target.clone());
         }
         let vms = moves.iter().map(|(vm, _)| vm);
-        let token = self.ledger.authorize(vms, Some(share.clone())).await?;
-        self.share = share;
-        self.ledger.check_owner()?;
+        let token = self.ledger.issue_token(vms, Some(balance.clone())).await?;
+        self.balance = balance;
+        self.ledger.check_ownership()?;
         let context = &self.ledger.context;
         let vms = context.platform.vms();
         let orders = moves
@@ -258,24 +268,27 @@
                 token = token,
                 outcome = format_args!("{outcome:?}")
             );
-            self.take_move(vm, &outcome).await;
+            self.handle_move_outcome(vm, &outcome).await;
         }
         Ok(())
     }
 
-    async fn take_move(&mut self, vm: String, outcome: &Result<(), VmError>) {
+    /// Handles the response to the order of a move.
+    async fn handle_move_outcome(&mut self, vm: String, outcome: &Result<(), VmError>) {
         match outcome {
             Ok(()) => {
                 self.idle.remove(&vm);
-                if let Some(instance) = self.giving.remove(&vm) {
-                    self.ledger.tell(VmRequest::Down { instance }).await;
+                if let Some(instance) = self.evacuating.remove(&vm) {
+                    self.ledger
+                        .notify_owner(VmRequest::VmDown { instance })
+                        .await;
                 }
             }
-            // It may have been done; the list of runners tells.
+            // The move may have been made; the list of runners shows it.
             Err(VmError::NoAnswer(_)) => {}
             Err(_) => {
                 self.sent.remove(&vm);
-                self.keep_vms(vec![vm]).await;
+                self.cancel_moves(vec![vm]).await;
             }
         }
     }
--- a/crates/hoisthitch-scheduler/src/vms/waves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/waves.rs
@@ -1,9 +1,9 @@
-//! Takes the VMs of a pool through the waves that operators ask for.
+//! Takes the VMs of a pool through the maintenance waves that operators request.
 //!
-//! A wave's record in the store counts the VMs that are down, whichever pool
-//! they belong to. An owner writes its VMs into it before it takes them down,
-//! and out of it once they are back with a new life of their runner. What a look has to
-//! write goes into one write, and many VMs are ordered about at once.
+//! The record of a wave in the store lists the VMs that are down, of all pools together, so
+//! that their number is limited. An owner adds its VMs to the record before it takes them
+//! down, and removes them once they are back with a new instance of their runner. All changes
+//! of a pass go into one write, and orders about many VMs are given at once.
 
 use std::{
     collections::{
@@ -31,10 +31,10 @@
     },
     list::{
         VmList,
-        VmRows, //
+        VmListing, //
     },
     wave_state::{
-        BACK_MS,
+        SHOWN_DOWN_MS,
         WaveState, //
     }, //
 };
@@ -47,48 +47,51 @@
     WaveRequest, //
 };
 
-/// Part of the VMs of a pool that are emptied at once: one in this many, and one
-/// at least. More would cost the pool too much of its room, fewer would make the
-/// waves of large pools late.
-const EMPTY_PART: usize = 10;
+/// Part of a pool's VMs that may be evacuated at once: one in this many, and at least one.
+/// More would cost the pool too much of its capacity, fewer would make the waves of large
+/// pools late.
+const EVACUATION_DIVISOR: usize = 10;
 
-/// Upkeeps ordered in one look: with five looks a second, some hundred a second for each
-/// pool, of the six hundred that large platforms take of all pools.
-const UPKEEP_LIMIT: usize = 20;
+/// Maximum number of VMs whose maintenance is ordered in one pass: with five passes a second,
+/// about a hundred a second for each pool, of the six hundred that large platforms accept of
+/// all pools.
+const ORDERS_PER_PASS: usize = 20;
 
-/// Takes the VMs of a pool through waves.
-pub(super) struct WaveWorker<P> {
+/// The loop that takes the VMs of a pool through waves.
+pub(super) struct WaveLoop<P> {
     ledger: Rc<VmLedger<P>>,
     list: Rc<VmList>,
+    /// State of the waves that are not completed, by number.
     waves: BTreeMap<u64, WaveState>,
     completed: BTreeSet<u64>,
-    /// Runners that are being emptied for a wave, by VM.
-    leaving: BTreeMap<String, String>,
-    /// Why VMs of waves wait, as last logged.
-    waits: BTreeMap<String, EvacuationStatus>,
+    /// Runners that are being evacuated for a wave, by VM.
+    evacuating: BTreeMap<String, String>,
+    /// Why VMs wait for their maintenance, as last logged.
+    logged_waits: BTreeMap<String, EvacuationStatus>,
 }
 
-impl<P: Platform> VmLoop for WaveWorker<P> {
+impl<P: Platform> VmLoop for WaveLoop<P> {
     const NAME: &'static str = "waves";
 
-    async fn look(&mut self) -> Result<(), VmWorkError> {
-        // Until then it is not known which VMs earlier owners gave orders about.
-        if !self.ledger.is_settled() {
+    async fn run_pass(&mut self) -> Result<(), VmWorkError> {
+        // Before the record of an earlier owner is adopted, it is not known which VMs earlier
+        // owners gave orders about.
+        if !self.ledger.is_adopted() {
             return Ok(());
         }
-        let orders: Vec<WaveRequest> = {
+        let requests: Vec<WaveRequest> = {
             let fleet = self.ledger.context.fleet.borrow();
             let open = fleet.waves.values();
-            let open = open.filter(|order| !self.completed.contains(&order.wave));
+            let open = open.filter(|request| !self.completed.contains(&request.wave));
             open.cloned().collect()
         };
-        for order in orders {
-            let mut state = self.waves.remove(&order.wave).unwrap_or_default();
-            let advanced = self.advance(&order, &mut state).await;
-            if state.progress.is_completed(&order.vms) {
-                self.completed.insert(order.wave);
+        for request in requests {
+            let mut state = self.waves.remove(&request.wave).unwrap_or_default();
+            let advanced = self.advance(&request, &mut state).await;
+            if state.progress.is_completed(&request.vms) {
+                self.completed.insert(request.wave);
             } else {
-                self.waves.insert(order.wave, state);
+                self.waves.insert(request.wave, state);
             }
             advanced?;
         }
@@ -96,58 +99,60 @@
     }
 }
 
-impl<P: Platform> WaveWorker<P> {
+impl<P: Platform> WaveLoop<P> {
     pub(super) fn new(ledger: Rc<VmLedger<P>>, list: Rc<VmList>) -> Self {
         Self {
             ledger,
             list,
             waves: BTreeMap::new(),
             completed: BTreeSet::new(),
-            leaving: BTreeMap::new(),
-            waits: BTreeMap::new(),
+            evacuating: BTreeMap::new(),
+            logged_waits: BTreeMap::new(),
         }
     }
 
-    /// Takes a wave further.
+    /// Advances a wave: records the VMs that are done, evacuates the next ones, and orders the
+    /// maintenance of those that may go down.
     async fn advance(
         &mut self,
-        order: &WaveRequest,
+        request: &WaveRequest,
         state: &mut WaveState,
     ) -> Result<(), VmWorkError> {
-        state.read_if_old(&self.ledger, order).await?;
-        if state.progress.is_completed(&order.vms) {
+        state.refresh(&self.ledger, request).await?;
+        if state.progress.is_completed(&request.vms) {
             return Ok(());
         }
         let context = &self.ledger.context;
         let rows = self.list.read(context).await?;
-        let due = self.own_vms(order, &rows);
-        self.note_done(&due, &rows, state).await;
+        let due = self.own_vms(request, &rows);
+        self.record_done(&due, &rows, state).await;
         let mut ready = self.unconfirmed(&due, &rows, state);
-        let fresh = self.empty_next(order, &due, &rows, state).await;
-        // Of a write that failed; what could go then need not be able to now.
+        let fresh = self.evacuate_next(request, &due, &rows, state).await;
+        // Drop VMs of an earlier write that failed: they may not be able to go down now.
         state.pending.down.clear();
         for row in &fresh {
-            let before = self.ledger.life_on(row);
+            let before = self.ledger.instance_on(row);
             let before = before.map_or_else(String::new, |instance| instance.to_string());
             state.pending.down.insert(row.name.clone(), before);
         }
-        state.write(&self.ledger, order).await?;
+        state.write_pending(&self.ledger, request).await?;
         ready.extend(fresh);
         ready.retain(|row| state.progress.down.contains_key(&row.name));
-        ready.truncate(UPKEEP_LIMIT);
-        self.take_down(order, state, &ready).await
+        ready.truncate(ORDERS_PER_PASS);
+        self.order_maintenance(request, state, &ready).await
     }
 
-    /// VMs of the wave that are this pool's, or in no list.
-    fn own_vms(&self, order: &WaveRequest, rows: &VmRows) -> Vec<String> {
+    /// VMs of the wave that belong to this pool or are not listed.
+    fn own_vms(&self, request: &WaveRequest, rows: &VmListing) -> Vec<String> {
         let pool = &self.ledger.context.pool;
         let own = |vm: &&String| rows.find(vm).is_none_or(|row| row.pool == *pool);
-        order.vms.iter().filter(own).cloned().collect()
+        request.vms.iter().filter(own).cloned().collect()
     }
 
-    /// Notes which VMs had their upkeep, or are no more. Where the upkeep was ordered
-    /// again, the life that is there now was emptied for it, and has to be told to go on.
-    async fn note_done(&mut self, due: &[String], rows: &VmRows, state: &mut WaveState) {
+    /// Records which VMs have completed their maintenance or are removed. If the maintenance was
+    /// ordered twice, the current instance of the runner was evacuated for the second order;
+    /// its evacuation has to be cancelled.
+    async fn record_done(&mut self, due: &[String], rows: &VmListing, state: &mut WaveState) {
         let now = self.ledger.now();
         let mut runners = Vec::new();
         for vm in due {
@@ -155,85 +160,85 @@
                 continue;
             }
             let row = rows.find(vm);
-            let over = match row {
-                None => state.is_gone(vm, now),
+            let is_done = match row {
+                None => state.is_removed(vm, now),
                 Some(row) => {
                     state.missing.remove(vm);
-                    let instance = self.ledger.life_on(row);
-                    state.is_back(row, instance.as_ref(), rows.asked_at)
+                    let instance = self.ledger.instance_on(row);
+                    state.has_returned(row, instance.as_ref(), rows.requested_at)
                 }
             };
-            if over && state.pending.done.insert(vm.clone()) {
-                self.leaving.remove(vm);
-                self.ledger.release(vm, VmClaim::Upkeep);
+            if is_done && state.pending.done.insert(vm.clone()) {
+                self.evacuating.remove(vm);
+                self.ledger.release(vm, VmClaim::Maintenance);
                 runners.extend(row.and_then(|row| row.runner.clone()));
             }
         }
-        self.ledger.let_stay(runners).await;
+        self.ledger.cancel_evacuation(runners).await;
     }
 
-    /// Whether a VM is up, and no earlier owner's order about it may be under way.
+    /// Whether a VM is up, and no order of an earlier owner about it may be in transit.
     fn may_order(&self, row: &VmStatus) -> bool {
         row.condition == VmCondition::Up && !self.ledger.is_blocked(&row.name)
     }
 
-    /// VMs that are up though they are noted as down, and whose upkeep the platform has
-    /// not confirmed: the order or its answer was lost.
+    /// VMs that are up though they are recorded as down, and whose maintenance the platform has
+    /// not confirmed: the order or its response was lost.
     fn unconfirmed<'a>(
         &self,
         due: &[String],
-        rows: &'a VmRows,
+        rows: &'a VmListing,
         state: &WaveState,
     ) -> Vec<&'a VmStatus> {
         due.iter()
             .filter(|vm| state.progress.down.contains_key(*vm) && !state.has_begun(vm))
             .filter(|vm| {
                 let ordered = state.ordered.get(*vm);
-                ordered.is_none_or(|at| *at + BACK_MS <= rows.asked_at)
+                ordered.is_none_or(|at| *at + SHOWN_DOWN_MS <= rows.requested_at)
             })
             .filter_map(|vm| rows.find(vm))
             .filter(|row| self.may_order(row))
-            .filter(|row| self.ledger.claim(&row.name, VmClaim::Upkeep))
+            .filter(|row| self.ledger.claim(&row.name, VmClaim::Maintenance))
             .collect()
     }
 
-    /// Empties the next VMs; answers with those that may go down.
-    async fn empty_next<'a>(
+    /// Evacuates the next VMs, and returns those that may go down.
+    async fn evacuate_next<'a>(
         &mut self,
-        order: &WaveRequest,
+        request: &WaveRequest,
         due: &[String],
-        rows: &'a VmRows,
+        rows: &'a VmListing,
         state: &WaveState,
     ) -> Vec<&'a VmStatus> {
-        let mut waiting: Vec<&VmStatus> = due
+        let mut candidates: Vec<&VmStatus> = due
             .iter()
             .filter(|vm| state.progress.is_due(vm) && !state.pending.done.contains(*vm))
             .filter_map(|vm| rows.find(vm))
             .filter(|row| self.may_order(row))
-            .filter(|row| !self.ledger.is_claimed(&row.name, VmClaim::Upkeep))
+            .filter(|row| !self.ledger.is_claimed(&row.name, VmClaim::Maintenance))
             .collect();
-        // What is being emptied already goes on.
-        waiting.sort_by_key(|row| !self.leaving.contains_key(&row.name));
+        // VMs that are being evacuated already come first.
+        candidates.sort_by_key(|row| !self.evacuating.contains_key(&row.name));
         let pool = &self.ledger.context.pool;
         let own = rows.iter().filter(|row| row.pool == *pool).count();
         let down = state.progress.down.len();
-        let room = order.max_down().saturating_sub(down);
-        // One more, so that it is empty when its turn comes.
-        let at_once = (own / EMPTY_PART).max(1).min(room + 1);
-        let mut emptied = 0;
+        let room = request.max_down().saturating_sub(down);
+        // One more than may go down, so that it is evacuated when it may.
+        let limit = (own / EVACUATION_DIVISOR).max(1).min(room + 1);
+        let mut evacuated = 0;
         let mut free = Vec::new();
-        let mut waiting = waiting.into_iter();
-        while emptied < at_once {
-            let next: Vec<&VmStatus> = waiting.by_ref().take(at_once - emptied).collect();
+        let mut candidates = candidates.into_iter();
+        while evacuated < limit {
+            let next: Vec<&VmStatus> = candidates.by_ref().take(limit - evacuated).collect();
             if next.is_empty() {
                 break;
             }
-            let views = self.ask_rows(&next).await;
-            for (row, view) in next.into_iter().zip(views) {
-                // A VM without a runner costs no room.
-                let counts = row.runner.is_some() && view != Some(EvacuationStatus::Held);
-                emptied += usize::from(counts);
-                if may_go(view) {
+            let statuses = self.evacuate_vms(&next).await;
+            for (row, status) in next.into_iter().zip(statuses) {
+                // A VM without a runner takes no capacity from the pool.
+                let counts = row.runner.is_some() && status != Some(EvacuationStatus::Held);
+                evacuated += usize::from(counts);
+                if may_go_down(status) {
                     free.push(row);
                 }
             }
@@ -242,71 +247,75 @@
         free
     }
 
-    /// Asks the owner to empty VMs' runners; those of which it can't spare a task go
-    /// on.
-    async fn ask_rows(&mut self, rows: &[&VmStatus]) -> Vec<Option<EvacuationStatus>> {
+    /// Claims VMs and asks the owner to evacuate their runners; returns the status of each. The
+    /// evacuation is cancelled where a task may not be interrupted.
+    async fn evacuate_vms(&mut self, rows: &[&VmStatus]) -> Vec<Option<EvacuationStatus>> {
         let mut runners = Vec::new();
         for row in rows {
-            self.ledger.claim(&row.name, VmClaim::Upkeep);
+            self.ledger.claim(&row.name, VmClaim::Maintenance);
             if let Some(runner) = &row.runner {
-                self.leaving.insert(row.name.clone(), runner.clone());
+                self.evacuating.insert(row.name.clone(), runner.clone());
                 runners.push(runner.clone());
             }
         }
-        let mut answers = self.ledger.ask_leave(runners, false).await.into_iter();
-        let mut views = Vec::new();
+        let mut answers = self
+            .ledger
+            .request_evacuation(runners, false)
+            .await
+            .into_iter();
+        let mut statuses = Vec::new();
         let mut held = Vec::new();
         for row in rows {
-            let view = row.runner.as_ref().and_then(|_| answers.next().flatten());
+            let status = row.runner.as_ref().and_then(|_| answers.next().flatten());
             if row.runner.is_some() {
-                self.note_wait(row, view);
+                self.log_wait(row, status);
             }
-            if view == Some(EvacuationStatus::Held) {
+            if status == Some(EvacuationStatus::Held) {
                 held.push(row.name.clone());
             }
-            views.push(view);
+            statuses.push(status);
         }
-        self.stay(&held).await;
-        views
+        self.cancel_evacuations(&held).await;
+        statuses
     }
 
-    /// Logs why a VM's upkeep waits, when that changes.
-    fn note_wait(&mut self, row: &VmStatus, view: Option<EvacuationStatus>) {
-        let Some(view) = view.filter(|view| *view != EvacuationStatus::Free) else {
-            self.waits.remove(&row.name);
+    /// Logs why a VM's maintenance waits, when the reason changes.
+    fn log_wait(&mut self, row: &VmStatus, status: Option<EvacuationStatus>) {
+        let Some(status) = status.filter(|status| *status != EvacuationStatus::Free) else {
+            self.logged_waits.remove(&row.name);
             return;
         };
-        let before = self.waits.insert(row.name.clone(), view);
-        // How many tasks run changes with each look.
-        if before.map(|before| discriminant(&before)) != Some(discriminant(&view)) {
-            let instance = self.ledger.life_on(row);
+        let before = self.logged_waits.insert(row.name.clone(), status);
+        // The number of running tasks changes with each pass and is not compared.
+        if before.map(|before| discriminant(&before)) != Some(discriminant(&status)) {
+            let instance = self.ledger.instance_on(row);
             event!(
                 Info,
                 "upkeep_waits",
                 vm = row.name,
                 runner = instance.map_or_else(String::new, |instance| instance.to_string()),
                 pool = self.ledger.context.pool,
-                view = format_args!("{view:?}")
+                view = format_args!("{status:?}")
             );
         }
     }
 
-    /// Lets the runners of VMs go on.
-    async fn stay(&mut self, vms: &[String]) {
+    /// Cancels the evacuation of VMs and releases their claims.
+    async fn cancel_evacuations(&mut self, vms: &[String]) {
         let runners: Vec<String> = vms
             .iter()
-            .filter_map(|vm| self.leaving.remove(vm))
+            .filter_map(|vm| self.evacuating.remove(vm))
             .collect();
         for vm in vms {
-            self.ledger.release(vm, VmClaim::Upkeep);
+            self.ledger.release(vm, VmClaim::Maintenance);
         }
-        self.ledger.let_stay(runners).await;
+        self.ledger.cancel_evacuation(runners).await;
     }
 
-    /// Takes VMs down that are noted as down, those of them that may go.
-    async fn take_down(
+    /// Orders the maintenance of VMs that are recorded as down, as far as they may go down now.
+    async fn order_maintenance(
         &mut self,
-        order: &WaveRequest,
+        request: &WaveRequest,
         state: &mut WaveState,
         ready: &[&VmStatus],
     ) -> Result<(), VmWorkError> {
@@ -314,22 +323,22 @@
             return Ok(());
         }
         let names = ready.iter().map(|row| &row.name);
-        let token = self.ledger.authorize(names, None).await?;
+        let token = self.ledger.issue_token(names, None).await?;
         // The writes may have taken long; what runs there may have changed.
-        let views = self.ask_rows(ready).await;
-        self.ledger.check_owner()?;
+        let statuses = self.evacuate_vms(ready).await;
+        self.ledger.check_ownership()?;
         let going: Vec<&VmStatus> = ready
             .iter()
-            .zip(views)
-            .filter(|(_, view)| may_go(*view))
+            .zip(statuses)
+            .filter(|(_, status)| may_go_down(*status))
             .map(|(row, _)| *row)
             .collect();
-        // A life that comes after the order is not the one that went down.
-        let instances = going.iter().map(|row| self.ledger.life_on(row));
+        // An instance that starts after the order is not the one that went down.
+        let instances = going.iter().map(|row| self.ledger.instance_on(row));
         let instances: Vec<Option<RunnerInstance>> = instances.collect();
         let context = &self.ledger.context;
         let vms = context.platform.vms();
-        let wave = order.wave;
+        let wave = request.wave;
         let orders = going
             .iter()
             .map(|row| vms.start_maintenance(&row.name, wave, &context.node, token));
@@ -343,13 +352,13 @@
                 token = token,
                 outcome = format_args!("{outcome:?}")
             );
-            self.take_outcome(state, row, instance, &outcome).await;
+            self.handle_outcome(state, row, instance, &outcome).await;
         }
         Ok(())
     }
 
-    /// Takes in what became of an order for upkeep.
-    async fn take_outcome(
+    /// Handles the response to an order for maintenance.
+    async fn handle_outcome(
         &mut self,
         state: &mut WaveState,
         row: &VmStatus,
@@ -358,26 +367,26 @@
     ) {
         state.ordered.insert(row.name.clone(), self.ledger.now());
         if let Some(instance) = instance {
-            // An order that was done before leaves a later life as it is.
-            let same_life = state.was_down_with(&row.name, &instance);
+            // An order that had been carried out before does not affect a later instance.
+            let same_life = state.went_down_with(&row.name, &instance);
             let runner = instance.name.clone();
-            let told = match outcome {
-                Ok(()) if same_life => Some(VmRequest::Down { instance }),
-                Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::Doubt { runner }),
+            let request = match outcome {
+                Ok(()) if same_life => Some(VmRequest::VmDown { instance }),
+                Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::VmDownUnconfirmed { runner }),
                 Err(_) => None,
             };
-            if let Some(told) = told {
-                self.ledger.tell(told).await;
+            if let Some(request) = request {
+                self.ledger.notify_owner(request).await;
             }
         }
         if outcome.is_ok() {
             state.pending.begun.insert(row.name.clone());
-            self.leaving.remove(&row.name);
+            self.evacuating.remove(&row.name);
         }
     }
 }
 
 /// Whether a VM may go down now; one without a runner may.
-fn may_go(view: Option<EvacuationStatus>) -> bool {
-    matches!(view, Some(EvacuationStatus::Free) | None)
+fn may_go_down(status: Option<EvacuationStatus>) -> bool {
+    matches!(status, Some(EvacuationStatus::Free) | None)
 }
