--- a/crates/hoisthitch-scheduler/tests/world/codec.rs
+++ b/crates/hoisthitch-scheduler/tests/world/codec.rs
@@ -1,4 +1,5 @@
-//! Records of the tests' operators and runners, and the configuration that they tell.
+//! Text format of the records that operators and runners write in the tests, and the
+//! configuration that each version of the operators' record gives.
 
 use hoisthitch_jobs::{
     QueuePolicy,
@@ -22,26 +23,26 @@
     ROOM, //
 };
 
-/// End of the record of a runner that is about to leave.
+/// Suffix of the record of a runner that is draining.
 pub const DRAINING: &str = " leaves";
 
-/// Stands between a configuration's version and the cores that each of its teams may have
-/// running.
+/// Separates the version of a configuration from the cores that each of its teams may use at
+/// the same time.
 pub const LIMITED: &str = " choirs ";
 
-/// Teams of such a configuration.
+/// Number of teams in such a configuration.
 pub const CHOIRS: usize = 40;
 
-/// Stands before the birth of a runner in its record.
-pub(super) const BORN: &str = " born ";
+/// Precedes the start time of a runner in its record, in Unix milliseconds.
+pub(super) const STARTED_AT_MARK: &str = " born ";
 
-/// Stands before the room of a runner in its record, in thousandths of a core.
-pub(super) const ROOMY: &str = " has ";
+/// Precedes the CPU capacity of a runner in its record, in thousandths of a core.
+pub(super) const CAPACITY_MARK: &str = " has ";
 
-/// Stands between a VM and a label of its runner in the runner's record.
+/// Separates the VM from the label of its runner in the record of the runner.
 pub const LABELLED: &str = " is ";
 
-/// Records of the tests' operators and runners.
+/// Codec of the records that the tests write.
 #[derive(Clone)]
 pub struct TestCodec;
 
@@ -64,13 +65,14 @@
         let Ok(cores) = cores.parse() else {
             return Some(Ok(policy));
         };
-        Some(choirs(cores).map(|teams| policy.with_teams(teams)))
+        Some(team_table(cores).map(|teams| policy.with_teams(teams)))
     }
 
     fn parse_wave(&self, key: &str, value: &[u8]) -> Option<Result<WaveRequest, String>> {
         let wave = key.strip_prefix("op/wave/")?.parse().ok()?;
         let text = String::from_utf8_lossy(value);
-        // VMs, or the number that may be down at once and the VMs.
+        // Either only the VMs, or the number of VMs that may be down at the same time, a colon and
+        // the VMs.
         let (max_down, vms) = text.split_once(':').unwrap_or(("2", &text));
         Some(Ok(WaveRequest {
             wave,
@@ -87,8 +89,8 @@
         let text = String::from_utf8_lossy(value);
         let draining = text.ends_with(DRAINING);
         let text = text.trim_end_matches(DRAINING);
-        let (text, room) = text.split_once(ROOMY).unwrap_or((text, ""));
-        let (text, started_at) = text.split_once(BORN).unwrap_or((text, ""));
+        let (text, room) = text.split_once(CAPACITY_MARK).unwrap_or((text, ""));
+        let (text, started_at) = text.split_once(STARTED_AT_MARK).unwrap_or((text, ""));
         let (vm, label) = text.split_once(LABELLED).unwrap_or((text, ""));
         let number: u16 = vm.trim_start_matches("vm-").parse().unwrap_or(0);
         Ok(RunnerRecord {
@@ -98,7 +100,7 @@
                 name: name.to_owned(),
                 started_at: started_at.parse().ok(),
                 vm: vm.to_owned(),
-                capacity: read_room(room),
+                capacity: parse_capacity(room),
                 labels: vec![label.to_owned()],
                 rack: String::new(),
                 draining,
@@ -112,16 +114,16 @@
     }
 }
 
-/// Room as a record tells it; the usual one where it does not.
-fn read_room(text: &str) -> ResourceAmounts {
+/// Parses the CPU capacity in a record; a record without one means the usual capacity.
+fn parse_capacity(text: &str) -> ResourceAmounts {
     ResourceAmounts {
         cpu_milli: text.parse().unwrap_or(ROOM.cpu_milli),
         ..ROOM
     }
 }
 
-/// A table of teams of which each may have so many cores running.
-fn choirs(cores: u64) -> Result<TeamTable, String> {
+/// A table of teams, each with a limit of `cores`.
+fn team_table(cores: u64) -> Result<TeamTable, String> {
     let names = (0..CHOIRS).map(|number| format!("choir{number}"));
     let entries = names.map(|name| TeamEntry {
         keys: vec![TeamKey::new(format!("key of {name}"))],
@@ -146,7 +148,7 @@
     FleetPolicy::new(version, vec![queue(), advised_queue()], vec![pool], 262_144)
 }
 
-/// The queue of the tests.
+/// The queue that most tests use.
 pub fn queue() -> QueueRoute {
     QueueRoute {
         name: "hold".to_owned(),
@@ -164,7 +166,7 @@
     }
 }
 
-/// A queue whose adviser says which runners may run a step.
+/// A queue whose adviser selects the runners that may run a step.
 pub fn advised_queue() -> QueueRoute {
     let mut queue = queue();
     queue.name = "advised".to_owned();
--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -1,7 +1,9 @@
-//! Nodes, a store and runners in one process, on the runtime's paused clock.
+//! Simulated cluster of the scheduler's tests: nodes, a store and runners in one process, on
+//! the paused clock of the runtime.
 //!
-//! A node is a set of local tasks of its own, so that it can be killed, frozen
-//! and thawed like a process.
+//! [`play`] runs a test, [`TestWorld`] starts the cluster and changes it, and the simulated
+//! fleet records each broken invariant. Each node has a set of local tasks of its own, so that
+//! it can be killed, frozen and thawed like a process.
 
 pub mod codec;
 
@@ -65,24 +67,24 @@
 };
 
 use codec::{
-    BORN,
+    CAPACITY_MARK,
     DRAINING,
-    ROOMY,
+    STARTED_AT_MARK,
     TestCodec,
     queue, //
 };
 
-/// Power of a usual node, in thousandths of a core.
+/// CPU of a node where a test names no other, in thousandths of a core.
 pub const POWER: u64 = 250;
 
-/// Times for which a node acts on a configuration and on a list of runners that are not
-/// confirmed again.
-const HOLDS: StalenessLimits = StalenessLimits {
+/// Times for which a node uses a configuration and a list of runners without a new
+/// confirmation.
+const STALENESS_LIMITS: StalenessLimits = StalenessLimits {
     policy: Duration::from_secs(3),
     runners: Duration::from_millis(1_600),
 };
 
-/// The platform as a node of the tests sees it.
+/// The platform that a node of the tests runs on.
 #[derive(Clone)]
 pub struct TestPlatform {
     store: MemoryStore,
@@ -119,7 +121,8 @@
     }
 }
 
-/// A node's tasks, which can be frozen.
+/// The tasks of a node, as one future: it polls none of them while the node is frozen, and
+/// ends when the node is killed.
 struct NodeTasks {
     set: LocalSet,
     frozen: Rc<Cell<bool>>,
@@ -144,35 +147,36 @@
 
 /// A node of the tests.
 pub struct TestNode {
-    /// What it shares.
+    /// State that the tasks of the node share.
     pub shared: Arc<NodeShared>,
     service: JobService<MemoryStore>,
     frozen: Rc<Cell<bool>>,
     killed: Rc<Cell<bool>>,
-    /// Time for which its VM was suspended, in milliseconds.
-    asleep: Arc<AtomicU64>,
+    /// Total time for which its VM was suspended, in milliseconds.
+    suspended_ms: Arc<AtomicU64>,
 }
 
 impl TestNode {
-    /// Suspends the node's VM for a while: unlike one that is frozen, its steady clock stands
-    /// still meanwhile.
+    /// Suspends the VM of the node for `time_ms`. Unlike on a frozen node, the steady clock
+    /// stands still meanwhile.
     pub async fn suspend(&self, time_ms: u64) {
         self.freeze(true);
         sleep_ms(time_ms).await;
-        self.asleep.fetch_add(time_ms, Ordering::Relaxed);
+        self.suspended_ms.fetch_add(time_ms, Ordering::Relaxed);
         self.freeze(false);
     }
-    /// Stops the node's clock hand.
+
+    /// Freezes or thaws the node. The tasks of a frozen node do not run, while its clock goes on.
     pub fn freeze(&self, frozen: bool) {
         self.frozen.set(frozen);
     }
 
-    /// Ends the node at once.
+    /// Ends the node at once, without a handover.
     pub fn kill(&self) {
         self.killed.set(true);
     }
 
-    /// Hands a job in, for which the caller has that time.
+    /// Submits a job for a caller that waits `time_ms`.
     pub async fn submit(
         &self,
         queue: &QueueRoute,
@@ -184,7 +188,7 @@
             .await
     }
 
-    /// Hands a job in for a caller of that scope.
+    /// Submits a job for a caller whose access is limited to `scope`.
     pub async fn submit_in(
         &self,
         scope: CallScope<'_>,
@@ -197,13 +201,13 @@
         self.service.submit(queue, scope, id, spec, deadline).await
     }
 
-    /// Tells the node to hand its pools over and end.
+    /// Starts a planned shutdown: the node hands its pools over and exits.
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
     }
 }
 
-/// Everything.
+/// A simulated cluster: the store, the runners and the nodes.
 pub struct TestWorld {
     /// The store.
     pub store: MemoryStore,
@@ -211,19 +215,27 @@
     pub fleet: MemoryFleet,
     /// The nodes, by name.
     pub nodes: BTreeMap<String, TestNode>,
-    /// How far the time of day of a node is ahead, in milliseconds, by name;
-    /// counts from the node's next start on.
+    /// How far the time of day of each node is ahead, in milliseconds, by its name. A change
+    /// takes effect when the node starts next.
     pub ahead: BTreeMap<String, i64>,
     instances: u64,
 }
 
 impl TestWorld {
-    /// Starts nodes and runners, and waits until the pool is owned.
+    /// Starts nodes and runners, and waits until the pool has an owner.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the metrics of a node cannot be created.
     pub async fn start(nodes: usize, runners: usize) -> eyre::Result<Self> {
         Self::start_limited(nodes, runners, 0).await
     }
 
-    /// The same on a store that answers so many calls in a second; zero for any number.
+    /// Does the same with a store that serves `calls_per_s` calls per second; zero for no limit.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the metrics of a node cannot be created.
     pub async fn start_limited(
         nodes: usize,
         runners: usize,
@@ -254,19 +266,20 @@
         Ok(world)
     }
 
-    /// Begins a life of a VM's runner.
+    /// Starts a runner on a VM and writes its record. Returns the name of the runner.
     pub fn begin_runner(&self, vm: &str) -> String {
         let name = self.fleet.begin(vm);
         self.record_runner(&name, vm);
         name
     }
 
-    /// Writes a runner's record as its life of now says it.
+    /// Writes the record of a runner, with the start time and the capacity of its current
+    /// instance.
     pub fn record_runner(&self, name: &str, vm: &str) {
         write_record(&self.store, &self.fleet, name, vm);
     }
 
-    /// Has a runner say that it leaves.
+    /// Marks a runner as draining in its record, as a runner that shuts down does.
     pub fn drain_runner(&self, name: &str) {
         let key = format!("runner/{name}");
         let record = self.store.get(&key);
@@ -277,8 +290,8 @@
         }
     }
 
-    /// Has runners that tasks crash come back after a while, for as long as the test goes on;
-    /// under their names, or others in their place.
+    /// Restarts each runner that a task crashed, `down_ms` after the crash, until the test
+    /// ends: under its own name if `named`, or else a new runner on the same VM.
     pub fn keep_begun(&self, down_ms: u64, named: bool) {
         let (store, fleet) = (self.store.clone(), self.fleet.clone());
         spawn_local(async move {
@@ -297,27 +310,35 @@
         });
     }
 
-    /// Changes a runner's room, in thousandths of a core, and its record.
+    /// Changes the CPU capacity of a runner, in thousandths of a core, and its record.
     pub fn set_room(&self, name: &str, vm: &str, cpu_milli: u64) {
         self.fleet
             .set_room(name, ResourceAmounts { cpu_milli, ..ROOM });
         self.record_runner(name, vm);
     }
 
-    /// Starts a node, or starts it anew.
+    /// Starts or restarts a node.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the metrics of the node cannot be created.
     pub fn start_node(&mut self, name: &str) -> eyre::Result<()> {
         self.start_node_with(name, POWER)
     }
 
-    /// Starts a node with that power, in thousandths of a core.
+    /// Starts or restarts a node with that CPU, in thousandths of a core.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the metrics of the node cannot be created.
     pub fn start_node_with(&mut self, name: &str, cpu_milli: u64) -> eyre::Result<()> {
         self.instances += 1;
         let metrics = NodeMetrics::new()?;
         let ahead = self.ahead.get(name).copied().unwrap_or(0);
-        let asleep = Arc::new(AtomicU64::new(0));
+        let suspended_ms = Arc::new(AtomicU64::new(0));
         let unix_ms = self.fleet.unix_ms().saturating_add_signed(ahead);
-        let clock = NodeClock::start_for_test(unix_ms, asleep.clone());
-        let shared = NodeShared::with_clock(metrics, HOLDS, clock);
+        let clock = NodeClock::start_for_test(unix_ms, suspended_ms.clone());
+        let shared = NodeShared::with_clock(metrics, STALENESS_LIMITS, clock);
         let platform = TestPlatform {
             store: self.store.for_node(name),
             fleet: self.fleet.for_node(name),
@@ -342,7 +363,7 @@
             service,
             frozen: Rc::default(),
             killed: Rc::default(),
-            asleep,
+            suspended_ms,
         };
         spawn_local(NodeTasks {
             set,
@@ -354,7 +375,7 @@
         Ok(())
     }
 
-    /// Name of the node that owns the pool, by the store.
+    /// Name of the node that owns the pool according to the store; empty if none does.
     pub fn owner(&self) -> String {
         let record = self.store.get("test/group/owner/halls").unwrap_or_default();
         let text = String::from_utf8_lossy(&record).into_owned();
@@ -365,12 +386,20 @@
             .unwrap_or_default()
     }
 
-    /// Hands a job in at some node until it is accepted.
+    /// Submits a job to the usual queue, node by node, until one accepts it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no node accepts the job in 100 rounds.
     pub async fn submit(&self, id: &str, spec: JobSpec) -> eyre::Result<()> {
         self.submit_to(&queue(), id, spec).await
     }
 
-    /// Hands a job in to a queue, at some node until it is accepted.
+    /// Submits a job to a queue, node by node, until one accepts it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no node accepts the job in 100 rounds.
     pub async fn submit_to(&self, queue: &QueueRoute, id: &str, spec: JobSpec) -> eyre::Result<()> {
         self.fleet.note_job(id, &spec, queue.policy.advised);
         for _ in 0..100 {
@@ -389,7 +418,11 @@
         eyre::bail!("{id} was never accepted")
     }
 
-    /// Cancels a job at some node until that is accepted.
+    /// Cancels a job, node by node, until one accepts the request.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no node accepts it.
     pub async fn cancel(&self, id: &str) -> eyre::Result<()> {
         self.fleet.note_cancel(id);
         for node in self.nodes.values() {
@@ -405,7 +438,7 @@
         eyre::bail!("{id} was not cancelled")
     }
 
-    /// State of a job, as a living node tells it.
+    /// Phase of a job, from the first live node that knows it.
     pub async fn phase(&self, id: &str) -> Option<JobPhase> {
         for node in self.nodes.values() {
             if node.frozen.get() || node.killed.get() {
@@ -418,7 +451,11 @@
         None
     }
 
-    /// Waits until a job is in a state.
+    /// Waits until a job is in the wanted phase.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the job is in another phase after `limit_ms`.
     pub async fn wait_phase(&self, id: &str, wanted: JobPhase, limit_ms: u64) -> eyre::Result<()> {
         let mut last = None;
         for _ in 0..limit_ms / 50 {
@@ -431,7 +468,7 @@
         eyre::bail!("{id} is {last:?} after {limit_ms} ms, not {wanted:?}")
     }
 
-    /// Gives VMs whose upkeep is over a new life.
+    /// Starts a runner on each VM whose maintenance is over.
     pub fn revive(&self) {
         for vm in self.fleet.take_back() {
             self.begin_runner(&vm);
@@ -439,21 +476,24 @@
     }
 }
 
+/// Writes the record of a runner, in the format of [`TestCodec`].
 fn write_record(store: &MemoryStore, fleet: &MemoryFleet, name: &str, vm: &str) {
     let started_at = fleet.started_at(name);
-    let started_at =
-        started_at.map_or_else(String::new, |started_at| format!("{BORN}{started_at}"));
+    let started_at = started_at.map_or_else(String::new, |started_at| {
+        format!("{STARTED_AT_MARK}{started_at}")
+    });
     let room = fleet.room(name).cpu_milli;
-    let record = format!("{vm}{started_at}{ROOMY}{room}");
+    let record = format!("{vm}{started_at}{CAPACITY_MARK}{room}");
     store.put(&format!("runner/{name}"), Some(record.as_bytes()), 0);
 }
 
-/// Lets time pass.
+/// Sleeps on the paused clock of the runtime.
 pub async fn sleep_ms(time: u64) {
     tokio::time::sleep(Duration::from_millis(time)).await;
 }
 
-/// A job of steps, each with tasks of that payload and time.
+/// A job with one step for each of `counts`, each step after the one before. All tasks have
+/// the same payload and the same estimate.
 pub fn job(payload: &str, counts: &[u32]) -> JobSpec {
     let steps = (0..).zip(counts).map(|(number, count)| StepSpec {
         count: *count,
@@ -477,7 +517,8 @@
     }
 }
 
-/// A job whose tasks run until it is cancelled.
+/// A job of one step with `count` long-running tasks, each on a runner of its own, of which
+/// `max_unavailable` may be unavailable at the same time.
 pub fn lasting(count: u32, max_unavailable: u32) -> JobSpec {
     let mut spec = job("lasts", &[count]);
     for step in &mut spec.steps {
@@ -488,7 +529,11 @@
     spec
 }
 
-/// Runs a test on the paused clock.
+/// Runs a test on a runtime with a paused clock.
+///
+/// # Errors
+///
+/// Returns the error of the test, or that of the runtime's start.
 pub fn play(test: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
     forget_outside();
     let runtime = tokio::runtime::Builder::new_current_thread()
