--- a/crates/hoisthitch-scheduler/tests/draws/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/draws/mod.rs
@@ -21,7 +21,7 @@
 };
 
 use crate::{
-    setting,
+    env_number,
     world::{
         TestWorld,
         play,
@@ -41,8 +41,8 @@
 where
     F: Future<Output = Result<()>>,
 {
-    let first = setting("FIRST_SEED", 1);
-    for seed in first..first + setting("DRAWS", DRAWS) {
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("DRAWS", DRAWS) {
         play(history(seed)).wrap_err_with(|| format!("seed {seed}"))?;
     }
     Ok(())
--- a/crates/hoisthitch-scheduler/tests/histories.rs
+++ b/crates/hoisthitch-scheduler/tests/histories.rs
@@ -1,10 +1,12 @@
-//! Randomized histories: nodes are killed, frozen, cut off and turned away, the
-//! store loses and delays writes, runners crash and are cut off, orders come
-//! late. Whatever comes, no task runs twice and no accepted job is lost.
+//! Randomized fault injection: a history submits jobs while faults are injected. Nodes are
+//! killed, frozen, cut off from the store and lose their leases, the store loses and delays
+//! writes, runners crash and are cut off, and orders are carried out late. Under all of these
+//! faults no task may run twice and no accepted job may be lost.
 //!
-//! Each history is drawn from its seed, which a failure names. The number of
-//! seeds is set by `HISTORIES`, and the first one by `FIRST_SEED`. A seed fixes
-//! the troubles; the order of tasks that are ready at once is the runtime's.
+//! The seed of a history determines its faults, and a failure names the seed. The order of
+//! tasks that are ready at the same time depends on the runtime. The environment variable
+//! `HISTORIES` sets the number of seeds, and `FIRST_SEED` the first of them. [`draws`] holds
+//! histories for particular combinations of faults.
 
 mod draws;
 mod world;
@@ -33,38 +35,39 @@
     sleep_ms, //
 };
 
-/// Histories played where the environment names no number.
+/// Number of histories where the environment sets none.
 const HISTORIES: u64 = 40;
 
-/// Seeds that failed once, each with its cause.
-const FAILED_SEEDS: [(u64, &str); 1] = [(
+/// Seeds that once failed, each with the cause.
+const REGRESSION_SEEDS: [(u64, &str); 1] = [(
     10_906,
-    "records of living nodes were removed by their lives before, and never came back",
+    "records of live nodes were removed by their previous instances and never written again",
 )];
 
-/// Times that each of them is played.
-const FAILED_TIMES: u32 = 4;
+/// Runs of each of these seeds, as the order of tasks that are ready at the same time differs.
+const RUNS_PER_SEED: u32 = 4;
 
-/// Troubles of a history.
-const TROUBLES: usize = 8;
+/// Faults injected in a history.
+const FAULTS: usize = 8;
 
-/// Time within which all jobs must be done once the troubles are over.
-const CALM_MS: u64 = 60_000;
+/// Time within which all jobs must be completed after the last fault.
+const COMPLETION_LIMIT_MS: u64 = 60_000;
 
-/// Time within which lasting tasks run again: a lease and a start.
-const RESTART_MS: u64 = 10_000;
+/// Time within which long-running tasks must run again: the end of a lease and a start.
+const RESTART_LIMIT_MS: u64 = 10_000;
 
-fn setting(name: &str, usual: u64) -> u64 {
+/// A number from the environment, or the default where it has none.
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(default)
 }
 
 #[test]
 fn histories_keep_every_promise() -> Result<()> {
-    let first = setting("FIRST_SEED", 1);
-    for seed in first..first + setting("HISTORIES", HISTORIES) {
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("HISTORIES", HISTORIES) {
         play(history(seed)).wrap_err_with(|| format!("seed {seed}"))?;
     }
     Ok(())
@@ -72,52 +75,62 @@
 
 #[test]
 fn histories_that_failed_once_keep_every_promise() -> Result<()> {
-    for (seed, cause) in FAILED_SEEDS {
-        // The order of tasks that are ready at once is the runtime's.
-        for _ in 0..FAILED_TIMES {
+    for (seed, cause) in REGRESSION_SEEDS {
+        for _ in 0..RUNS_PER_SEED {
             play(history(seed)).wrap_err_with(|| format!("seed {seed}: {cause}"))?;
         }
     }
     Ok(())
 }
 
+/// Submits one long-running job and a job per fault, and checks that all of them get done.
 async fn history(seed: u64) -> Result<()> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = TestWorld::start(3, 4).await?;
     world.submit("long", lasting(3, 1)).await?;
     let mut jobs = Vec::new();
-    for _ in 0..TROUBLES {
+    for _ in 0..FAULTS {
         let id = format!("j{}", jobs.len());
         let work = format!("work {}", rng.random_range(100..2_500));
         let counts = [rng.random_range(1..6), rng.random_range(1..4)];
         world.submit(&id, job(&work, &counts)).await?;
         jobs.push(id);
-        trouble(&mut world, &mut rng).await?;
+        inject_fault(&mut world, &mut rng).await?;
         sleep_ms(rng.random_range(0..1_500)).await;
     }
-    calm_down(&mut world).await?;
+    clear_faults(&mut world).await?;
     for id in &jobs {
-        world.wait_phase(id, JobPhase::Completed, CALM_MS).await?;
+        world
+            .wait_phase(id, JobPhase::Completed, COMPLETION_LIMIT_MS)
+            .await?;
     }
-    for _ in 0..RESTART_MS / 100 {
+    for _ in 0..RESTART_LIMIT_MS / 100 {
         if world.fleet.running().len() == 3 {
             break;
         }
         sleep_ms(100).await;
     }
-    ensure!(world.fleet.running().len() == 3, "the lasting tasks run");
+    ensure!(
+        world.fleet.running().len() == 3,
+        "not all long-running tasks run"
+    );
     world.cancel("long").await?;
     world
-        .wait_phase("long", JobPhase::Cancelled, CALM_MS)
+        .wait_phase("long", JobPhase::Cancelled, COMPLETION_LIMIT_MS)
         .await?;
     sleep_ms(3_000).await;
-    ensure!(world.fleet.running().is_empty(), "after the cancel");
+    ensure!(
+        world.fleet.running().is_empty(),
+        "tasks run after the cancellation"
+    );
     let broken = world.fleet.broken();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
 
-async fn trouble(world: &mut TestWorld, rng: &mut StdRng) -> Result<()> {
+/// Injects a random fault. Faults of nodes hit the owner in most cases. Lost and slow writes of
+/// the store and late orders may last beyond this call: a call clears them in one of two cases.
+async fn inject_fault(world: &mut TestWorld, rng: &mut StdRng) -> Result<()> {
     let names: Vec<String> = world.nodes.keys().cloned().collect();
     let owner = world.owner();
     let node = if rng.random_bool(0.6) && !owner.is_empty() {
@@ -176,13 +189,13 @@
             world.fleet.cut(&runner, &[]);
         }
         8 => world.fleet.set_late(rng.random_range(3..8)),
-        9 => stop_in_turn(world, rng).await?,
+        9 => restart_owners_in_turn(world, rng).await?,
         _ => {
             let living = world.fleet.living();
             let (runner, vm) = living[rng.random_range(0..living.len())].clone();
             world.fleet.crash(&runner);
             sleep_ms(rng.random_range(0..3_000)).await;
-            stop_in_turn(world, rng).await?;
+            restart_owners_in_turn(world, rng).await?;
             world.begin_runner(&vm);
         }
     }
@@ -193,8 +206,8 @@
     Ok(())
 }
 
-/// Owners are stopped as planned and started again, one after the other.
-async fn stop_in_turn(world: &mut TestWorld, rng: &mut StdRng) -> Result<()> {
+/// Restarts owners one after the other, each with a planned shutdown.
+async fn restart_owners_in_turn(world: &mut TestWorld, rng: &mut StdRng) -> Result<()> {
     for _ in 0..rng.random_range(1..4) {
         let owner = world.owner();
         if let Some(node) = world.nodes.get(&owner) {
@@ -213,7 +226,9 @@
     world.store.set_faults(faults);
 }
 
-async fn calm_down(world: &mut TestWorld) -> Result<()> {
+/// Clears all faults, starts runners on VMs whose maintenance is over, and lets the cluster
+/// settle.
+async fn clear_faults(world: &mut TestWorld) -> Result<()> {
     world.store.set_faults(StoreFaults::default());
     world.fleet.set_late(0);
     let living = world.fleet.living();
@@ -225,81 +240,89 @@
     Ok(())
 }
 
-/// Series of planned work played where the environment names no number.
+/// Number of series of planned work where the environment sets none.
 const SERIES: u64 = 12;
 
-/// Lasting tasks of a series, on twice as many VMs.
-const LASTING: u32 = 4;
+/// Long-running tasks of a series, on twice as many VMs.
+const LONG_RUNNING_TASKS: u32 = 4;
 
-/// Time between two planned stops of nodes, and from a stop to the next start.
+/// Time between the planned stops of two nodes, and from the stop of a node to its next start.
 const STOP_GAP_MS: u64 = 2_000;
-const STOPPED_MS: u64 = 3_800;
+const NODE_DOWN_MS: u64 = 3_800;
 
-/// Time from a runner's notice to its end, and to its successor's begin.
-const NOTICE_MS: u64 = 2_500;
-const SUCCESSOR_MS: u64 = 5_000;
+/// Time from a runner's drain notice to its end, and from its end to the start of its
+/// replacement.
+const DRAIN_NOTICE_MS: u64 = 2_500;
+const REPLACEMENT_DELAY_MS: u64 = 5_000;
 
-/// Runners that always stay: one VM for each lasting task, and one more.
-const STAYING_LEAST: usize = LASTING as usize + 1;
+/// Least number of runners that are not draining: one for each long-running task, and one more.
+const MIN_STAYING_RUNNERS: usize = LONG_RUNNING_TASKS as usize + 1;
 
-/// Longest time that a lasting task may be away while there is room for it: the
-/// users' pages allow three seconds, from six after its last run.
-const AWAY_MS: u64 = 9_000;
+/// Longest time that a long-running task may be unavailable while there is free capacity for
+/// it: the users' pages allow three seconds, counted from six seconds after its last run.
+const MAX_UNAVAILABLE_MS: u64 = 9_000;
 
-/// Time between two looks at what runs.
-const LOOK_MS: u64 = 100;
+/// Time between two checks of the running tasks.
+const CHECK_INTERVAL_MS: u64 = 100;
 
-/// Nodes that are slow get one turn of this many looks.
-const SLOW_TURNS: u64 = 4;
+/// A slow node runs in one of this many check intervals, and is frozen in the others.
+const SLOW_NODE_INTERVALS: u64 = 4;
 
 /// A step of planned work.
 enum PlannedStep {
-    Stop(String),
-    Start(String),
-    Slow(String, bool),
-    Drain(usize),
-    Leave(String, String),
-    Begin(String),
+    /// Starts a planned shutdown of the node.
+    StopNode(String),
+    /// Starts the node, and kills it first if it still runs.
+    StartNode(String),
+    /// Makes the node slow, or ends that.
+    SetSlow(String, bool),
+    /// Marks a runner as draining, chosen by this number.
+    DrainRunner(usize),
+    /// Ends the runner on that VM.
+    EndRunner(String, String),
+    /// Starts a new runner on the VM.
+    StartRunner(String),
 }
 
 #[test]
 fn planned_work_in_series_keeps_lasting_tasks_at_work() -> Result<()> {
-    let first = setting("FIRST_SEED", 1);
-    for seed in first..first + setting("SERIES", SERIES) {
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("SERIES", SERIES) {
         play(series(seed)).wrap_err_with(|| format!("seed {seed}"))?;
     }
     Ok(())
 }
 
-/// All nodes restart one after another, twice, while runners leave, a node is
-/// added and one is slow.
+/// Restarts all nodes one after the other, twice, while runners drain and are replaced, a node
+/// is added and that node is slow. Each long-running task must be available in time again.
 async fn series(seed: u64) -> Result<()> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut world = TestWorld::start(6, 2 * LASTING as usize).await?;
-    world.submit("long", lasting(LASTING, 1)).await?;
+    let mut world = TestWorld::start(6, 2 * LONG_RUNNING_TASKS as usize).await?;
+    world.submit("long", lasting(LONG_RUNNING_TASKS, 1)).await?;
     sleep_ms(3_000).await;
     let mut steps = planned_steps(&world, &mut rng);
     let mut slow = None;
     let mut last_run = BTreeMap::new();
     let end = steps.keys().last().copied().unwrap_or(0) + 12_000;
-    for now in (0..end).step_by(LOOK_MS as usize) {
+    for now in (0..end).step_by(CHECK_INTERVAL_MS as usize) {
         for step in steps.remove(&now).unwrap_or_default() {
-            if let Some((then, next)) = take_step(&mut world, step, &mut slow)? {
-                steps.entry(now + then).or_default().push(next);
+            if let Some((delay_ms, next)) = run_step(&mut world, step, &mut slow)? {
+                steps.entry(now + delay_ms).or_default().push(next);
             }
         }
         if let Some(node) = slow.as_ref().and_then(|name| world.nodes.get(name)) {
-            node.freeze(!(now / LOOK_MS).is_multiple_of(SLOW_TURNS));
+            node.freeze(!(now / CHECK_INTERVAL_MS).is_multiple_of(SLOW_NODE_INTERVALS));
         }
-        sleep_ms(LOOK_MS).await;
-        look(&world, now, &mut last_run)?;
+        sleep_ms(CHECK_INTERVAL_MS).await;
+        check_availability(&world, now, &mut last_run)?;
     }
     let broken = world.fleet.broken();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
 
-/// Steps by their time; what follows from a step is added when it is taken.
+/// Steps of the series by their time. A step that follows from another one is added when that
+/// one is run.
 fn planned_steps(world: &TestWorld, rng: &mut StdRng) -> BTreeMap<u64, Vec<PlannedStep>> {
     let mut steps: BTreeMap<u64, Vec<PlannedStep>> = BTreeMap::new();
     let mut at = 0;
@@ -307,94 +330,105 @@
         let mut names: Vec<String> = world.nodes.keys().cloned().collect();
         names.shuffle(rng);
         for name in names {
-            steps.entry(at).or_default().push(PlannedStep::Stop(name));
+            steps
+                .entry(at)
+                .or_default()
+                .push(PlannedStep::StopNode(name));
             at += STOP_GAP_MS;
             if rng.random_bool(0.5) {
-                let drain = at - rng.random_range(0..STOP_GAP_MS / LOOK_MS) * LOOK_MS;
+                let drain =
+                    at - rng.random_range(0..STOP_GAP_MS / CHECK_INTERVAL_MS) * CHECK_INTERVAL_MS;
                 let runner = rng.random_range(0..1_000);
                 let drains = steps.entry(drain).or_default();
-                drains.push(PlannedStep::Drain(runner));
+                drains.push(PlannedStep::DrainRunner(runner));
             }
         }
         at += 4_000;
     }
-    let added = PlannedStep::Start("node-added".to_owned());
-    let half = at / 2 / LOOK_MS * LOOK_MS;
+    let added = PlannedStep::StartNode("node-added".to_owned());
+    let half = at / 2 / CHECK_INTERVAL_MS * CHECK_INTERVAL_MS;
     steps.entry(half).or_default().push(added);
     let node = "node-added".to_owned();
-    let turns = [
-        (half + 1_000, PlannedStep::Slow(node.clone(), true)),
-        (half + 7_000, PlannedStep::Slow(node, false)),
+    let changes = [
+        (half + 1_000, PlannedStep::SetSlow(node.clone(), true)),
+        (half + 7_000, PlannedStep::SetSlow(node, false)),
     ];
-    for (time, turn) in turns {
-        steps.entry(time).or_default().push(turn);
+    for (time, change) in changes {
+        steps.entry(time).or_default().push(change);
     }
     steps
 }
 
-/// Takes a step; answers with the one that follows, and when.
-fn take_step(
+/// Runs a step. Returns the step that follows from it, with the delay until then.
+fn run_step(
     world: &mut TestWorld,
     step: PlannedStep,
     slow: &mut Option<String>,
 ) -> Result<Option<(u64, PlannedStep)>> {
     match step {
-        PlannedStep::Stop(name) => {
+        PlannedStep::StopNode(name) => {
             world.nodes[&name].stop();
-            return Ok(Some((STOPPED_MS, PlannedStep::Start(name))));
+            return Ok(Some((NODE_DOWN_MS, PlannedStep::StartNode(name))));
         }
-        PlannedStep::Start(name) => {
+        PlannedStep::StartNode(name) => {
             if let Some(node) = world.nodes.get(&name) {
                 node.kill();
             }
             world.start_node(&name)?;
         }
-        PlannedStep::Slow(name, on) => {
+        PlannedStep::SetSlow(name, on) => {
             world.nodes[&name].freeze(false);
             *slow = on.then_some(name);
         }
-        PlannedStep::Drain(number) => {
-            let staying = staying(world);
-            if staying.len() <= STAYING_LEAST {
+        PlannedStep::DrainRunner(number) => {
+            let staying_runners = staying_runners(world);
+            if staying_runners.len() <= MIN_STAYING_RUNNERS {
                 return Ok(None);
             }
-            let (runner, vm) = staying[number % staying.len()].clone();
+            let (runner, vm) = staying_runners[number % staying_runners.len()].clone();
             world.drain_runner(&runner);
-            return Ok(Some((NOTICE_MS, PlannedStep::Leave(runner, vm))));
+            return Ok(Some((DRAIN_NOTICE_MS, PlannedStep::EndRunner(runner, vm))));
         }
-        PlannedStep::Leave(runner, vm) => {
+        PlannedStep::EndRunner(runner, vm) => {
             world.fleet.crash(&runner);
             world.store.put(&format!("runner/{runner}"), None, 0);
-            return Ok(Some((SUCCESSOR_MS, PlannedStep::Begin(vm))));
+            return Ok(Some((REPLACEMENT_DELAY_MS, PlannedStep::StartRunner(vm))));
         }
-        PlannedStep::Begin(vm) => {
+        PlannedStep::StartRunner(vm) => {
             world.begin_runner(&vm);
         }
     }
     Ok(None)
 }
 
-/// Living runners that are not about to leave.
-fn staying(world: &TestWorld) -> Vec<(String, String)> {
-    let leaves = |runner: &str| {
+/// Live runners that are not draining, with their VMs.
+fn staying_runners(world: &TestWorld) -> Vec<(String, String)> {
+    let is_draining = |runner: &str| {
         let record = world.store.get(&format!("runner/{runner}"));
         record.is_none_or(|record| record.ends_with(DRAINING.as_bytes()))
     };
     let living = world.fleet.living().into_iter();
-    living.filter(|(runner, _)| !leaves(runner)).collect()
+    living.filter(|(runner, _)| !is_draining(runner)).collect()
 }
 
-/// Looks which lasting tasks run, and how long the others have been away.
-fn look(world: &TestWorld, now: u64, last_run: &mut BTreeMap<String, u64>) -> Result<()> {
+/// Checks for how long each long-running task that does not run has been unavailable.
+fn check_availability(
+    world: &TestWorld,
+    now: u64,
+    last_run: &mut BTreeMap<String, u64>,
+) -> Result<()> {
     let running = world.fleet.running();
-    for number in 0..LASTING {
+    for number in 0..LONG_RUNNING_TASKS {
         let task = format!("long.0.0.{number}");
         let last = last_run.entry(task.clone()).or_insert(now);
         if running.contains(&task) {
             *last = now;
         }
-        let away = now - *last;
-        ensure!(away <= AWAY_MS, "{task} away for {away} ms at {now} ms");
+        let unavailable_ms = now - *last;
+        ensure!(
+            unavailable_ms <= MAX_UNAVAILABLE_MS,
+            "{task} is unavailable for {unavailable_ms} ms at {now} ms"
+        );
     }
     Ok(())
 }
