--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -222,7 +222,7 @@
 }
 
 impl TestWorld {
-    /// Starts nodes and runners, and waits until the pool has an owner.
+    /// Starts nodes and runners, and gives the nodes time to elect an owner of the pool.
     ///
     /// # Errors
     ///
@@ -317,7 +317,7 @@
         self.record_runner(name, vm);
     }
 
-    /// Starts or restarts a node.
+    /// Starts a node, or a new instance of it. An instance that still runs is not stopped.
     ///
     /// # Errors
     ///
@@ -326,7 +326,7 @@
         self.start_node_with(name, POWER)
     }
 
-    /// Starts or restarts a node with that CPU, in thousandths of a core.
+    /// Does the same for a node with that CPU, in thousandths of a core.
     ///
     /// # Errors
     ///
