--- a/crates/hoisthitch-cli/src/commands/explain.rs
+++ b/crates/hoisthitch-cli/src/commands/explain.rs
@@ -96,7 +96,7 @@
         if !whole {
             collector.skip_line();
         } else if !line.trim_ascii().is_empty() {
-            collector.take_line(&String::from_utf8_lossy(&line));
+            collector.add_line(&String::from_utf8_lossy(&line));
         }
     }
     Ok(())
--- a/crates/hoisthitch-cli/src/story/cause.rs
+++ b/crates/hoisthitch-cli/src/story/cause.rs
@@ -1,19 +1,19 @@
-//! What became of a job, and the likeliest cause, by the three kinds of
-//! failure that `docs/OPERATIONS.md` tells apart.
+//! Derives a job's outcome and the likeliest cause, by the three kinds of
+//! failure that `docs/OPERATIONS.md` distinguishes.
 
 use serde::Serialize;
 
 use super::{
     delay::{
         JobDelay,
-        ownerless,
+        find_owner_loss,
         wait_cause, //
     },
     event::{
         EventKind,
         StoryEvent,
         SubmitOutcome,
-        show_time, //
+        format_time, //
     },
     runs::{
         LossCause,
@@ -21,32 +21,33 @@
         RunLosses, //
     },
     window::{
-        is_taken,
+        is_picked_up,
         may_run, //
     }, //
 };
 
 /// Delay from which a job counts as late, in milliseconds: a lost owner is
-/// replaced within it.
+/// replaced in less.
 const LATE_MS: u64 = 2_000;
 
-/// Runs of one task that ended by themselves, from which the task is suspect.
+/// Number of runs of one task that ended by themselves from which the task is
+/// taken as the cause.
 const SUSPECT_RUNS: usize = 2;
 
-/// Kind of a failure.
+/// Kind of failure.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureKind {
-    /// The submission was refused or had no clear answer.
+    /// The submission was refused, or its outcome is unknown.
     Refused,
     /// The job is late, or has not begun.
     Late,
-    /// A lasting task was away, or the job was shown as failed.
+    /// A long-running task was unavailable, or the job was shown as failed.
     Away,
 }
 
 impl FailureKind {
-    /// The kind's heading in the operators' page.
+    /// Heading of the kind in the operators' page.
     pub fn title(self) -> &'static str {
         match self {
             Self::Refused => "1, a submission was refused or had no clear answer",
@@ -56,36 +57,36 @@
     }
 }
 
-/// What became of a job.
+/// Outcome of a job.
 #[derive(Clone, Debug, Serialize)]
 pub struct StoryEnd {
     /// Kind of the failure, if there is one.
     pub kind: Option<FailureKind>,
-    /// What became of it.
+    /// The outcome, in a sentence.
     pub became: String,
     /// The likeliest cause, in a sentence.
     pub cause: String,
 }
 
-/// Judges a story; both lists are in order of time.
-pub fn judge(id: &str, own: &[StoryEvent], around: &[StoryEvent]) -> StoryEnd {
-    let losses = RunLosses::find(own, around);
-    let delay = JobDelay::of(own);
-    let became = became(id, own, &losses);
-    let (kind, cause) = if !is_taken(own) {
-        judge_submission(own, around, &delay)
-    } else if let Some(losses) = given_up_after(own) {
-        (Some(FailureKind::Away), given_up_cause(losses))
+/// Derives a job's outcome and its cause; both lists are in order of time.
+pub fn diagnose(id: &str, own: &[StoryEvent], related: &[StoryEvent]) -> StoryEnd {
+    let losses = RunLosses::find(own, related);
+    let delay = JobDelay::from_events(own);
+    let became = describe_outcome(id, own, &losses);
+    let (kind, cause) = if !is_picked_up(own) {
+        diagnose_submission(own, related, &delay)
+    } else if let Some(losses) = runners_lost_to_task(own) {
+        (Some(FailureKind::Away), crashing_task_cause(losses))
     } else if !losses.losses.is_empty() {
-        (Some(FailureKind::Away), loss_cause(&losses, around))
+        (Some(FailureKind::Away), loss_cause(&losses, related))
     } else if is_cancelled(own) {
         (None, "a cancel was handed in.".to_owned())
-    } else if losses.tasks == 0 && had_begun(own) {
+    } else if losses.started_tasks == 0 && was_restored(own) {
         (None, "it had begun before these lines.".to_owned())
-    } else if losses.tasks == 0 || delay.total_ms() >= LATE_MS {
-        (Some(FailureKind::Late), wait_cause(own, around, &delay))
+    } else if losses.started_tasks == 0 || delay.total_ms() >= LATE_MS {
+        (Some(FailureKind::Late), wait_cause(own, related, &delay))
     } else {
-        (None, calm_cause(around))
+        (None, no_failure_cause(related))
     };
     StoryEnd {
         kind,
@@ -95,51 +96,56 @@
 }
 
 fn is_cancelled(own: &[StoryEvent]) -> bool {
-    own.iter().any(|event| event.kind == EventKind::Cancelled)
+    own.iter()
+        .any(|event| event.kind == EventKind::JobCancelled)
 }
 
-/// Runners that were lost under the task that was given up, if one was.
-fn given_up_after(own: &[StoryEvent]) -> Option<u64> {
+/// Number of runners lost while they ran the task that was failed for crashing
+/// them, if there is such a task.
+fn runners_lost_to_task(own: &[StoryEvent]) -> Option<u64> {
     own.iter().find_map(|event| match event.kind {
-        EventKind::GivenUp { losses } => Some(losses),
+        EventKind::TaskGivenUp { losses } => Some(losses),
         _ => None,
     })
 }
 
-fn given_up_cause(losses: u64) -> String {
+fn crashing_task_cause(losses: u64) -> String {
     let runners = count(usize::try_from(losses).unwrap_or(usize::MAX), "runner");
     format!(
         "a task of it crashes the runners that start it ({runners} lost under it), and was given up; its run_lost lines name them."
     )
 }
 
-/// Whether an owner found the job begun by an earlier one.
-fn had_begun(own: &[StoryEvent]) -> bool {
+/// Whether an owner restored the job after it had begun under an earlier one.
+fn was_restored(own: &[StoryEvent]) -> bool {
     let mut kinds = own.iter().map(|event| &event.kind);
-    kinds.any(|kind| matches!(kind, EventKind::Taken { restored: true, .. }))
+    kinds.any(|kind| matches!(kind, EventKind::JobTaken { restored: true, .. }))
 }
 
-fn calm_cause(around: &[StoryEvent]) -> String {
-    ownerless(around).map_or_else(
+fn no_failure_cause(related: &[StoryEvent]) -> String {
+    find_owner_loss(related).map_or_else(
         || "these lines show no failure.".to_owned(),
         |event| {
             format!(
                 "these lines show no failure, but no owner of its pool after {}; add the logs of all nodes.",
-                event.clock()
+                event.formatted_time()
             )
         },
     )
 }
 
-fn became(id: &str, own: &[StoryEvent], losses: &RunLosses) -> String {
+fn describe_outcome(id: &str, own: &[StoryEvent], losses: &RunLosses) -> String {
     if !may_run(own) {
         return "refused: it never ran.".to_owned();
     }
     let asked = format!("'hoisthitch job status {id}' tells its state");
     if is_cancelled(own) {
-        return format!("cancelled, with {}.", count(losses.tasks, "task started"));
+        return format!(
+            "cancelled, with {}.",
+            count(losses.started_tasks, "task started")
+        );
     }
-    if !is_taken(own) {
+    if !is_picked_up(own) {
         let answer = match last_outcome(own) {
             Some((SubmitOutcome::Accepted | SubmitOutcome::Present, _)) => "accepted",
             Some(_) => "perhaps kept",
@@ -147,23 +153,23 @@
         };
         return format!("{answer}, and not taken in by an owner in these lines; {asked}.");
     }
-    if losses.tasks == 0 && had_begun(own) {
+    if losses.started_tasks == 0 && was_restored(own) {
         return format!("begun before these lines, and no task started in them; {asked}.");
     }
-    if losses.tasks == 0 {
+    if losses.started_tasks == 0 {
         return format!("taken in, and no task started in these lines; {asked}.");
     }
     let lost = losses.losses.len();
     let away = losses.losses.iter();
-    let away = away.filter(|loss| loss.again_ms.is_none()).count();
+    let away = away.filter(|loss| loss.restarted_ms.is_none()).count();
     format!(
         "{}, {}, {away} of them not started again; {asked}.",
-        count(losses.tasks, "task started"),
+        count(losses.started_tasks, "task started"),
         count(lost, "run lost"),
     )
 }
 
-/// A number with what it counts; the first word takes the plural.
+/// Formats a number with the thing it counts; the first word takes the plural.
 fn count(number: usize, what: &str) -> String {
     match what.split_once(' ') {
         None if number != 1 => format!("{number} {what}s"),
@@ -179,9 +185,9 @@
     })
 }
 
-fn judge_submission(
+fn diagnose_submission(
     own: &[StoryEvent],
-    around: &[StoryEvent],
+    related: &[StoryEvent],
     delay: &JobDelay,
 ) -> (Option<FailureKind>, String) {
     let Some((outcome, event)) = last_outcome(own) else {
@@ -191,69 +197,73 @@
     let node = &event.node;
     let cause = match outcome {
         SubmitOutcome::Accepted | SubmitOutcome::Present => {
-            return (Some(FailureKind::Late), wait_cause(own, around, delay));
+            return (Some(FailureKind::Late), wait_cause(own, related, delay));
         }
-        SubmitOutcome::StoreLost => store_cause(node, around),
+        SubmitOutcome::StoreLost => store_cause(node, related),
         SubmitOutcome::Refused => format!(
             "every write of {node} was answered with an error{}.",
-            write_error(node, around)
+            write_error(node, related)
         ),
         SubmitOutcome::NoQueue => format!(
             "{node} knows no queue for it by its configuration ({}); compare policy_in_force of all nodes.",
-            event.inputs
+            event.raw_fields
         ),
         SubmitOutcome::Unconfirmed => format!(
             "{node} could not confirm its configuration ({}), and refused at once.",
-            event.inputs
+            event.raw_fields
         ),
         SubmitOutcome::Unknown => format!(
             "a write of {node} had no answer{}; the job may run.",
-            write_error(node, around)
+            write_error(node, related)
         ),
     };
     (Some(FailureKind::Refused), cause)
 }
 
-fn store_cause(node: &str, around: &[StoryEvent]) -> String {
-    let mut lost = around
+fn store_cause(node: &str, related: &[StoryEvent]) -> String {
+    let mut lost = related
         .iter()
         .filter(|event| event.node == node && matches!(event.kind, EventKind::StoreLost { .. }));
     let since = lost.next().map_or_else(
         || "; no line tells since when".to_owned(),
-        |event| format!(" since {}", event.clock()),
+        |event| format!(" since {}", event.formatted_time()),
     );
     format!("{node} had no answer from the store{since}, and refused at once.")
 }
 
-fn write_error(node: &str, around: &[StoryEvent]) -> String {
-    let error = around.iter().find_map(|event| match &event.kind {
+fn write_error(node: &str, related: &[StoryEvent]) -> String {
+    let error = related.iter().find_map(|event| match &event.kind {
         EventKind::CreateFailed { error } if event.node == node => Some(error),
         _ => None,
     });
     error.map_or_else(String::new, |error| format!(" ({error})"))
 }
 
-/// The cause of the losses: a task whose runs end by themselves, else the loss
-/// that lasted longest.
-fn loss_cause(losses: &RunLosses, around: &[StoryEvent]) -> String {
+/// Explains the losses: by a task whose runs end by themselves, else by the
+/// loss after which the task was unavailable longest.
+fn loss_cause(losses: &RunLosses, related: &[StoryEvent]) -> String {
     if let Some(cause) = failing_cause(losses) {
         return cause;
     }
-    // The earliest of equal ones.
-    let longest = losses.losses.iter().rev().max_by_key(|loss| away_ms(loss));
+    // `max_by_key` returns the last maximum; reversed, that is the earliest loss.
+    let longest = losses
+        .losses
+        .iter()
+        .rev()
+        .max_by_key(|loss| outage_ms(loss));
     longest.map_or_else(String::new, |loss| {
         format!(
             "{}{}; {}.",
-            sign(loss),
-            owner_change(loss, around),
-            return_of(loss)
+            describe_loss(loss),
+            owner_change(loss, related),
+            describe_restart(loss)
         )
     })
 }
 
-fn away_ms(loss: &RunLoss) -> u64 {
-    loss.again_ms
-        .map_or(u64::MAX, |again| again.saturating_sub(loss.at_ms))
+fn outage_ms(loss: &RunLoss) -> u64 {
+    loss.restarted_ms
+        .map_or(u64::MAX, |again| again.saturating_sub(loss.first_sign_ms))
 }
 
 fn failing_cause(losses: &RunLosses) -> Option<String> {
@@ -279,24 +289,24 @@
     })
 }
 
-fn sign(loss: &RunLoss) -> String {
+fn describe_loss(loss: &RunLoss) -> String {
     let task = &loss.run.task;
     let runner = &loss.run.runner;
-    let at = show_time(loss.at_ms);
+    let at = format_time(loss.first_sign_ms);
     let what = match loss.cause {
         LossCause::Ended => return format!("a run of task {task} on {runner} ended by itself"),
         LossCause::Stopped => return format!("the owner stopped task {task} on {runner} at {at}"),
         LossCause::Unanswered => "gave no answer",
         LossCause::Silent => "fell silent, and its lease was waited for",
         LossCause::Stalled => "let the task stand still",
-        LossCause::Lapsed => "gave no answer until its lease lapsed",
+        LossCause::LeaseExpired => "gave no answer until its lease lapsed",
         LossCause::Restarted => "started again, and holds nothing of before",
-        LossCause::Gone(why) => gone(why),
+        LossCause::RunnerRemoved(why) => describe_removal(why),
     };
     format!("runner {runner} of task {task} {what} (first sign at {at})")
 }
 
-fn gone(why: &str) -> &'static str {
+fn describe_removal(why: &str) -> &'static str {
     match why {
         "down" => "went down with its VM, for maintenance or a move",
         "ended" => "ended, and a later life came on its VM",
@@ -306,29 +316,33 @@
     }
 }
 
-/// A change of owner between the loss and the next start, which delays it.
-fn owner_change(loss: &RunLoss, around: &[StoryEvent]) -> String {
-    let until = loss.again_ms.unwrap_or(u64::MAX);
-    let mut taken = around.iter().filter(|event| {
-        event.kind == EventKind::PoolTaken && (loss.at_ms..=until).contains(&event.time_ms)
+/// Describes a change of owner between the loss and the next start, which
+/// delays that start.
+fn owner_change(loss: &RunLoss, related: &[StoryEvent]) -> String {
+    let until = loss.restarted_ms.unwrap_or(u64::MAX);
+    let mut taken = related.iter().filter(|event| {
+        event.kind == EventKind::PoolTaken && (loss.first_sign_ms..=until).contains(&event.time_ms)
     });
     if let Some(event) = taken.next_back() {
-        let (node, at) = (&event.node, event.clock());
+        let (node, at) = (&event.node, event.formatted_time());
         return format!(", while the pool changed its owner ({node} took it at {at})");
     }
-    match ownerless(around) {
-        Some(event) if loss.again_ms.is_none() => {
-            format!(", and no owner of its pool shows after {}", event.clock())
+    match find_owner_loss(related) {
+        Some(event) if loss.restarted_ms.is_none() => {
+            format!(
+                ", and no owner of its pool shows after {}",
+                event.formatted_time()
+            )
         }
         _ => String::new(),
     }
 }
 
-fn return_of(loss: &RunLoss) -> String {
-    match loss.again_ms {
+fn describe_restart(loss: &RunLoss) -> String {
+    match loss.restarted_ms {
         Some(again) => format!(
             "the task was started again {} ms later",
-            again.saturating_sub(loss.at_ms)
+            again.saturating_sub(loss.first_sign_ms)
         ),
         None => "no later start shows, so the task is away unless it was done before".to_owned(),
     }
--- a/crates/hoisthitch-cli/src/story/delay.rs
+++ b/crates/hoisthitch-cli/src/story/delay.rs
@@ -1,4 +1,4 @@
-//! Why a job began late, or has not begun.
+//! Finds why a job began late, or has not begun.
 
 use super::event::{
     EventKind,
@@ -7,24 +7,24 @@
     StoryEvent, //
 };
 
-/// How long a job waited, by its own lines.
+/// How long a job waited, according to its own events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JobDelay {
     /// When it was accepted, in milliseconds since the epoch.
     accepted_at: u64,
-    /// When an owner took it in.
-    taken_at: Option<u64>,
+    /// When an owner picked it up.
+    picked_up_at: Option<u64>,
     /// When its first task was started.
-    begun_at: Option<u64>,
+    started_at: Option<u64>,
 }
 
 impl JobDelay {
-    /// Reads the delay from a job's lines, in order of time.
-    pub fn of(own: &[StoryEvent]) -> Self {
+    /// Computes the delay from a job's own events, in order of time.
+    pub fn from_events(own: &[StoryEvent]) -> Self {
         let first = own.first().map_or(0, |event| event.time_ms);
         let taken = own.iter().find_map(|event| match &event.kind {
-            // One that had begun before waits no longer, whatever its age.
-            EventKind::Taken {
+            // A restored job had begun under an earlier owner: its age is no delay.
+            EventKind::JobTaken {
                 age_ms,
                 restored: false,
                 ..
@@ -36,56 +36,62 @@
             .find(|event| is_order(event, OrderOutcome::Started));
         Self {
             accepted_at: taken.map_or(first, |(at, age)| at.saturating_sub(age)),
-            taken_at: taken.map(|(at, _)| at),
-            begun_at: begun.map(|event| event.time_ms),
+            picked_up_at: taken.map(|(at, _)| at),
+            started_at: begun.map(|event| event.time_ms),
         }
     }
 
     /// Time from the submission to the first start, in milliseconds; zero
-    /// while there is none.
+    /// if there was no start.
     pub fn total_ms(&self) -> u64 {
-        let begun = self.begun_at.unwrap_or(self.accepted_at);
+        let begun = self.started_at.unwrap_or(self.accepted_at);
         begun.saturating_sub(self.accepted_at)
     }
 
-    /// Whether most of the delay passed before an owner took the job in.
-    fn is_owners(&self) -> bool {
-        let Some(taken) = self.taken_at else {
-            return self.begun_at.is_none();
+    /// Whether most of the delay passed before an owner picked the job up.
+    fn waited_for_owner(&self) -> bool {
+        let Some(taken) = self.picked_up_at else {
+            return self.started_at.is_none();
         };
         let waited = taken.saturating_sub(self.accepted_at);
-        let begun = self.begun_at.unwrap_or(u64::MAX);
+        let begun = self.started_at.unwrap_or(u64::MAX);
         waited > begun.saturating_sub(taken)
     }
 }
 
-/// Why a job waited, in a sentence; both lists are in order of time.
-pub fn wait_cause(own: &[StoryEvent], around: &[StoryEvent], delay: &JobDelay) -> String {
-    let waited = match delay.begun_at {
+/// Explains in a sentence why a job waited; both lists are in order of time.
+pub fn wait_cause(own: &[StoryEvent], related: &[StoryEvent], delay: &JobDelay) -> String {
+    let waited = match delay.started_at {
         Some(_) => format!("it began {} ms after its submission: ", delay.total_ms()),
         None => String::new(),
     };
-    let cause = if delay.is_owners() {
-        owner_cause(around, delay)
+    let cause = if delay.waited_for_owner() {
+        owner_cause(related, delay)
     } else {
-        start_cause(own, around, delay)
+        start_cause(own, related, delay)
     };
     format!("{waited}{cause}.")
 }
 
-fn owner_cause(around: &[StoryEvent], delay: &JobDelay) -> String {
-    let until = delay.taken_at.unwrap_or(u64::MAX);
+fn owner_cause(related: &[StoryEvent], delay: &JobDelay) -> String {
+    let until = delay.picked_up_at.unwrap_or(u64::MAX);
     let within = |event: &&StoryEvent| (delay.accepted_at..=until).contains(&event.time_ms);
-    let mut taken = around.iter().filter(within).filter(|event| is_taken(event));
+    let mut taken = related
+        .iter()
+        .filter(within)
+        .filter(|event| is_takeover(event));
     if let Some(event) = taken.next_back() {
-        let (node, at) = (&event.node, event.clock());
+        let (node, at) = (&event.node, event.formatted_time());
         return format!("its pool had no owner until {node} took it at {at}");
     }
-    let owner = around
+    let owner = related
         .iter()
-        .rfind(|event| is_taken(event) && event.time_ms <= until);
-    match (owner, ownerless(around)) {
-        (_, Some(event)) => format!("no owner of its pool shows after {}", event.clock()),
+        .rfind(|event| is_takeover(event) && event.time_ms <= until);
+    match (owner, find_owner_loss(related)) {
+        (_, Some(event)) => format!(
+            "no owner of its pool shows after {}",
+            event.formatted_time()
+        ),
         (Some(event), None) => {
             let node = &event.node;
             format!("its pool's owner {node} did not take it in; look at that node and the store")
@@ -94,11 +100,11 @@
     }
 }
 
-/// The end of the last ownership, if no other one follows.
-pub fn ownerless(around: &[StoryEvent]) -> Option<&StoryEvent> {
-    let last = around.iter().rposition(is_taken)?;
-    let owner = &around.get(last)?.node;
-    let after = around.get(last + 1..).unwrap_or_default();
+/// Finds the end of the pool's last ownership, if no other one follows.
+pub fn find_owner_loss(related: &[StoryEvent]) -> Option<&StoryEvent> {
+    let last = related.iter().rposition(is_takeover)?;
+    let owner = &related.get(last)?.node;
+    let after = related.get(last + 1..).unwrap_or_default();
     after.iter().find(|event| match &event.kind {
         EventKind::PoolLeft { .. } => event.node == *owner,
         EventKind::NodeGone => event.subject == EventSubject::Node(owner.clone()),
@@ -106,21 +112,21 @@
     })
 }
 
-fn start_cause(own: &[StoryEvent], around: &[StoryEvent], delay: &JobDelay) -> String {
-    let from = delay.taken_at.unwrap_or(delay.accepted_at);
-    let until = delay.begun_at.unwrap_or(u64::MAX);
+fn start_cause(own: &[StoryEvent], related: &[StoryEvent], delay: &JobDelay) -> String {
+    let from = delay.picked_up_at.unwrap_or(delay.accepted_at);
+    let until = delay.started_at.unwrap_or(u64::MAX);
     let within = |event: &&StoryEvent| (from..=until).contains(&event.time_ms);
     let own: Vec<&StoryEvent> = own.iter().filter(within).collect();
-    let around: Vec<&StoryEvent> = around.iter().filter(within).collect();
-    if let Some(event) = around.iter().rfind(|event| is_taken(event)) {
+    let related: Vec<&StoryEvent> = related.iter().filter(within).collect();
+    if let Some(event) = related.iter().rfind(|event| is_takeover(event)) {
         return format!(
             "its pool changed its owner meanwhile, {} took it",
             event.node
         );
     }
-    let told = |outcome| own.iter().filter(|event| is_order(event, outcome)).count();
-    let unclear = told(OrderOutcome::Unclear);
-    let refused = told(OrderOutcome::NoRoom) + told(OrderOutcome::Refused);
+    let count_orders = |outcome| own.iter().filter(|event| is_order(event, outcome)).count();
+    let unclear = count_orders(OrderOutcome::Unclear);
+    let refused = count_orders(OrderOutcome::NoRoom) + count_orders(OrderOutcome::Refused);
     let dropped = own
         .iter()
         .any(|event| event.kind == EventKind::StartDropped);
@@ -130,17 +136,17 @@
     if dropped {
         return "its start waited behind others of a runner that gave no answer".to_owned();
     }
-    if around.iter().any(|event| is_unwritten(event)) {
+    if related.iter().any(|event| blocks_orders(event)) {
         return "the owner could not write its journal, and orders nothing meanwhile".to_owned();
     }
     if refused > 0 {
         return format!("{refused} of its starts were refused by the runners");
     }
-    room_cause(&around)
+    capacity_cause(&related)
 }
 
-fn room_cause(around: &[&StoryEvent]) -> String {
-    let needs = around.iter().rev().find_map(|event| match event.kind {
+fn capacity_cause(related: &[&StoryEvent]) -> String {
+    let needs = related.iter().rev().find_map(|event| match event.kind {
         EventKind::PoolNeeds { want, has } => Some((want, has)),
         _ => None,
     });
@@ -152,11 +158,14 @@
     }
 }
 
-fn is_taken(event: &StoryEvent) -> bool {
+/// Whether a node became the pool's owner.
+fn is_takeover(event: &StoryEvent) -> bool {
     event.kind == EventKind::PoolTaken
 }
 
-fn is_unwritten(event: &StoryEvent) -> bool {
+/// Whether the owner can't write its journal or confirm that it is the owner,
+/// and so sends no orders.
+fn blocks_orders(event: &StoryEvent) -> bool {
     matches!(
         event.kind,
         EventKind::JournalUnclear | EventKind::OwnerUnconfirmed
@@ -164,5 +173,5 @@
 }
 
 fn is_order(event: &StoryEvent, wanted: OrderOutcome) -> bool {
-    matches!(&event.kind, EventKind::Ordered { outcome, .. } if *outcome == wanted)
+    matches!(&event.kind, EventKind::TaskOrdered { outcome, .. } if *outcome == wanted)
 }
--- a/crates/hoisthitch-cli/src/story/event.rs
+++ b/crates/hoisthitch-cli/src/story/event.rs
@@ -1,4 +1,7 @@
-//! Events that can belong to a job's story: one rule for each kind.
+//! Parses log lines into the events that can belong to a job's story.
+//!
+//! Variants of [`EventKind`] mirror the names of log events; a change of an
+//! event's name or keys where it is logged needs the same change here.
 
 use std::time::{
     Duration,
@@ -9,19 +12,19 @@
 
 use super::line::LogLine;
 
-/// An event of a log.
+/// An event of a log, parsed.
 #[derive(Clone, Debug)]
 pub struct StoryEvent {
     /// Time since the epoch, in milliseconds.
     pub time_ms: u64,
     /// Node that logged it.
     pub node: String,
-    /// What it is about.
+    /// What the event is about.
     pub subject: EventSubject,
     /// What happened.
     pub kind: EventKind,
     /// The fields, as logged.
-    pub inputs: String,
+    pub raw_fields: String,
 }
 
 /// What an event is about.
@@ -42,23 +45,24 @@
 /// What happened.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EventKind {
-    /// A submission was answered.
+    /// A node responded to a submission.
     Submitted {
-        /// Queue that was asked for.
+        /// Queue that the submission names; empty if the call was refused before
+        /// its queue was known.
         queue: String,
-        /// The answer.
+        /// Outcome of the submission.
         outcome: SubmitOutcome,
         /// How long it took, in milliseconds.
         took_ms: u64,
     },
-    /// A cancel was answered.
+    /// A node responded to a cancellation.
     CancelAnswered,
-    /// A cancel could not be answered.
+    /// The outcome of a cancellation is unknown.
     CancelUnknown,
-    /// A state could not be read.
+    /// The job's state could not be read.
     StatusUnknown,
-    /// The pool's owner took the job in.
-    Taken {
+    /// The pool's owner picked the job up.
+    JobTaken {
         /// Queue of the job.
         queue: String,
         /// Pool that runs it.
@@ -68,87 +72,87 @@
         /// Whether it had begun under an earlier owner.
         restored: bool,
     },
-    /// The owner took a cancel in.
-    Cancelled,
-    /// A job ended, and where its time went.
-    Ended,
-    /// The owner can't read the job.
-    Unreadable,
+    /// The owner applied a cancellation.
+    JobCancelled,
+    /// The job ended; the fields show where its time went.
+    JobEnded,
+    /// The owner can't read a record of the job.
+    JobUnreadable,
     /// A start was sent to a runner.
-    Ordered {
+    TaskOrdered {
         /// The run.
         run: TaskRun,
-        /// The runner's answer.
+        /// The runner's response.
         outcome: OrderOutcome,
     },
-    /// A start was not sent in time.
+    /// A start was dropped because it waited too long.
     StartDropped,
     /// A stop was sent to a runner.
-    Stopped {
+    TaskStopped {
         /// The run.
         run: TaskRun,
         /// Whether the runner stopped it.
         done: bool,
     },
     /// A task was throttled.
-    Paced,
+    TaskPaced,
     /// A run was lost with its runner.
     RunLost,
-    /// A task was given up, for its runners crashed under it.
-    GivenUp {
-        /// Runners that were lost under it.
+    /// A task was failed as the cause of its runners' crashes.
+    TaskGivenUp {
+        /// Number of runners lost while they ran it.
         losses: u64,
     },
     /// A node became the pool's owner.
     PoolTaken,
-    /// A node ceased to be the owner.
+    /// A node ceased to be the pool's owner.
     PoolLeft {
-        /// Whether another owner was there already.
+        /// Whether another node owned the pool already.
         deposed: bool,
     },
-    /// Another node was faster.
+    /// Another node took the pool first.
     PoolNotTaken,
-    /// The owner told the next one what it knows of the runners.
+    /// The owner handed its knowledge of the runners over to the next owner.
     PoolHandedOn,
-    /// The owner hands the pool to a node with more processor time.
+    /// The owner offered the pool to a node with more processor time.
     PoolOffered,
-    /// The owner gave the pool back for another node to take.
+    /// The owner released the pool for another node to take.
     PoolReleased,
-    /// Whether a node became the owner is not known.
+    /// It is unknown whether the node became the owner.
     TakeoverUnclear,
-    /// A runner obeys a later owner.
-    Fenced,
-    /// The owner can't work on the pool's VMs.
+    /// A runner has seen the fencing token of a later owner.
+    RunnerFenced,
+    /// The owner's work on the pool's VMs stalled.
     VmWorkStalled,
-    /// What the pool lacks.
+    /// The pool published how many VMs it wants and has.
     PoolNeeds {
         /// VMs that it wants.
         want: u64,
         /// VMs that it has.
         has: u64,
     },
-    /// The owner reaches a runner.
+    /// The owner reached a runner.
     RunnerTaken,
-    /// A runner gave no answer.
+    /// A runner did not respond.
     RunnerLost,
-    /// A runner gave no answer for the time of its lease.
+    /// A runner did not respond until its lease expired.
     LeaseLapsed,
-    /// A runner may still run what it was told.
+    /// A runner is unresponsive and may still run its tasks.
     RunnerSilent,
-    /// That is over.
-    SilenceOver,
-    /// The owner gave the runner up.
+    /// A runner is no longer reported as unresponsive.
+    RunnerSilenceOver,
+    /// The owner removed the runner.
     RunnerGone {
         /// Reason.
         why: String,
     },
-    /// A later life runs in the runner's place.
-    LifeOver,
-    /// The runner started again under its name.
+    /// A later instance replaced the runner.
+    RunnerLifeOver,
+    /// The runner restarted under its name.
     RunnerRestarted,
-    /// The runner is off the list.
+    /// The runner is no longer listed.
     RunnerUnlisted,
-    /// A task stood still there.
+    /// A task on the runner made no progress.
     TaskStalled,
     /// A VM's maintenance waits.
     UpkeepWaits {
@@ -162,20 +166,20 @@
         /// The other pool.
         to: String,
     },
-    /// Another node is gone.
+    /// Another node is lost.
     NodeGone,
     /// The node has started.
     NodeStarted,
-    /// The node is to stop.
+    /// The node is shutting down.
     NodeStopping,
     /// The node has stopped.
     NodeStopped,
-    /// The store gives no answer.
+    /// The node can't follow keys of the store, as it does not respond.
     StoreLost {
         /// Keys that are followed there.
         prefix: String,
     },
-    /// The store answers again.
+    /// The node follows these keys again.
     StoreRegained {
         /// Keys that are followed there.
         prefix: String,
@@ -196,85 +200,85 @@
 /// A run of a task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TaskRun {
-    /// Task, by its whole name.
+    /// Full name of the task, with its job's identifier.
     pub task: String,
     /// Number of the run.
     pub number: u64,
-    /// Runner that was told.
+    /// Runner that the order was sent to.
     pub runner: String,
 }
 
-/// Answer to a submission.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SubmitOutcome {
-    /// Kept.
+    /// Stored.
     Accepted,
-    /// Kept before.
+    /// Stored by an earlier submission.
     Present,
-    /// Refused, as the store was lost.
+    /// Refused because the store was lost.
     StoreLost,
-    /// Refused, as all writes failed.
+    /// Refused because all writes failed.
     Refused,
-    /// Refused, as no queue is there by the node's configuration.
+    /// Refused because the node's configuration has no such queue.
     NoQueue,
-    /// Refused, as a newer configuration might be in force.
+    /// Refused because a newer configuration may be in effect.
     Unconfirmed,
-    /// Not known.
+    /// Unknown: a write had no response.
     Unknown,
 }
 
-/// A runner's answer to a start.
+/// A runner's response to a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
-    /// It has the run.
+    /// The run was started.
     Started,
-    /// It has no room.
+    /// The runner has no free capacity.
     NoRoom,
-    /// It would not.
+    /// The runner refused the start.
     Refused,
-    /// There was no answer.
+    /// The outcome is unknown: there was no response.
     Unclear,
-    /// It obeys another owner, or is another life.
+    /// The runner has seen a later owner, or is another instance.
     Superseded,
 }
 
-/// What a line is, once parsed.
+/// Result of parsing a line.
 #[derive(Clone, Debug)]
-pub enum ReadLine {
-    /// An event with a rule.
+pub enum ParsedLine {
+    /// An event that can belong to a story.
     Known(StoryEvent),
-    /// An event without one.
+    /// Any other event.
     Unknown,
-    /// Not a whole log line.
+    /// Not a complete log line.
     Broken,
 }
 
 impl StoryEvent {
-    /// Reads a line.
-    pub fn read(text: &str) -> ReadLine {
+    /// Parses a line.
+    pub fn parse(text: &str) -> ParsedLine {
         let Some(line) = LogLine::parse(text) else {
-            return ReadLine::Broken;
+            return ParsedLine::Broken;
         };
-        let kind = match read_kind(&line) {
-            KindRead::Known(kind) => kind,
-            KindRead::Unknown => return ReadLine::Unknown,
-            KindRead::Broken => return ReadLine::Broken,
+        let kind = match parse_kind(&line) {
+            ParsedKind::Known(kind) => kind,
+            ParsedKind::Unknown => return ParsedLine::Unknown,
+            ParsedKind::Broken => return ParsedLine::Broken,
         };
-        let Some(subject) = read_subject(&line) else {
-            return ReadLine::Broken;
+        let Some(subject) = parse_subject(&line) else {
+            return ParsedLine::Broken;
         };
-        ReadLine::Known(Self {
+        ParsedLine::Known(Self {
             time_ms: line.time_ms,
             node: line.process.clone(),
             subject,
             kind,
-            inputs: line.inputs.to_owned(),
+            raw_fields: line.raw_fields.to_owned(),
         })
     }
 
     /// The event's time, as logged.
-    pub fn clock(&self) -> String {
-        show_time(self.time_ms)
+    pub fn formatted_time(&self) -> String {
+        format_time(self.time_ms)
     }
 
     /// The pool's name, if the event is about a pool.
@@ -294,55 +298,55 @@
     }
 }
 
-/// A time since the epoch, as logs show it.
-pub fn show_time(time_ms: u64) -> String {
-    // The time came from a line of that form.
+/// Formats a time since the epoch as in the logs.
+pub fn format_time(time_ms: u64) -> String {
+    // Can't overflow: the time was parsed from a line of the same format.
     let time = UNIX_EPOCH + Duration::from_millis(time_ms);
     format_rfc3339_millis(time).to_string()
 }
 
-enum KindRead {
+enum ParsedKind {
     Known(EventKind),
     Unknown,
     Broken,
 }
 
-fn read_kind(line: &LogLine) -> KindRead {
+fn parse_kind(line: &LogLine) -> ParsedKind {
     let simple = match line.event.as_str() {
-        "job_call" => return read_call(line),
-        "queue_unknown" => return read_turned_away(line, SubmitOutcome::NoQueue),
-        "policy_unconfirmed" => return read_turned_away(line, SubmitOutcome::Unconfirmed),
-        "job_taken" => return whole(read_taken(line)),
-        "task_ordered" => return whole(read_ordered(line)),
-        "task_given_up" => return whole(read_given_up(line)),
-        "task_stopped" => return whole(read_stopped(line)),
-        "pool_needs" => return whole(read_needs(line)),
-        "pool_left" => return whole(read_left(line)),
-        "runner_gone" => return whole(read_gone(line)),
-        "upkeep_waits" => return whole(read_waits(line)),
-        "vm_moved" => return whole(read_moved(line)),
-        "follow_lost" => return whole(read_store_lost(line)),
-        "follow_regained" => return whole(read_store_regained(line)),
-        "create_failed" => return whole(read_failed(line)),
-        name => simple_kind(name),
+        "job_call" => return parse_call(line),
+        "queue_unknown" => return parse_refused_call(line, SubmitOutcome::NoQueue),
+        "policy_unconfirmed" => return parse_refused_call(line, SubmitOutcome::Unconfirmed),
+        "job_taken" => return known_or_broken(parse_taken(line)),
+        "task_ordered" => return known_or_broken(parse_ordered(line)),
+        "task_given_up" => return known_or_broken(parse_given_up(line)),
+        "task_stopped" => return known_or_broken(parse_stopped(line)),
+        "pool_needs" => return known_or_broken(parse_needs(line)),
+        "pool_left" => return known_or_broken(parse_left(line)),
+        "runner_gone" => return known_or_broken(parse_gone(line)),
+        "upkeep_waits" => return known_or_broken(parse_waits(line)),
+        "vm_moved" => return known_or_broken(parse_moved(line)),
+        "follow_lost" => return known_or_broken(parse_store_lost(line)),
+        "follow_regained" => return known_or_broken(parse_store_regained(line)),
+        "create_failed" => return known_or_broken(parse_failed(line)),
+        name => kind_without_fields(name),
     };
-    simple.map_or(KindRead::Unknown, KindRead::Known)
+    simple.map_or(ParsedKind::Unknown, ParsedKind::Known)
 }
 
-fn whole(kind: Option<EventKind>) -> KindRead {
-    kind.map_or(KindRead::Broken, KindRead::Known)
+fn known_or_broken(kind: Option<EventKind>) -> ParsedKind {
+    kind.map_or(ParsedKind::Broken, ParsedKind::Known)
 }
 
-/// Kinds that decide nothing by their fields.
-fn simple_kind(name: &str) -> Option<EventKind> {
+/// Kinds that don't depend on the event's fields.
+fn kind_without_fields(name: &str) -> Option<EventKind> {
     Some(match name {
         "cancel_unknown" => EventKind::CancelUnknown,
         "status_unknown" => EventKind::StatusUnknown,
-        "job_cancelled" => EventKind::Cancelled,
-        "job_ended" => EventKind::Ended,
-        "job_unreadable" | "progress_unreadable" => EventKind::Unreadable,
+        "job_cancelled" => EventKind::JobCancelled,
+        "job_ended" => EventKind::JobEnded,
+        "job_unreadable" | "progress_unreadable" => EventKind::JobUnreadable,
         "start_not_sent" => EventKind::StartDropped,
-        "task_paced" => EventKind::Paced,
+        "task_paced" => EventKind::TaskPaced,
         "run_lost" => EventKind::RunLost,
         "pool_taken" => EventKind::PoolTaken,
         "pool_not_taken" => EventKind::PoolNotTaken,
@@ -350,14 +354,14 @@
         "pool_offered" => EventKind::PoolOffered,
         "pool_released" => EventKind::PoolReleased,
         "takeover_unclear" => EventKind::TakeoverUnclear,
-        "runner_fenced" => EventKind::Fenced,
+        "runner_fenced" => EventKind::RunnerFenced,
         "vm_work_stalled" => EventKind::VmWorkStalled,
         "runner_taken" => EventKind::RunnerTaken,
         "runner_lost" => EventKind::RunnerLost,
         "lease_lapsed" => EventKind::LeaseLapsed,
         "runner_silent" => EventKind::RunnerSilent,
-        "runner_silence_over" => EventKind::SilenceOver,
-        "runner_life_over" => EventKind::LifeOver,
+        "runner_silence_over" => EventKind::RunnerSilenceOver,
+        "runner_life_over" => EventKind::RunnerLifeOver,
         "runner_answers_anew" => EventKind::RunnerRestarted,
         "runner_unlisted" => EventKind::RunnerUnlisted,
         "task_stalled" => EventKind::TaskStalled,
@@ -373,7 +377,7 @@
     })
 }
 
-fn read_subject(line: &LogLine) -> Option<EventSubject> {
+fn parse_subject(line: &LogLine) -> Option<EventSubject> {
     Some(match line.event.as_str() {
         "job_call"
         | "cancel_unknown"
@@ -404,7 +408,7 @@
         | "runner_life_over"
         | "runner_unlisted"
         | "task_stalled" => EventSubject::Runner(line.owned("runner")?),
-        // What ran there was ordered of the life before.
+        // Its runs were ordered from the instance before.
         "runner_answers_anew" => EventSubject::Runner(line.owned("before")?),
         "upkeep_waits" | "upkeep_ordered" | "vm_moved" => EventSubject::Vm(line.owned("vm")?),
         "node_gone" => EventSubject::Node(line.owned("node")?),
@@ -412,16 +416,16 @@
     })
 }
 
-fn read_call(line: &LogLine) -> KindRead {
+fn parse_call(line: &LogLine) -> ParsedKind {
     match line.text("call") {
-        Some("submit") => whole(read_submit(line)),
-        Some("cancel") => KindRead::Known(EventKind::CancelAnswered),
-        Some(_) => KindRead::Unknown,
-        None => KindRead::Broken,
+        Some("submit") => known_or_broken(parse_submit(line)),
+        Some("cancel") => ParsedKind::Known(EventKind::CancelAnswered),
+        Some(_) => ParsedKind::Unknown,
+        None => ParsedKind::Broken,
     }
 }
 
-fn read_submit(line: &LogLine) -> Option<EventKind> {
+fn parse_submit(line: &LogLine) -> Option<EventKind> {
     let outcome = match line.text("outcome")? {
         "accepted" => SubmitOutcome::Accepted,
         "present" => SubmitOutcome::Present,
@@ -437,22 +441,22 @@
     })
 }
 
-/// A call that was refused before its queue was known; only submissions tell of what
-/// became of a job.
-fn read_turned_away(line: &LogLine, outcome: SubmitOutcome) -> KindRead {
+/// Parses a call that was refused before its queue was known; only a submission
+/// shows the outcome of a job.
+fn parse_refused_call(line: &LogLine, outcome: SubmitOutcome) -> ParsedKind {
     match line.text("method") {
-        Some("POST") => KindRead::Known(EventKind::Submitted {
+        Some("POST") => ParsedKind::Known(EventKind::Submitted {
             queue: String::new(),
             outcome,
             took_ms: 0,
         }),
-        Some(_) => KindRead::Unknown,
-        None => KindRead::Broken,
+        Some(_) => ParsedKind::Unknown,
+        None => ParsedKind::Broken,
     }
 }
 
-fn read_taken(line: &LogLine) -> Option<EventKind> {
-    Some(EventKind::Taken {
+fn parse_taken(line: &LogLine) -> Option<EventKind> {
+    Some(EventKind::JobTaken {
         queue: line.owned("queue")?,
         pool: line.owned("pool")?,
         age_ms: line.number("age_ms")?,
@@ -460,7 +464,7 @@
     })
 }
 
-fn read_run(line: &LogLine) -> Option<TaskRun> {
+fn parse_run(line: &LogLine) -> Option<TaskRun> {
     Some(TaskRun {
         task: line.owned("task")?,
         number: line.number("run")?,
@@ -468,7 +472,7 @@
     })
 }
 
-fn read_ordered(line: &LogLine) -> Option<EventKind> {
+fn parse_ordered(line: &LogLine) -> Option<EventKind> {
     let outcome = match line.text("outcome")? {
         "Started" => OrderOutcome::Started,
         "NoRoom" => OrderOutcome::NoRoom,
@@ -477,59 +481,59 @@
         "Fenced" | "WrongLife" | "Old" => OrderOutcome::Superseded,
         _ => return None,
     };
-    let run = read_run(line)?;
-    Some(EventKind::Ordered { run, outcome })
+    let run = parse_run(line)?;
+    Some(EventKind::TaskOrdered { run, outcome })
 }
 
-fn read_stopped(line: &LogLine) -> Option<EventKind> {
+fn parse_stopped(line: &LogLine) -> Option<EventKind> {
     let done = line.text("outcome")? == "done";
-    let run = read_run(line)?;
-    Some(EventKind::Stopped { run, done })
+    let run = parse_run(line)?;
+    Some(EventKind::TaskStopped { run, done })
 }
 
-fn read_given_up(line: &LogLine) -> Option<EventKind> {
+fn parse_given_up(line: &LogLine) -> Option<EventKind> {
     let losses = line.number("losses")?;
-    Some(EventKind::GivenUp { losses })
+    Some(EventKind::TaskGivenUp { losses })
 }
 
-fn read_needs(line: &LogLine) -> Option<EventKind> {
+fn parse_needs(line: &LogLine) -> Option<EventKind> {
     Some(EventKind::PoolNeeds {
         want: line.number("want")?,
         has: line.number("has")?,
     })
 }
 
-fn read_left(line: &LogLine) -> Option<EventKind> {
+fn parse_left(line: &LogLine) -> Option<EventKind> {
     let deposed = line.text("end")? == "Deposed";
     Some(EventKind::PoolLeft { deposed })
 }
 
-fn read_gone(line: &LogLine) -> Option<EventKind> {
+fn parse_gone(line: &LogLine) -> Option<EventKind> {
     let why = line.owned("why")?;
     Some(EventKind::RunnerGone { why })
 }
 
-fn read_waits(line: &LogLine) -> Option<EventKind> {
+fn parse_waits(line: &LogLine) -> Option<EventKind> {
     let runner = line.owned("runner")?;
     Some(EventKind::UpkeepWaits { runner })
 }
 
-fn read_moved(line: &LogLine) -> Option<EventKind> {
+fn parse_moved(line: &LogLine) -> Option<EventKind> {
     let to = line.owned("to")?;
     Some(EventKind::VmMoved { to })
 }
 
-fn read_failed(line: &LogLine) -> Option<EventKind> {
+fn parse_failed(line: &LogLine) -> Option<EventKind> {
     let error = line.owned("error")?;
     Some(EventKind::CreateFailed { error })
 }
 
-fn read_store_lost(line: &LogLine) -> Option<EventKind> {
+fn parse_store_lost(line: &LogLine) -> Option<EventKind> {
     let prefix = line.owned("prefix")?;
     Some(EventKind::StoreLost { prefix })
 }
 
-fn read_store_regained(line: &LogLine) -> Option<EventKind> {
+fn parse_store_regained(line: &LogLine) -> Option<EventKind> {
     let prefix = line.owned("prefix")?;
     Some(EventKind::StoreRegained { prefix })
 }
--- a/crates/hoisthitch-cli/src/story/line.rs
+++ b/crates/hoisthitch-cli/src/story/line.rs
@@ -1,4 +1,4 @@
-//! One log line: `time=... level=... process=... event=NAME key=value ...`.
+//! Parser of a log line: `time=... level=... process=... event=NAME key=value ...`.
 
 use std::time::UNIX_EPOCH;
 
@@ -7,7 +7,7 @@
 /// Start of a line's first field.
 const TIME_FIELD: &str = "time=";
 
-/// A log line, as parsed.
+/// A parsed log line.
 #[derive(Clone, Debug)]
 pub struct LogLine<'a> {
     /// Time since the epoch, in milliseconds.
@@ -16,8 +16,8 @@
     pub process: String,
     /// Name of the event.
     pub event: String,
-    /// The event's own fields, as logged.
-    pub inputs: &'a str,
+    /// The fields after the event's name, as logged.
+    pub raw_fields: &'a str,
     fields: Vec<LogField<'a>>,
 }
 
@@ -29,30 +29,30 @@
 }
 
 impl<'a> LogLine<'a> {
-    /// Parses a line; words before the time are passed over. Nothing is
-    /// returned for what is not a whole line.
+    /// Parses a line; words before the time are skipped. Returns `None` unless
+    /// the line is complete.
     pub fn parse(text: &'a str) -> Option<Self> {
-        let mut rest = from_time(text.trim_end())?;
-        let time = take_field(&mut rest)?;
+        let mut rest = skip_to_time(text.trim_end())?;
+        let time = parse_field(&mut rest)?;
         let mut process = None;
         let event = loop {
-            let field = take_field(&mut rest)?;
+            let field = parse_field(&mut rest)?;
             match field.key {
                 "process" => process = Some(field.value),
                 "event" => break field.value,
                 _ => {}
             }
         };
-        let inputs = rest.trim_start();
+        let raw_fields = rest.trim_start();
         let mut fields = Vec::new();
         while !rest.trim_start().is_empty() {
-            fields.push(take_field(&mut rest)?);
+            fields.push(parse_field(&mut rest)?);
         }
         Some(Self {
-            time_ms: read_time(&time.value)?,
+            time_ms: parse_time(&time.value)?,
             process: process?,
             event,
-            inputs,
+            raw_fields,
             fields,
         })
     }
@@ -68,13 +68,13 @@
         self.text(key).map(str::to_owned)
     }
 
-    /// Value of a field that is a number.
+    /// Value of a numeric field.
     pub fn number(&self, key: &str) -> Option<u64> {
         self.text(key)?.parse().ok()
     }
 }
 
-fn from_time(text: &str) -> Option<&str> {
+fn skip_to_time(text: &str) -> Option<&str> {
     let mut starts = text.match_indices(TIME_FIELD);
     let (start, _) = starts.find(|(start, _)| {
         let before = text.get(..*start).unwrap_or_default();
@@ -83,35 +83,35 @@
     text.get(start..)
 }
 
-fn read_time(text: &str) -> Option<u64> {
+fn parse_time(text: &str) -> Option<u64> {
     let time = parse_rfc3339(text).ok()?;
     let age = time.duration_since(UNIX_EPOCH).ok()?;
     u64::try_from(age.as_millis()).ok()
 }
 
-fn take_field<'a>(rest: &mut &'a str) -> Option<LogField<'a>> {
+fn parse_field<'a>(rest: &mut &'a str) -> Option<LogField<'a>> {
     let (key, after) = rest.trim_start().split_once('=')?;
     if key.is_empty() || key.contains(char::is_whitespace) {
         return None;
     }
     let (value, after) = match after.strip_prefix('"') {
-        Some(quoted) => take_quoted(quoted)?,
-        None => take_plain(after),
+        Some(quoted) => parse_quoted(quoted)?,
+        None => parse_plain(after),
     };
     *rest = after;
     Some(LogField { key, value })
 }
 
-fn take_plain(text: &str) -> (String, &str) {
+fn parse_plain(text: &str) -> (String, &str) {
     let (value, after) = text
         .split_once(char::is_whitespace)
         .unwrap_or((text, Default::default()));
     (value.to_owned(), after)
 }
 
-/// Takes a quoted value from behind its first quote; an escaped character
-/// stands for itself.
-fn take_quoted(text: &str) -> Option<(String, &str)> {
+/// Parses a quoted value, starting after its opening quote; a backslash is
+/// dropped and the character after it is kept as it is.
+fn parse_quoted(text: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut chars = text.char_indices();
     while let Some((at, c)) = chars.next() {
--- a/crates/hoisthitch-cli/src/story/mod.rs
+++ b/crates/hoisthitch-cli/src/story/mod.rs
@@ -1,8 +1,10 @@
-//! The story of one job, told from log lines.
+//! The story of one job: its timeline, rebuilt from log lines, and a diagnosis.
 //!
-//! Lines are parsed into events; those that matter for the job are kept and,
-//! once all lines were read, put in order and judged. Nothing here reads or
-//! writes files.
+//! Log lines are parsed into events; those that can matter for the job are kept.
+//! Once all lines are read, the events are sorted by time and the likeliest
+//! cause is derived from them. Throughout, `own` holds the events that name the
+//! job and `related` the events of its pool, runners and nodes, both sorted by
+//! time. Nothing here reads or writes files.
 
 mod cause;
 mod collect;
@@ -19,7 +21,7 @@
 use self::{
     cause::StoryEnd,
     event::StoryEvent,
-    words::happened, //
+    words::describe_event, //
 };
 
 /// The story of a job.
@@ -27,48 +29,48 @@
 pub struct JobStory {
     /// Identifier.
     pub id: String,
-    /// What happened, in order of time.
+    /// Its events, in order of time.
     pub rows: Vec<StoryRow>,
-    /// What became of the job, and why.
+    /// Outcome of the job, and the likeliest cause.
     #[serde(flatten)]
     pub end: StoryEnd,
-    /// What was read.
+    /// Numbers of lines read.
     pub counts: LineCounts,
 }
 
 /// One event of a story, ready to print.
 #[derive(Clone, Debug, Serialize)]
 pub struct StoryRow {
-    /// Time, by the node's clock.
+    /// Time by the node's clock, as in the log.
     pub time: String,
     /// Node that logged it.
     pub node: String,
     /// What happened.
     pub happened: &'static str,
-    /// What the line names besides, as it was logged.
+    /// The event's fields, as they were logged.
     pub inputs: String,
 }
 
-/// Lines that were read, by what came of them.
+/// Numbers of lines read, by result.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LineCounts {
     /// All lines.
     pub read: u64,
     /// Lines that are not whole log lines.
     pub broken: u64,
-    /// Lines of events without a rule.
+    /// Lines with an event that has no parser.
     pub unknown: u64,
-    /// Lines that no longer fitted the memory set aside.
+    /// Lines dropped at the limit of events kept.
     pub dropped: u64,
 }
 
 impl StoryRow {
     fn new(event: &StoryEvent) -> Self {
         Self {
-            time: event.clock(),
+            time: event.formatted_time(),
             node: event.node.clone(),
-            happened: happened(&event.kind),
-            inputs: event.inputs.clone(),
+            happened: describe_event(&event.kind),
+            inputs: event.raw_fields.clone(),
         }
     }
 }
--- a/crates/hoisthitch-cli/src/story/window.rs
+++ b/crates/hoisthitch-cli/src/story/window.rs
@@ -1,5 +1,10 @@
-//! Chooses the lines that don't name the job but belong to its story: of its
-//! pool, of the runners that its tasks ran on, and of the nodes behind both.
+//! Selects the events that don't name the job but are related to it: those of
+//! its pool, of the runners that its tasks ran on, and of the nodes that served
+//! both.
+//!
+//! Given the job's own events and all other events that were kept, it returns
+//! the related ones. Each subject has its own window of time, derived from the
+//! job's own events.
 
 use std::collections::{
     BTreeMap,
@@ -15,81 +20,87 @@
     SubmitOutcome, //
 };
 
-/// Difference that nodes' clocks may have, in milliseconds; nodes keep theirs
-/// by a time service.
-const SKEW_MS: u64 = 1_000;
+/// Largest difference between the clocks of two nodes, in milliseconds; nodes
+/// synchronize their clocks with a time service.
+const MAX_CLOCK_SKEW_MS: u64 = 1_000;
 
-/// Time before a failed submission in which its cause is looked for, in
-/// milliseconds: some renewals of a membership.
-const BEFORE_MS: u64 = 10_000;
+/// Time before a failed submission that is searched for its cause, in
+/// milliseconds: several membership renewals.
+const CAUSE_LOOKBACK_MS: u64 = 10_000;
 
-/// Time after the last line of the job or its runners that is still shown, in
-/// milliseconds: longer than a lost owner is replaced in.
-const AFTER_MS: u64 = 30_000;
+/// Time after the last event of the job or its runners that is still shown, in
+/// milliseconds: longer than the replacement of a lost owner takes.
+const TRAILING_MS: u64 = 30_000;
 
-/// What surrounds a job, by its own lines.
+/// Times and subjects that relate an event to a job, derived from the job's own
+/// events. All times are in milliseconds since the epoch.
 #[derive(Debug)]
 struct StoryWindow<'a> {
-    /// First moment of the job.
-    start: u64,
-    /// Last moment that is shown.
-    end: u64,
-    /// First start of a task, or the end.
-    begun: u64,
+    /// First event of the job, or start of its first failed submission.
+    start_ms: u64,
+    /// Latest time that is shown.
+    end_ms: u64,
+    /// First start of a task; the maximum if none was started.
+    first_start_ms: u64,
+    /// Pool of the job, if it may have run and its pool is known.
     pool: Option<&'a str>,
-    /// Time since which each runner was used.
+    /// Runners that were sent starts, with the time of the first one.
     runners: BTreeMap<&'a str, u64>,
+    /// VMs of these runners, as far as events name them.
     vms: BTreeSet<&'a str>,
-    /// Nodes that owned the pool meanwhile, in order of time.
+    /// Nodes that owned the pool within the window, in order of time.
     owners: Vec<OwnerSpan<'a>>,
-    /// Time since which owners of the pool are shown.
-    owned: u64,
-    calls: Vec<FailedCall<'a>>,
+    /// Time from which owners of the pool are shown.
+    owners_since_ms: u64,
+    /// Submissions of the job that were not accepted.
+    failed_calls: Vec<FailedCall<'a>>,
 }
 
-/// Time in which a node owned the pool.
+/// Period in which a node owned the pool.
 #[derive(Debug)]
 struct OwnerSpan<'a> {
     node: &'a str,
-    from: u64,
+    from_ms: u64,
     /// When the next owner took the pool.
-    to: u64,
+    to_ms: u64,
 }
 
 /// A submission that was not accepted.
 #[derive(Debug)]
 struct FailedCall<'a> {
     node: &'a str,
-    from: u64,
-    to: u64,
+    from_ms: u64,
+    to_ms: u64,
+    /// Losses of the store that may explain the failure.
     losses: Vec<StoreLoss<'a>>,
 }
 
-/// A loss of the store that lasted into a call.
+/// A loss of the store that had not ended when the call began.
 #[derive(Debug)]
 struct StoreLoss<'a> {
+    /// Prefix of the keys that the node followed.
     prefix: &'a str,
-    from: u64,
-    to: u64,
+    from_ms: u64,
+    to_ms: u64,
 }
 
-/// Chooses from `around` what belongs to the job of the lines `own`; both are
-/// in order of time. `pools` holds the pools of queues.
-pub fn choose(
+/// Selects the events of `candidates` that relate to the job of the events
+/// `own`; both are in order of time. `pools` maps queues to their pools.
+pub fn select_related(
     own: &[StoryEvent],
-    around: &[StoryEvent],
+    candidates: &[StoryEvent],
     pools: &HashMap<String, String>,
 ) -> Vec<StoryEvent> {
-    let mut window = StoryWindow::open(own, pools);
-    window.find_vms(around);
-    window.find_end(own, around);
-    window.find_owners(around);
-    window.find_losses(around);
-    let chosen = around.iter().filter(|event| window.holds(event));
-    chosen.cloned().collect()
+    let mut window = StoryWindow::from_events(own, pools);
+    window.find_vms(candidates);
+    window.find_end(own, candidates);
+    window.find_owners(candidates);
+    window.find_losses(candidates);
+    let related = candidates.iter().filter(|event| window.contains(event));
+    related.cloned().collect()
 }
 
-/// Whether the job was kept, or may have been.
+/// Whether the job was stored, or may have been.
 pub fn may_run(own: &[StoryEvent]) -> bool {
     let mut submissions = own.iter().filter_map(submit_outcome).peekable();
     let refused = |outcome| {
@@ -101,19 +112,19 @@
                 | SubmitOutcome::Unconfirmed
         )
     };
-    submissions.peek().is_none() || is_taken(own) || !submissions.all(refused)
+    submissions.peek().is_none() || is_picked_up(own) || !submissions.all(refused)
 }
 
-/// Whether an owner took the job in.
-pub fn is_taken(own: &[StoryEvent]) -> bool {
+/// Whether an owner picked the job up.
+pub fn is_picked_up(own: &[StoryEvent]) -> bool {
     let mut kinds = own.iter().map(|event| &event.kind);
     kinds.any(|kind| {
         matches!(
             kind,
-            EventKind::Taken { .. }
-                | EventKind::Ordered { .. }
-                | EventKind::Cancelled
-                | EventKind::Ended
+            EventKind::JobTaken { .. }
+                | EventKind::TaskOrdered { .. }
+                | EventKind::JobCancelled
+                | EventKind::JobEnded
         )
     })
 }
@@ -126,27 +137,27 @@
 }
 
 impl<'a> StoryWindow<'a> {
-    fn open(own: &'a [StoryEvent], pools: &'a HashMap<String, String>) -> Self {
-        let calls: Vec<FailedCall> = own.iter().filter_map(FailedCall::of).collect();
+    fn from_events(own: &'a [StoryEvent], pools: &'a HashMap<String, String>) -> Self {
+        let failed_calls: Vec<FailedCall> = own.iter().filter_map(FailedCall::from_event).collect();
         let first = own.first().map_or(0, |event| event.time_ms);
-        let called = calls.first().map_or(first, |call| call.from);
-        let begun = own.iter().find(|event| is_start(event));
+        let called = failed_calls.first().map_or(first, |call| call.from_ms);
+        let first_start = own.iter().find(|event| is_accepted_start(event));
         Self {
-            start: first.min(called),
-            end: u64::MAX,
-            begun: begun.map_or(u64::MAX, |event| event.time_ms),
+            start_ms: first.min(called),
+            end_ms: u64::MAX,
+            first_start_ms: first_start.map_or(u64::MAX, |event| event.time_ms),
             pool: may_run(own).then(|| find_pool(own, pools)).flatten(),
             runners: find_runners(own),
             vms: BTreeSet::new(),
             owners: Vec::new(),
-            owned: first.min(called),
-            calls,
+            owners_since_ms: first.min(called),
+            failed_calls,
         }
     }
 
-    /// Finds the VMs of the runners, as far as lines tell.
-    fn find_vms(&mut self, around: &'a [StoryEvent]) {
-        for event in around {
+    /// Finds the VMs of the runners, as far as events name them.
+    fn find_vms(&mut self, candidates: &'a [StoryEvent]) {
+        for event in candidates {
             if let (EventSubject::Vm(vm), EventKind::UpkeepWaits { runner }) =
                 (&event.subject, &event.kind)
                 && self.runners.contains_key(runner.as_str())
@@ -156,80 +167,83 @@
         }
     }
 
-    /// A job that waits for an owner has no end.
-    fn find_end(&mut self, own: &[StoryEvent], around: &[StoryEvent]) {
-        if may_run(own) && !is_taken(own) {
+    /// Sets the end of the window; it stays open while the job waits for an owner.
+    fn find_end(&mut self, own: &[StoryEvent], candidates: &[StoryEvent]) {
+        if may_run(own) && !is_picked_up(own) {
             return;
         }
-        let theirs = around.iter().filter(|event| self.is_of_runner(event));
+        let theirs = candidates
+            .iter()
+            .filter(|event| self.is_about_runner(event));
         let last = own.iter().chain(theirs).map(|event| event.time_ms).max();
-        self.end = last.unwrap_or_default().saturating_add(AFTER_MS);
+        self.end_ms = last.unwrap_or_default().saturating_add(TRAILING_MS);
     }
 
-    fn find_owners(&mut self, around: &'a [StoryEvent]) {
+    fn find_owners(&mut self, candidates: &'a [StoryEvent]) {
         let taken = |event: &&StoryEvent| {
             event.kind == EventKind::PoolTaken && event.pool() == self.pool && self.pool.is_some()
         };
-        let taken: Vec<&StoryEvent> = around.iter().filter(taken).collect();
-        let before = taken.iter().rfind(|event| event.time_ms <= self.start);
+        let taken: Vec<&StoryEvent> = candidates.iter().filter(taken).collect();
+        let before = taken.iter().rfind(|event| event.time_ms <= self.start_ms);
         if let Some(event) = before {
-            self.owned = event.time_ms;
+            self.owners_since_ms = event.time_ms;
         }
         let shown = taken
             .into_iter()
-            .filter(|event| (self.owned..=self.end).contains(&event.time_ms));
+            .filter(|event| (self.owners_since_ms..=self.end_ms).contains(&event.time_ms));
         for event in shown {
             if let Some(last) = self.owners.last_mut() {
-                last.to = event.time_ms;
+                last.to_ms = event.time_ms;
             }
             self.owners.push(OwnerSpan {
                 node: &event.node,
-                from: event.time_ms,
-                to: self.end,
+                from_ms: event.time_ms,
+                to_ms: self.end_ms,
             });
         }
     }
 
-    fn find_losses(&mut self, around: &'a [StoryEvent]) {
-        for call in &mut self.calls {
-            call.find_losses(around);
+    fn find_losses(&mut self, candidates: &'a [StoryEvent]) {
+        for call in &mut self.failed_calls {
+            call.find_losses(candidates);
         }
     }
 
-    fn holds(&self, event: &StoryEvent) -> bool {
-        self.is_of_runner(event)
-            || self.is_of_pool(event)
-            || self.is_of_owner(event)
-            || self.is_of_room(event)
-            || self.calls.iter().any(|call| call.holds(event))
+    fn contains(&self, event: &StoryEvent) -> bool {
+        self.is_about_runner(event)
+            || self.is_about_pool(event)
+            || self.is_about_owner(event)
+            || self.is_about_capacity(event)
+            || self.failed_calls.iter().any(|call| call.contains(event))
     }
 
-    fn is_of_runner(&self, event: &StoryEvent) -> bool {
+    fn is_about_runner(&self, event: &StoryEvent) -> bool {
         match &event.subject {
             EventSubject::Runner(name) => {
-                let used = self.runners.get(name.as_str());
-                used.is_some_and(|used| event.time_ms + SKEW_MS >= *used)
+                let first_use = self.runners.get(name.as_str());
+                first_use.is_some_and(|first_use| event.time_ms + MAX_CLOCK_SKEW_MS >= *first_use)
             }
             EventSubject::Vm(name) => {
-                self.vms.contains(name.as_str()) && event.time_ms + SKEW_MS >= self.start
+                self.vms.contains(name.as_str())
+                    && event.time_ms + MAX_CLOCK_SKEW_MS >= self.start_ms
             }
             _ => false,
         }
     }
 
-    fn is_of_pool(&self, event: &StoryEvent) -> bool {
+    fn is_about_pool(&self, event: &StoryEvent) -> bool {
         let from = match event.kind {
             EventKind::PoolNeeds { .. } => return false,
-            EventKind::PoolTaken => self.owned,
-            _ => self.start.saturating_sub(SKEW_MS),
+            EventKind::PoolTaken => self.owners_since_ms,
+            _ => self.start_ms.saturating_sub(MAX_CLOCK_SKEW_MS),
         };
         event.pool().is_some()
             && event.pool() == self.pool
-            && (from..=self.end).contains(&event.time_ms)
+            && (from..=self.end_ms).contains(&event.time_ms)
     }
 
-    fn is_of_owner(&self, event: &StoryEvent) -> bool {
-        let tells = matches!(
+    fn is_about_owner(&self, event: &StoryEvent) -> bool {
+        let is_node_state = matches!(
             event.kind,
             EventKind::NodeGone
                 | EventKind::NodeStarted
@@ -244,13 +258,13 @@
         let EventSubject::Node(node) = &event.subject else {
             return false;
         };
-        tells
-            && event.time_ms >= self.start
-            && self.owners.iter().any(|span| span.holds(node, event))
+        is_node_state
+            && event.time_ms >= self.start_ms
+            && self.owners.iter().any(|span| span.contains(node, event))
     }
 
-    /// Room that the job may have waited for.
-    fn is_of_room(&self, event: &StoryEvent) -> bool {
+    /// Whether the event is about capacity that the job may have waited for.
+    fn is_about_capacity(&self, event: &StoryEvent) -> bool {
         let pool = match &event.kind {
             EventKind::PoolNeeds { .. } => event.pool(),
             EventKind::VmMoved { to } => Some(to.as_str()),
@@ -258,18 +272,18 @@
         };
         pool.is_some()
             && pool == self.pool
-            && (self.start..=self.begun.min(self.end)).contains(&event.time_ms)
+            && (self.start_ms..=self.first_start_ms.min(self.end_ms)).contains(&event.time_ms)
     }
 }
 
 impl OwnerSpan<'_> {
-    fn holds(&self, node: &str, event: &StoryEvent) -> bool {
-        self.node == node && (self.from..=self.to).contains(&event.time_ms)
+    fn contains(&self, node: &str, event: &StoryEvent) -> bool {
+        self.node == node && (self.from_ms..=self.to_ms).contains(&event.time_ms)
     }
 }
 
 impl<'a> FailedCall<'a> {
-    fn of(event: &'a StoryEvent) -> Option<Self> {
+    fn from_event(event: &'a StoryEvent) -> Option<Self> {
         let EventKind::Submitted {
             outcome, took_ms, ..
         } = &event.kind
@@ -281,67 +295,70 @@
         }
         Some(Self {
             node: &event.node,
-            from: event.time_ms.saturating_sub(*took_ms),
-            to: event.time_ms,
+            from_ms: event.time_ms.saturating_sub(*took_ms),
+            to_ms: event.time_ms,
             losses: Vec::new(),
         })
     }
 
-    fn find_losses(&mut self, around: &'a [StoryEvent]) {
-        let here = around.iter().filter(|event| event.node == self.node);
+    fn find_losses(&mut self, candidates: &'a [StoryEvent]) {
+        let here = candidates.iter().filter(|event| event.node == self.node);
         for event in here {
             match &event.kind {
-                EventKind::StoreLost { prefix } if event.time_ms <= self.to => {
+                EventKind::StoreLost { prefix } if event.time_ms <= self.to_ms => {
                     self.losses.push(StoreLoss {
                         prefix,
-                        from: event.time_ms,
-                        to: u64::MAX,
+                        from_ms: event.time_ms,
+                        to_ms: u64::MAX,
                     });
                 }
                 EventKind::StoreRegained { prefix } => {
-                    let mut open = self.losses.iter_mut();
-                    let open = open.find(|loss| loss.prefix == prefix && loss.to == u64::MAX);
-                    if let Some(loss) = open {
-                        loss.to = event.time_ms;
+                    let mut losses = self.losses.iter_mut();
+                    let unended =
+                        losses.find(|loss| loss.prefix == prefix && loss.to_ms == u64::MAX);
+                    if let Some(loss) = unended {
+                        loss.to_ms = event.time_ms;
                     }
                 }
                 _ => {}
             }
         }
-        self.losses.retain(|loss| loss.to >= self.from);
+        self.losses.retain(|loss| loss.to_ms >= self.from_ms);
     }
 
-    fn holds(&self, event: &StoryEvent) -> bool {
+    fn contains(&self, event: &StoryEvent) -> bool {
         if event.node != self.node {
             return false;
         }
         let time = event.time_ms;
         match &event.kind {
             EventKind::MemberNotRenewed => {
-                (self.from.saturating_sub(BEFORE_MS)..=self.to).contains(&time)
+                (self.from_ms.saturating_sub(CAUSE_LOOKBACK_MS)..=self.to_ms).contains(&time)
+            }
+            EventKind::CreateFailed { .. } => {
+                (self.from_ms..=self.to_ms + MAX_CLOCK_SKEW_MS).contains(&time)
             }
-            EventKind::CreateFailed { .. } => (self.from..=self.to + SKEW_MS).contains(&time),
             EventKind::StoreLost { prefix } => {
                 let mut losses = self.losses.iter();
-                losses.any(|loss| loss.prefix == prefix && loss.from == time)
+                losses.any(|loss| loss.prefix == prefix && loss.from_ms == time)
             }
             EventKind::StoreRegained { prefix } => {
                 let mut losses = self.losses.iter();
-                losses.any(|loss| loss.prefix == prefix && loss.to == time)
+                losses.any(|loss| loss.prefix == prefix && loss.to_ms == time)
             }
             _ => false,
         }
     }
 }
 
-fn is_start(event: &StoryEvent) -> bool {
+fn is_accepted_start(event: &StoryEvent) -> bool {
     let started = OrderOutcome::Started;
-    matches!(&event.kind, EventKind::Ordered { outcome, .. } if *outcome == started)
+    matches!(&event.kind, EventKind::TaskOrdered { outcome, .. } if *outcome == started)
 }
 
 fn find_pool<'a>(own: &'a [StoryEvent], pools: &'a HashMap<String, String>) -> Option<&'a str> {
     let taken = own.iter().find_map(|event| match &event.kind {
-        EventKind::Taken { pool, .. } => Some(pool),
+        EventKind::JobTaken { pool, .. } => Some(pool),
         _ => None,
     });
     let asked = || {
@@ -356,9 +373,9 @@
 fn find_runners(own: &[StoryEvent]) -> BTreeMap<&str, u64> {
     let mut runners = BTreeMap::new();
     for event in own {
-        if let EventKind::Ordered { run, .. } = &event.kind {
-            let used = runners.entry(run.runner.as_str());
-            used.or_insert(event.time_ms);
+        if let EventKind::TaskOrdered { run, .. } = &event.kind {
+            let first_use = runners.entry(run.runner.as_str());
+            first_use.or_insert(event.time_ms);
         }
     }
     runners
--- a/crates/hoisthitch-cli/src/story/words.rs
+++ b/crates/hoisthitch-cli/src/story/words.rs
@@ -1,4 +1,4 @@
-//! What happened, in words: one phrase for each kind of event.
+//! Texts of the timeline: one phrase for each kind of event.
 
 use super::event::{
     EventKind,
@@ -6,31 +6,33 @@
     SubmitOutcome, //
 };
 
-/// What happened, for a line of the story.
-pub fn happened(kind: &EventKind) -> &'static str {
+/// Phrase for an event in the timeline.
+pub fn describe_event(kind: &EventKind) -> &'static str {
     match kind {
         EventKind::Submitted { outcome, .. } => submitted(*outcome),
         EventKind::CancelAnswered => "cancel answered",
         EventKind::CancelUnknown => "cancel without a clear answer",
         EventKind::StatusUnknown => "state could not be read",
-        EventKind::Taken { .. } => "taken in by the pool's owner",
-        EventKind::Cancelled => "cancelled by the pool's owner",
-        EventKind::Ended => "ended; this is where its time went",
-        EventKind::Unreadable => "record could not be read",
-        EventKind::Ordered { outcome, .. } => ordered(*outcome),
+        EventKind::JobTaken { .. } => "taken in by the pool's owner",
+        EventKind::JobCancelled => "cancelled by the pool's owner",
+        EventKind::JobEnded => "ended; this is where its time went",
+        EventKind::JobUnreadable => "record could not be read",
+        EventKind::TaskOrdered { outcome, .. } => ordered(*outcome),
         EventKind::StartDropped => "start not sent: it waited too long",
-        EventKind::Stopped { done: true, .. } => "task stopped",
-        EventKind::Stopped { done: false, .. } => "task not stopped: the order failed",
-        EventKind::Paced => "task throttled",
+        EventKind::TaskStopped { done: true, .. } => "task stopped",
+        EventKind::TaskStopped { done: false, .. } => "task not stopped: the order failed",
+        EventKind::TaskPaced => "task throttled",
         EventKind::RunLost => "run lost with its runner",
-        EventKind::GivenUp { .. } => "task given up, and its job with it: runners crash under it",
+        EventKind::TaskGivenUp { .. } => {
+            "task given up, and its job with it: runners crash under it"
+        }
         EventKind::RunnerTaken => "runner reached by the owner",
         EventKind::RunnerLost => "runner gave no answer",
         EventKind::LeaseLapsed => "runner's lease lapsed",
         EventKind::RunnerSilent => "runner silent: it may still run tasks",
-        EventKind::SilenceOver => "runner's silence is over",
+        EventKind::RunnerSilenceOver => "runner's silence is over",
         EventKind::RunnerGone { .. } => "runner given up",
-        EventKind::LifeOver => "runner replaced by a later life",
+        EventKind::RunnerLifeOver => "runner replaced by a later life",
         EventKind::RunnerRestarted => "runner started again under its name",
         EventKind::RunnerUnlisted => "runner no longer listed",
         EventKind::TaskStalled => "a task stood still on the runner",
@@ -42,7 +44,7 @@
         EventKind::PoolOffered => "pool offered to a node with more processor time",
         EventKind::PoolReleased => "pool released for another node to take",
         EventKind::TakeoverUnclear => "takeover of the pool without a clear answer",
-        EventKind::Fenced => "runners obey a later owner",
+        EventKind::RunnerFenced => "runners obey a later owner",
         EventKind::VmWorkStalled => "work on the pool's VMs stalled",
         EventKind::PoolNeeds { .. } => "pool published its needs",
         EventKind::UpkeepWaits { .. } => "maintenance of the VM waits",
