--- a/crates/hoisthitch-telemetry/src/event.rs
+++ b/crates/hoisthitch-telemetry/src/event.rs
@@ -1,4 +1,4 @@
-//! Events as `key=value` pairs.
+//! Formatting of events as `key=value` pairs.
 
 use std::fmt::{
     self,
@@ -6,14 +6,15 @@
     Write, //
 };
 
-/// A value of an event, quoted where it needs to be.
+/// A value of an event. It is quoted and escaped if it contains white space,
+/// control characters, `"` or `=`.
 pub struct EventValue<T>(pub T);
 
 impl<T: Display> Display for EventValue<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut filter = PlainFilter { plain: true };
-        write!(filter, "{}", self.0)?;
-        if filter.plain {
+        let mut check = QuoteCheck { plain: true };
+        write!(check, "{}", self.0)?;
+        if check.plain {
             return write!(f, "{}", self.0);
         }
         let text = self.0.to_string();
@@ -21,12 +22,12 @@
     }
 }
 
-/// Looks at a value without writing it.
-struct PlainFilter {
+/// Checks whether a formatted value can stay unquoted; writes nothing.
+struct QuoteCheck {
     plain: bool,
 }
 
-impl Write for PlainFilter {
+impl Write for QuoteCheck {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         let needs_quotes = |c: char| c.is_whitespace() || c.is_control() || c == '"' || c == '=';
         self.plain &= !text.contains(needs_quotes);
@@ -34,7 +35,7 @@
     }
 }
 
-/// Writes one event as a log line of `key=value` pairs.
+/// Logs one event as a line of `key=value` pairs.
 ///
 /// ```
 /// hoisthitch_telemetry::event!(Info, "route", pool = "quotes", runner = "vm-3");
--- a/crates/hoisthitch-telemetry/src/lib.rs
+++ b/crates/hoisthitch-telemetry/src/lib.rs
@@ -1,9 +1,9 @@
-//! Log lines and metrics of all binaries.
+//! Logging and metrics for all binaries.
 //!
 //! A log line is one event as `key=value` pairs; a metric's name carries its
-//! unit. Lines are written by a thread of their own, so that a slow reader of
-//! the log never slows a request; lines that don't fit its queue are dropped
-//! and counted.
+//! unit. A dedicated thread writes the lines, so that a slow reader of the log
+//! never slows a request; lines that don't fit into its queue are dropped and
+//! counted.
 
 mod event;
 mod logger;
--- a/crates/hoisthitch-telemetry/src/logger.rs
+++ b/crates/hoisthitch-telemetry/src/logger.rs
@@ -1,4 +1,7 @@
-//! The log: `fern` in front of a writing thread.
+//! The log: `fern` formats the lines, a thread writes them to standard output.
+//!
+//! Logging never blocks the caller: a line that finds the thread's queue full is
+//! dropped and counted.
 
 use std::{
     io::{
@@ -32,36 +35,36 @@
 use log::LevelFilter;
 use thiserror::Error;
 
-/// Lines that may wait for the writing thread.
+/// Capacity of the writing thread's queue, in lines.
 const QUEUE_LINES: usize = 65_536;
 
-/// Time that the writing thread rests after writing, so that lines which come
-/// meanwhile cost their senders no wake-up.
-const REST: Duration = Duration::from_millis(5);
+/// Pause of the writing thread after each batch, so that senders of lines during
+/// the pause need not wake it.
+const WRITE_PAUSE: Duration = Duration::from_millis(5);
 
-/// Longest time that the end of a process waits for its last lines.
-const FLUSH_LIMIT: Duration = Duration::from_secs(1);
+/// Longest time that a process waits at its end for its last lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Start of the names of the project's own packages; libraries log warnings
-/// and errors only.
-const OWN_TARGETS: &str = "hoisthitch";
+/// Prefix of the log targets of the project's own packages; of other targets
+/// only warnings and errors are logged.
+const OWN_TARGET_PREFIX: &str = "hoisthitch";
 
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 static QUEUE: OnceLock<SyncSender<LogItem>> = OnceLock::new();
 
-/// What the writing thread is given.
+/// An item in the queue of the writing thread.
 enum LogItem {
     /// A line to write.
     Line(String),
-    /// Asks for a word once everything before it is written.
+    /// Requests a notification once everything before it is written.
     Flush(SyncSender<()>),
 }
 
 /// Why the log could not start.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The level's name is not known.
+    /// The name of the level is unknown.
     #[error("'{0}' is not a log level; use error, warn, info, debug, trace or off")]
     Level(String),
     /// The writing thread could not start.
@@ -69,14 +72,15 @@
     Thread(#[from] io::Error),
     /// The process has a log already.
     #[error("the log was started twice: {0}")]
-    Twice(#[from] log::SetLoggerError),
+    AlreadyStarted(#[from] log::SetLoggerError),
 }
 
 /// Starts the log on standard output.
 ///
 /// # Errors
 ///
-/// Fails on an unknown level, without a thread, or when called twice.
+/// Fails if the level is unknown, the thread can't be started, or the log was
+/// started before.
 pub fn start_log(process: &str, level: &str) -> Result<(), LogError> {
     let level: LevelFilter = level
         .parse()
@@ -85,30 +89,30 @@
     thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&receiver))?;
-    dispatch(process.to_owned(), level, sender.clone()).apply()?;
-    // The log is started once, or the line above fails.
+    build_dispatch(process.to_owned(), level, sender.clone()).apply()?;
+    // Can't be set already: the line above fails on a second start.
     let _ = QUEUE.set(sender);
     Ok(())
 }
 
-/// Waits until all lines are written; for the end of a process.
+/// Waits until all lines are written; to be called at the end of a process.
 pub fn flush_log() {
     let Some(queue) = QUEUE.get() else {
         return;
     };
     let (sender, written) = sync_channel(1);
     if queue.send(LogItem::Flush(sender)).is_ok() {
-        // A log whose reader hangs must not keep the process from ending.
-        let _ = written.recv_timeout(FLUSH_LIMIT);
+        // A blocked reader of the log must not keep the process from exiting.
+        let _ = written.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// Lines that were dropped because the log's reader was too slow.
+/// Number of lines dropped because the log's reader was too slow.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-fn dispatch(process: String, level: LevelFilter, sender: SyncSender<LogItem>) -> Dispatch {
+fn build_dispatch(process: String, level: LevelFilter, sender: SyncSender<LogItem>) -> Dispatch {
     let library_level = level.min(LevelFilter::Warn);
     Dispatch::new()
         .format(move |out, message, record| {
@@ -119,11 +123,13 @@
             ));
         })
         .level(level)
-        .filter(move |meta| meta.target().starts_with(OWN_TARGETS) || meta.level() <= library_level)
+        .filter(move |meta| {
+            meta.target().starts_with(OWN_TARGET_PREFIX) || meta.level() <= library_level
+        })
         .chain(Output::call(move |record| {
             let line = record.args().to_string();
             if sender.try_send(LogItem::Line(line)).is_err() {
-                DROPPED.fetch_add(1, Ordering::Relaxed);
+                DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             }
         }))
 }
@@ -136,13 +142,13 @@
             write_item(&mut out, item);
         }
         let _ = out.flush();
-        thread::sleep(REST);
+        thread::sleep(WRITE_PAUSE);
     }
 }
 
 fn write_item(out: &mut impl Write, item: LogItem) {
     match item {
-        // An error of the log's reader has nowhere to be reported.
+        // There is nowhere to report an error of the log's own output.
         LogItem::Line(line) => drop(writeln!(out, "{line}")),
         LogItem::Flush(written) => {
             let _ = out.flush();
--- a/crates/hoisthitch-telemetry/src/metrics.rs
+++ b/crates/hoisthitch-telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text format of Prometheus.
+//! Rendering of metrics in the text format of Prometheus.
 
 use prometheus::{
     Encoder,
@@ -10,7 +10,7 @@
 /// Why metrics could not be rendered.
 #[derive(Debug, Error)]
 pub enum MetricsError {
-    /// The library failed.
+    /// The Prometheus library failed.
     #[error("metrics could not be rendered: {0}")]
     Library(#[from] prometheus::Error),
     /// The text was not UTF-8.
@@ -18,11 +18,11 @@
     Text(#[from] std::string::FromUtf8Error),
 }
 
-/// Renders a registry's metrics.
+/// Renders a registry's metrics in the text format.
 ///
 /// # Errors
 ///
-/// Fails when the library refuses a metric.
+/// Fails when the library can't encode a metric, or its output is not UTF-8.
 pub fn render_metrics(registry: &Registry) -> Result<String, MetricsError> {
     let mut buffer = Vec::new();
     TextEncoder::new().encode(&registry.gather(), &mut buffer)?;
