--- a/crates/hoisthitch-settings/src/error.rs
+++ b/crates/hoisthitch-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of settings files.
+//! Errors in settings files.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 pub struct SettingFault {
     /// The settings file.
     pub file: PathBuf,
-    /// Line of the key, of its section, or 1.
+    /// Line of the key; of its section if the key is missing; 1 if both are.
     pub line: usize,
     /// Section of the key.
     pub section: String,
@@ -18,11 +18,11 @@
     pub key: String,
     /// What is wrong.
     pub fault: String,
-    /// What to do about it.
+    /// How to correct it.
     pub help: String,
 }
 
-/// Why settings could not be used.
+/// Why a settings file could not be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -43,7 +43,7 @@
         /// What is wrong.
         fault: String,
     },
-    /// Keys are missing, unknown or out of range.
+    /// Keys are missing, unknown, malformed or out of range.
     #[error("{}", list(.0))]
     Faults(Vec<SettingFault>),
 }
--- a/crates/hoisthitch-settings/src/file.rs
+++ b/crates/hoisthitch-settings/src/file.rs
@@ -1,4 +1,4 @@
-//! A settings file as read: its parsed sections and the lines of its keys.
+//! A settings file: its parsed sections, and the line numbers of its keys.
 
 use std::{
     fs,
@@ -15,7 +15,7 @@
 
 use crate::error::SettingsError;
 
-/// A parsed settings file that remembers where its keys stand.
+/// A parsed settings file that can look up the line numbers of its keys.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -37,7 +37,7 @@
         Self::parse(path, text)
     }
 
-    /// Parses text that came from `path`.
+    /// Parses the text of the file `path`.
     ///
     /// # Errors
     ///
@@ -71,29 +71,29 @@
         self.ini.get_from(Some(section), key)
     }
 
-    /// All keys, with their sections; keys before the first section have none.
+    /// All keys with their sections; keys before the first section have none.
     pub fn keys(&self) -> impl Iterator<Item = (Option<&str>, &str)> {
         self.ini
             .iter()
             .flat_map(|(section, properties)| properties.iter().map(move |(key, _)| (section, key)))
     }
 
-    /// Line of a key, of its section where the key is missing, or 1.
+    /// Line of a key; of its section if the key is missing; 1 if both are.
     pub fn line(&self, section: &str, key: &str) -> usize {
-        let mut line_of_section = 1;
-        let mut inside = false;
+        let mut section_line = 1;
+        let mut in_section = false;
         for (index, line) in self.text.lines().enumerate() {
             let line = line.trim();
             if let Some(name) = section_name(line) {
-                inside = name == section;
-                if inside {
-                    line_of_section = index + 1;
+                in_section = name == section;
+                if in_section {
+                    section_line = index + 1;
                 }
-            } else if inside && key_name(line) == Some(key) {
+            } else if in_section && key_name(line) == Some(key) {
                 return index + 1;
             }
         }
-        line_of_section
+        section_line
     }
 }
 
--- a/crates/hoisthitch-settings/src/lib.rs
+++ b/crates/hoisthitch-settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Settings of the binaries: INI files, checked whole before a process starts.
+//! Settings files of the binaries, in INI; a file is checked completely before
+//! its process starts.
 //!
 //! Every fault names the file, the line, the key and a remedy, and all faults
 //! of a file are reported together.
--- a/crates/hoisthitch-settings/src/reader.rs
+++ b/crates/hoisthitch-settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Typed reading of settings, with all faults collected.
+//! Typed access to settings that collects all faults.
 
 use std::{
     cell::RefCell,
@@ -19,32 +19,34 @@
 
 /// Reads typed values and collects the faults.
 ///
-/// A value that can't be read is replaced by a stand-in, so that reading goes
-/// on and [`SettingsReader::finish`] reports all faults together.
+/// For a value that can't be parsed, `None` or the default is returned, so that
+/// reading can continue and [`SettingsReader::finish`] reports all faults
+/// together.
 #[derive(Debug)]
 pub struct SettingsReader<'a> {
     file: &'a SettingsFile,
-    known: RefCell<BTreeSet<(String, String)>>,
+    /// Sections and keys that were read; all others are unknown.
+    known_keys: RefCell<BTreeSet<(String, String)>>,
     faults: RefCell<Vec<SettingFault>>,
 }
 
 impl<'a> SettingsReader<'a> {
-    /// Reads from a file.
+    /// Creates a reader of a file.
     pub fn new(file: &'a SettingsFile) -> Self {
         Self {
             file,
-            known: RefCell::default(),
+            known_keys: RefCell::default(),
             faults: RefCell::default(),
         }
     }
 
-    /// A value that must be there.
+    /// Reads a value that must be present; `example` is shown in its faults.
     pub fn required<T>(&self, section: &str, key: &str, example: &str) -> Option<T>
     where
         T: FromStr,
         T::Err: Display,
     {
-        let Some(text) = self.text(section, key) else {
+        let Some(text) = self.raw_value(section, key) else {
             self.fault(
                 section,
                 key,
@@ -56,23 +58,23 @@
         self.parse(section, key, text, example)
     }
 
-    /// A value that may be left out.
+    /// Reads a value that may be absent; `example` is shown in its faults.
     pub fn optional<T>(&self, section: &str, key: &str, example: &str) -> Option<T>
     where
         T: FromStr,
         T::Err: Display,
     {
-        let text = self.text(section, key)?;
+        let text = self.raw_value(section, key)?;
         self.parse(section, key, text, example)
     }
 
-    /// A number with a default and a range.
+    /// Reads a number with a default and a range.
     pub fn number<T>(&self, section: &str, key: &str, default: T, range: RangeInclusive<T>) -> T
     where
         T: FromStr + PartialOrd + Display + Copy,
         T::Err: Display,
     {
-        let Some(text) = self.text(section, key) else {
+        let Some(text) = self.raw_value(section, key) else {
             return default;
         };
         let help = format!("use {} to {}", range.start(), range.end());
@@ -86,7 +88,7 @@
         number
     }
 
-    /// A duration with its unit, with a default and a range.
+    /// Reads a duration, written with its unit, with a default and a range.
     pub fn duration(
         &self,
         section: &str,
@@ -94,7 +96,7 @@
         default: Duration,
         range: RangeInclusive<Duration>,
     ) -> Duration {
-        let Some(text) = self.text(section, key) else {
+        let Some(text) = self.raw_value(section, key) else {
             return default;
         };
         let help = format!(
@@ -115,16 +117,16 @@
         }
     }
 
-    /// Ends reading.
+    /// Ends reading and checks for unknown keys.
     ///
     /// # Errors
     ///
-    /// Returns all faults, unknown keys among them.
+    /// Returns all faults, including unknown keys.
     pub fn finish(self) -> Result<(), SettingsError> {
         for (section, key) in self.file.keys() {
             let section = section.unwrap_or_default();
             let name = (section.to_owned(), key.to_owned());
-            if !self.known.borrow().contains(&name) {
+            if !self.known_keys.borrow().contains(&name) {
                 self.fault(
                     section,
                     key,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Notes a fault that a reader of several keys found.
+    /// Records a fault; for checks that involve several keys.
     pub fn fault(&self, section: &str, key: &str, fault: &str, help: &str) {
         self.faults.borrow_mut().push(SettingFault {
             file: self.file.path().to_owned(),
@@ -153,8 +155,8 @@
         });
     }
 
-    fn text(&self, section: &str, key: &str) -> Option<&'a str> {
-        self.known
+    fn raw_value(&self, section: &str, key: &str) -> Option<&'a str> {
+        self.known_keys
             .borrow_mut()
             .insert((section.to_owned(), key.to_owned()));
         self.file.value(section, key)
--- a/crates/hoisthitch-settings/tests/reader.rs
+++ b/crates/hoisthitch-settings/tests/reader.rs
@@ -1,4 +1,5 @@
-//! Settings: any text is read or refused, and faults tell where they stand.
+//! Settings: any text is parsed or rejected without a panic, and faults name
+//! their place.
 
 use std::{
     path::Path,
@@ -11,7 +12,7 @@
 };
 use quickcheck::quickcheck;
 
-/// Reads a number and a duration; answers with the faults as text.
+/// Reads a number and a duration; returns the faults as text.
 fn faults(text: &str) -> String {
     let file = match SettingsFile::parse(Path::new("test.ini"), text.to_owned()) {
         Ok(file) => file,
