--- a/crates/hoisthitch-api/src/job.rs
+++ b/crates/hoisthitch-api/src/job.rs
@@ -1,4 +1,5 @@
-//! Calls about jobs, between `hoisthitch job` and a node of the job service.
+//! Messages about jobs, queues and teams, between `hoisthitch` and a node of the
+//! job service.
 
 use hoisthitch_jobs::{
     JobPhase,
@@ -9,22 +10,22 @@
     Serialize, //
 };
 
-/// Path of jobs; a job's own path adds `/` and its identifier.
+/// Path of jobs; the path of one job adds `/` and its identifier.
 pub const JOBS_PATH: &str = "/jobs";
 
 /// Path of the queues.
 pub const QUEUES_PATH: &str = "/queues";
 
-/// Hands a job in.
+/// Request to submit a job.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct JobCall {
     /// Name of the queue.
     pub queue: String,
-    /// What is to be run.
+    /// Specification of the job.
     pub spec: JobSpec,
 }
 
-/// How far a job is.
+/// State and progress of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobAnswer {
     /// Identifier.
@@ -33,9 +34,9 @@
     pub pool: String,
     /// State.
     pub phase: JobPhase,
-    /// Tasks that wait, of the rounds that have begun.
+    /// Tasks that wait, in rounds that have begun.
     pub waiting: usize,
-    /// Tasks that were told to run.
+    /// Tasks that were ordered to run.
     pub ordered: usize,
     /// Tasks that are done.
     pub done: usize,
@@ -43,39 +44,39 @@
     pub failed_runs: u32,
 }
 
-/// A queue.
+/// State of a queue.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QueueRow {
     /// Name.
     pub queue: String,
     /// Pool that runs its jobs.
     pub pool: String,
-    /// Paid priority; zero goes first.
+    /// Paid priority; zero is served first.
     pub priority: u32,
-    /// Jobs of which nothing has begun; none while that can't be read.
+    /// Jobs of which no task has begun; `None` while the number can't be read.
     pub waiting: Option<u32>,
 }
 
 /// Path of the list of teams.
 pub const TEAMS_PATH: &str = "/teams";
 
-/// A team of callers. Amounts of zero among the limits stand for none.
+/// A team of callers. A limit of zero means no limit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TeamRow {
     /// Name.
     pub team: String,
-    /// Its share where there is not enough for all.
+    /// Weight of its share if there is not enough for all teams.
     pub weight: f64,
-    /// Keys that stand for it.
+    /// Number of keys that authenticate its callers.
     pub keys: usize,
-    /// What it may have running, in thousandths of a core.
+    /// Limit of the processor time that its tasks may hold, in thousandths of a core.
     pub cpu_limit: u64,
-    /// The same, in MB of memory.
+    /// Limit of the memory that its tasks may hold, in MB.
     pub memory_limit: u64,
-    /// The same, in accelerators.
+    /// Limit of the accelerators that its tasks may hold.
     pub gpu_limit: u64,
-    /// What pools hold of the limit of processors; none while that can't be read.
+    /// Part of `cpu_limit` allocated to pools; `None` while it can't be read.
     pub cpu_held: Option<u64>,
-    /// Version of the configuration that the node goes by.
+    /// Version of the configuration that the node uses.
     pub policy: u64,
 }
--- a/crates/hoisthitch-api/src/lib.rs
+++ b/crates/hoisthitch-api/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages of the operators' calls, between `hoisthitch` and an entry or a node
-//! of the job service.
+//! Messages of the operators' API, between the `hoisthitch` command line and an
+//! entry or a node of the job service.
 //!
-//! The calls are JSON over HTTP. The table and the hall records travel as they
-//! stand in the store.
+//! Requests and responses are JSON over HTTP; the field names here are their
+//! keys. The table and the hall records are sent as they are stored.
 
 mod job;
 
@@ -26,49 +26,49 @@
     TeamRow, //
 };
 
-/// Path of the table.
+/// Path of the table of pools and teams.
 pub const TABLE_PATH: &str = "/table";
 
-/// Path of edits of the table.
+/// Path of edits to the table.
 pub const EDITS_PATH: &str = "/table/edits";
 
 /// Path of the hall records.
 pub const HALLS_PATH: &str = "/halls";
 
-/// Path of assignments.
+/// Path of assignments of VMs to pools.
 pub const ASSIGN_PATH: &str = "/vms/assign";
 
 /// Path of an entry's status.
 pub const STATUS_PATH: &str = "/status";
 
-/// Path of moves.
+/// Path of moves of VMs between pools.
 pub const MOVE_PATH: &str = "/vms/move";
 
-/// Path of waves.
+/// Path of maintenance waves.
 pub const WAVES_PATH: &str = "/waves";
 
-/// Path of changes of a wave's state.
+/// Path of changes to a wave's state.
 pub const WAVE_STATE_PATH: &str = "/waves/state";
 
-/// Moves a VM to another pool.
+/// Request to move a VM to another pool.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct MoveCall {
     /// Name of the VM.
     pub vm: String,
-    /// Pool that gets it.
+    /// Pool that receives it.
     pub to: String,
 }
 
-/// Starts a wave.
+/// Request to start a wave.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WaveCall {
     /// Name of the wave.
     pub name: String,
-    /// Pools that the wave goes through; all where none is named.
+    /// Pools whose VMs the wave covers; all pools if empty.
     pub pools: Vec<String>,
 }
 
-/// Changes a wave's state.
+/// Request to change a wave's state.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WaveStateCall {
     /// Name of the wave.
@@ -88,33 +88,33 @@
     pub reason: String,
     /// Progress of the wave.
     pub progress: WaveProgress,
-    /// VMs that are absent for the wave.
+    /// VMs that are unavailable because of the wave.
     pub absent: Vec<String>,
 }
 
-/// Edits of the table, applied together or not at all.
+/// Request to edit the table; all edits are applied, or none.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EditCall {
     /// The edits.
     pub edits: Vec<RowEdit>,
-    /// Whether the edits are only tried.
+    /// Whether the edits are only checked, not applied.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// Assigns a VM that belongs to no pool.
+/// Request to assign a VM that belongs to no pool.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AssignCall {
     /// Name of the VM.
     pub vm: String,
-    /// Pool to hold it.
+    /// Pool that receives it.
     pub pool: String,
 }
 
-/// Why a call failed.
+/// Response to a request that failed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FaultAnswer {
-    /// What is wrong, and what to do about it.
+    /// What is wrong, and how to correct it.
     pub error: String,
 }
 
@@ -125,9 +125,9 @@
     pub name: String,
     /// Data hall of the entry.
     pub hall: String,
-    /// Whether the entry takes requests.
+    /// Whether the entry accepts requests.
     pub ready: bool,
-    /// Revision of the table in force.
+    /// Revision of the table in effect.
     pub table_revision: u64,
     /// Pools as the entry sees them.
     pub pools: Vec<PoolStatus>,
@@ -138,11 +138,11 @@
 pub struct PoolStatus {
     /// Name of the pool.
     pub pool: String,
-    /// Requests that wait in the entry.
+    /// Requests queued in the entry.
     pub queued: usize,
-    /// Requests that the entry has at runners.
+    /// Requests that the entry has in flight at runners.
     pub in_flight: u32,
-    /// Most requests that the entry may have at runners.
+    /// Limit of requests in flight at runners.
     pub in_flight_limit: u32,
     /// Runners of the pool.
     pub runners: Vec<RunnerStatus>,
@@ -153,12 +153,12 @@
 pub struct RunnerStatus {
     /// VM of the runner.
     pub vm: String,
-    /// Slots that the entry may use.
+    /// Slots of the runner that the entry may use.
     pub slots: u32,
-    /// Requests that the entry has at the runner.
+    /// Requests that the entry has in flight at the runner.
     pub in_flight: u32,
-    /// Whether the runner takes no new work because it leaves.
+    /// Whether the runner takes no new requests because it is draining.
     pub leaving: bool,
-    /// Whether the runner takes work as far as its answers tell.
+    /// Health of the runner, judged by its responses.
     pub health: String,
 }
