--- a/crates/hoisthitch-cli/src/client.rs
+++ b/crates/hoisthitch-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' side of an entry, or of a node of the job service.
+//! HTTP client of the operators' API of an entry or of a node of the job service.
 
 use std::time::Duration;
 
@@ -15,79 +15,81 @@
 
 use crate::error::CommandError;
 
-/// Longest time that a call may take; an entry settles unclear writes for less.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
+/// Time limit of a request; an entry takes less to find the outcome of a write
+/// that had no response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest answer: the whole table and all hall records.
-const ANSWER_LIMIT: usize = 32 << 20;
+/// Limit of a response's body; the largest are the whole table and all hall
+/// records.
+const RESPONSE_LIMIT_BYTES: usize = 32 << 20;
 
 /// Client of one entry or node.
-pub struct EntryClient {
+pub struct OperatorClient {
     http: Client,
     base: String,
     token: String,
 }
 
-impl EntryClient {
-    /// Client of what listens at the URL `base`.
+impl OperatorClient {
+    /// Creates a client of the entry or node at the URL `base`.
     pub fn new(base: &str, token: String) -> Self {
         Self {
-            http: Client::builder().timeout(CALL_LIMIT).finish(),
+            http: Client::builder().timeout(REQUEST_TIMEOUT).finish(),
             base: base.trim_end_matches('/').to_owned(),
             token,
         }
     }
 
-    /// Reads.
+    /// Sends a GET request.
     ///
     /// # Errors
     ///
-    /// Fails when the entry can't be reached or refuses.
-    pub async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, CommandError> {
+    /// Fails when the entry or node can't be reached or refuses the request.
+    pub async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, CommandError> {
         let url = self.url(path);
-        let request = self.signed(self.http.get(&url));
-        read_answer(&url, request.send()).await
+        let request = self.with_token(self.http.get(&url));
+        read_response(&url, request.send()).await
     }
 
-    /// Writes.
+    /// Sends a POST request with a JSON body.
     ///
     /// # Errors
     ///
-    /// Fails when the entry can't be reached or refuses.
-    pub async fn post<Q, A>(&self, path: &str, call: &Q) -> Result<A, CommandError>
+    /// Fails when the entry or node can't be reached or refuses the request.
+    pub async fn post<B, R>(&self, path: &str, body: &B) -> Result<R, CommandError>
     where
-        Q: Serialize,
-        A: DeserializeOwned,
+        B: Serialize,
+        R: DeserializeOwned,
     {
         let url = self.url(path);
-        let request = self.signed(self.http.post(&url));
-        read_answer(&url, request.send_json(call)).await
+        let request = self.with_token(self.http.post(&url));
+        read_response(&url, request.send_json(body)).await
     }
 
-    /// Takes back.
+    /// Sends a DELETE request.
     ///
     /// # Errors
     ///
-    /// Fails when the entry can't be reached or refuses.
-    pub async fn delete<A: DeserializeOwned>(&self, path: &str) -> Result<A, CommandError> {
+    /// Fails when the entry or node can't be reached or refuses the request.
+    pub async fn delete<R: DeserializeOwned>(&self, path: &str) -> Result<R, CommandError> {
         let url = self.url(path);
-        let request = self.signed(self.http.delete(&url));
-        read_answer(&url, request.send()).await
+        let request = self.with_token(self.http.delete(&url));
+        read_response(&url, request.send()).await
     }
 
     fn url(&self, path: &str) -> String {
         format!("{}{path}", self.base)
     }
 
-    fn signed(&self, request: ClientRequest) -> ClientRequest {
+    fn with_token(&self, request: ClientRequest) -> ClientRequest {
         request.bearer_auth(&self.token)
     }
 }
 
-async fn read_answer<A: DeserializeOwned>(
+async fn read_response<R: DeserializeOwned>(
     url: &str,
     request: SendClientRequest,
-) -> Result<A, CommandError> {
+) -> Result<R, CommandError> {
     let unreachable = |fault: String| CommandError::Unreachable {
         url: url.to_owned(),
         fault,
@@ -96,14 +98,14 @@
     let status = response.status();
     let body = response
         .body()
-        .limit(ANSWER_LIMIT)
+        .limit(RESPONSE_LIMIT_BYTES)
         .await
         .map_err(|err| unreachable(err.to_string()))?;
     if status.is_success() {
         return serde_json::from_slice(&body).map_err(|err| unreachable(err.to_string()));
     }
     let error = match serde_json::from_slice::<FaultAnswer>(&body) {
-        Ok(answer) => answer.error,
+        Ok(fault) => fault.error,
         Err(_) => String::from_utf8_lossy(&body).into_owned(),
     };
     Err(CommandError::Refused {
--- a/crates/hoisthitch-cli/src/commands/check.rs
+++ b/crates/hoisthitch-cli/src/commands/check.rs
@@ -10,10 +10,10 @@
 
 use crate::settings::OperatorSettings;
 
-/// Section that only an operator's settings have.
+/// Section that only operators' settings have.
 const OPERATOR_SECTION: &str = "operator";
 
-/// Section that an entry's settings have and a steward's have not.
+/// Section that an entry's settings have and a steward's don't.
 const ENTRY_SECTION: &str = "callers";
 
 /// check a settings file of an entry, a steward or an operator
@@ -30,7 +30,7 @@
 }
 
 impl CheckCommand {
-    /// Checks the file.
+    /// Checks the file as the kind of settings that its sections show.
     pub fn run(self) -> Result<()> {
         let file = SettingsFile::load(&self.file)?;
         let has = |name: &str| file.keys().any(|(section, _)| section == Some(name));
--- a/crates/hoisthitch-cli/src/commands/explain.rs
+++ b/crates/hoisthitch-cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch explain`: the story of a job, from logs.
+//! `hoisthitch explain`: rebuilds the story of a request or job from logs.
 
 use std::{
     fs::File,
@@ -28,12 +28,11 @@
     }, //
 };
 
-/// Longest line that is read, in bytes; the errors that nodes log stay far
-/// below.
-const LINE_LIMIT: usize = 64 << 10;
+/// Longest line that is parsed; the errors that nodes log are much shorter.
+const LINE_LIMIT_BYTES: usize = 64 << 10;
 
-/// Name that stands for standard input.
-const STANDARD_INPUT: &str = "-";
+/// File name that means standard input.
+const STDIN_NAME: &str = "-";
 
 /// tell from logs what happened to a request or job, and the likeliest cause
 #[derive(Debug, FromArgs)]
@@ -53,7 +52,7 @@
 }
 
 impl ExplainCommand {
-    /// Prints the story.
+    /// Reads the logs and prints the story.
     pub fn run(self, context: &CommandContext) -> Result<()> {
         if self.log.is_empty() {
             let text =
@@ -83,7 +82,7 @@
 }
 
 fn read_log(name: &str, collector: &mut StoryCollector) -> io::Result<()> {
-    if name == STANDARD_INPUT {
+    if name == STDIN_NAME {
         return read_lines(&mut io::stdin().lock(), collector);
     }
     let file = File::open(Path::new(name))?;
@@ -92,8 +91,8 @@
 
 fn read_lines(input: &mut impl BufRead, collector: &mut StoryCollector) -> io::Result<()> {
     let mut line = Vec::new();
-    while let Some(whole) = read_line(input, &mut line)? {
-        if !whole {
+    while let Some(fits_limit) = read_line(input, &mut line)? {
+        if !fits_limit {
             collector.skip_line();
         } else if !line.trim_ascii().is_empty() {
             collector.add_line(&String::from_utf8_lossy(&line));
@@ -102,7 +101,8 @@
     Ok(())
 }
 
-/// Reads one line, and tells whether it fitted the limit; nothing at the end.
+/// Reads one line and returns whether it fits the limit, or `None` at the end of
+/// the input. A longer line is skipped: only its length is counted.
 fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>) -> io::Result<Option<bool>> {
     line.clear();
     let mut length = 0;
@@ -112,23 +112,23 @@
             chunk => chunk?,
         };
         if chunk.is_empty() {
-            return Ok((length > 0).then_some(length <= LINE_LIMIT));
+            return Ok((length > 0).then_some(length <= LINE_LIMIT_BYTES));
         }
         let end = chunk.iter().position(|byte| *byte == b'\n');
         let part = chunk.get(..end.unwrap_or(chunk.len())).unwrap_or(chunk);
         length += part.len();
-        if length <= LINE_LIMIT {
+        if length <= LINE_LIMIT_BYTES {
             line.extend_from_slice(part);
         }
         let used = end.map_or(part.len(), |end| end + 1);
         input.consume(used);
         if end.is_some() {
-            return Ok(Some(length <= LINE_LIMIT));
+            return Ok(Some(length <= LINE_LIMIT_BYTES));
         }
     }
 }
 
-/// Prints a story; a reader that has seen enough ends it early.
+/// Prints a story; a reader that closes the pipe early is no error.
 fn print_story(story: &JobStory) -> io::Result<()> {
     match write_story(&mut io::stdout().lock(), story) {
         Err(err) if err.kind() == io::ErrorKind::BrokenPipe => Ok(()),
--- a/crates/hoisthitch-cli/src/commands/job.rs
+++ b/crates/hoisthitch-cli/src/commands/job.rs
@@ -1,4 +1,5 @@
-//! `hoisthitch job`: jobs, at a node of the job service.
+//! `hoisthitch job`: submits, follows and cancels jobs at a node of the job
+//! service.
 
 use std::{
     path::PathBuf,
@@ -20,7 +21,7 @@
 use hoisthitch_jobs::JobSpec;
 
 use crate::{
-    client::EntryClient,
+    client::OperatorClient,
     commands::{
         CommandContext,
         watch::JobWatch, //
@@ -70,7 +71,7 @@
     #[argh(switch)]
     watch: bool,
     /// longest time to watch, such as 90s or 10m (default: no limit)
-    #[argh(option, from_str_fn(read_limit))]
+    #[argh(option, from_str_fn(parse_limit))]
     time_limit: Option<Duration>,
 }
 
@@ -85,7 +86,7 @@
     #[argh(switch)]
     watch: bool,
     /// longest time to watch, such as 90s or 10m (default: no limit)
-    #[argh(option, from_str_fn(read_limit))]
+    #[argh(option, from_str_fn(parse_limit))]
     time_limit: Option<Duration>,
 }
 
@@ -129,7 +130,7 @@
     }
 }
 
-async fn submit(context: &CommandContext, client: &EntryClient, args: SubmitJob) -> Result<()> {
+async fn submit(context: &CommandContext, client: &OperatorClient, args: SubmitJob) -> Result<()> {
     check_limit(args.watch, args.time_limit)?;
     let file = args.file.display();
     let text = std::fs::read_to_string(&args.file).wrap_err_with(|| format!("{file}"))?;
@@ -147,10 +148,10 @@
     follow(context, client, job, args.watch, args.time_limit).await
 }
 
-/// Shows a job, and with `watch` each change until it has ended.
+/// Prints a job, and with `watch` each change until it has ended.
 async fn follow(
     context: &CommandContext,
-    client: &EntryClient,
+    client: &OperatorClient,
     job: JobAnswer,
     watch: bool,
     limit: Option<Duration>,
@@ -164,7 +165,7 @@
     watch.run(job, |job| show(context, job)).await
 }
 
-fn read_limit(text: &str) -> Result<Duration, String> {
+fn parse_limit(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
         .map_err(|err| format!("'{text}' is not a time: {err}; write it as 90s or 10m"))
 }
--- a/crates/hoisthitch-cli/src/commands/keys.rs
+++ b/crates/hoisthitch-cli/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch keys`: a set of keys and certificates for trying out and tests.
+//! `hoisthitch keys`: generates keys and certificates for trials and tests.
 
 use std::{
     fs,
@@ -43,7 +43,7 @@
 }
 
 impl KeysCommand {
-    /// Writes the files.
+    /// Generates the authority and the certificates and writes their files.
     pub fn run(self) -> Result<()> {
         fs::create_dir_all(&self.out).wrap_err_with(|| self.out.display().to_string())?;
         let key = KeyPair::generate()?;
--- a/crates/hoisthitch-cli/src/commands/mod.rs
+++ b/crates/hoisthitch-cli/src/commands/mod.rs
@@ -1,4 +1,7 @@
-//! Commands, one per file.
+//! The commands, one per file.
+//!
+//! A command parses its arguments, sends requests to an entry or a node of the
+//! job service, and prints the result as text or JSON.
 
 mod check;
 mod explain;
@@ -17,12 +20,12 @@
 use eyre::Result;
 
 use crate::{
-    client::EntryClient,
+    client::OperatorClient,
     error::CommandError,
     settings::OperatorSettings, //
 };
 
-/// What all commands are given.
+/// Options that all commands share.
 pub struct CommandContext {
     /// Settings file.
     pub settings: PathBuf,
@@ -31,22 +34,22 @@
 }
 
 impl CommandContext {
-    /// Client of the entry that the settings name.
+    /// Creates a client of the entry that the settings name.
     ///
     /// # Errors
     ///
-    /// Reports the faults of the settings.
-    pub fn client(&self) -> Result<EntryClient> {
+    /// Returns the faults of the settings.
+    pub fn client(&self) -> Result<OperatorClient> {
         let settings = OperatorSettings::load(&self.settings)?;
-        Ok(EntryClient::new(&settings.entry, settings.token))
+        Ok(OperatorClient::new(&settings.entry, settings.token))
     }
 
-    /// Client of the node of the job service that the settings name.
+    /// Creates a client of the node of the job service that the settings name.
     ///
     /// # Errors
     ///
-    /// Reports the faults of the settings, or that they name no node.
-    pub fn job_client(&self) -> Result<EntryClient> {
+    /// Returns the faults of the settings, or that they name no node.
+    pub fn job_client(&self) -> Result<OperatorClient> {
         let settings = OperatorSettings::load(&self.settings)?;
         let node = settings.jobs.ok_or_else(|| {
             let file = self.settings.display();
@@ -55,7 +58,7 @@
                 "{file}: [operator] names no node of the job service; add {example}"
             ))
         })?;
-        Ok(EntryClient::new(&node, settings.token))
+        Ok(OperatorClient::new(&node, settings.token))
     }
 }
 
@@ -65,11 +68,11 @@
 pub enum OperatorCommand {
     /// Checks a settings file.
     Check(check::CheckCommand),
-    /// Tells a job's story from logs.
+    /// Rebuilds a job's story from logs.
     Explain(explain::ExplainCommand),
-    /// Hands jobs in, follows and cancels them.
+    /// Submits, follows and cancels jobs.
     Job(job::JobCommand),
-    /// Makes keys for tests.
+    /// Generates keys for tests.
     Keys(keys::KeysCommand),
     /// Shows an entry's status.
     Status(status::StatusCommand),
@@ -79,7 +82,7 @@
     Team(team::TeamCommand),
     /// Shows and assigns VMs.
     Vms(vms::VmsCommand),
-    /// Starts and steers maintenance waves.
+    /// Starts and controls maintenance waves.
     Wave(wave::WaveCommand),
 }
 
@@ -88,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as the command does.
+    /// Returns the command's error.
     pub async fn run(self, context: &CommandContext) -> Result<()> {
         match self {
             Self::Check(command) => command.run(),
--- a/crates/hoisthitch-cli/src/commands/status.rs
+++ b/crates/hoisthitch-cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch status`: what one entry holds and sees.
+//! `hoisthitch status`: prints one entry's pools and runners, with its load.
 
 use argh::FromArgs;
 use eyre::Result;
--- a/crates/hoisthitch-cli/src/commands/table.rs
+++ b/crates/hoisthitch-cli/src/commands/table.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch table`: the table of pools and teams.
+//! `hoisthitch table`: shows and edits the table of pools and teams.
 
 use std::{
     fs::File,
--- a/crates/hoisthitch-cli/src/commands/team.rs
+++ b/crates/hoisthitch-cli/src/commands/team.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch team`: teams of callers, at a node of the job service.
+//! `hoisthitch team`: shows teams of callers, from a node of the job service.
 
 use argh::FromArgs;
 use eyre::Result;
--- a/crates/hoisthitch-cli/src/commands/vms.rs
+++ b/crates/hoisthitch-cli/src/commands/vms.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch vms`: which pool holds which VM.
+//! `hoisthitch vms`: shows, assigns and moves the VMs of pools.
 
 use argh::FromArgs;
 use eyre::Result;
--- a/crates/hoisthitch-cli/src/commands/watch.rs
+++ b/crates/hoisthitch-cli/src/commands/watch.rs
@@ -1,4 +1,7 @@
 //! Watches a job until it has ended.
+//!
+//! The node is polled with a pause that is short after a change and grows while
+//! nothing changes. A poll that fails is repeated after the pause.
 
 use std::time::Duration;
 
@@ -11,29 +14,30 @@
 use hoisthitch_jobs::JobPhase;
 
 use crate::{
-    client::EntryClient,
+    client::OperatorClient,
     error::CommandError, //
 };
 
-/// Pause after a change; a person sees the next one at once.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(250);
+/// Pause after a change; short enough that the next change seems immediate to
+/// a person.
+const MIN_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest pause; each look costs the node up to two reads of the store.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Longest pause; each poll costs the node up to two reads of the store.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
 /// Factor by which the pause grows while nothing changes.
 const PAUSE_GROWTH: u32 = 2;
 
-/// Looks without an answer in a row, after which a watch without a time limit
-/// ends: over half a minute with all pauses, in which a node is replaced.
+/// Consecutive polls without a response after which a watch without a time
+/// limit ends: with all pauses over half a minute, in which a node is replaced.
 const FAILURE_LIMIT: u32 = 12;
 
-/// First status of answers that another try may do better on.
-const STATUS_SERVER_FAULT: u16 = 500;
+/// Lowest HTTP status of errors that a later request may not meet.
+const HTTP_STATUS_SERVER_ERROR: u16 = 500;
 
 /// A watch of a job.
 pub struct JobWatch<'a> {
-    client: &'a EntryClient,
+    client: &'a OperatorClient,
     path: String,
     limit: Option<Duration>,
     started: Instant,
@@ -41,25 +45,25 @@
     failures: u32,
 }
 
-/// What a look at the job gave.
-enum WatchLook {
-    /// The job, as it is.
-    Seen(JobAnswer),
-    /// No answer, but there may be one later.
-    Missed,
-    /// The time is over.
+/// Result of a poll.
+enum PollResult {
+    /// The job's current state.
+    Received(JobAnswer),
+    /// No response, but a later poll may succeed.
+    Failed,
+    /// The time limit is reached.
     TimeUp,
 }
 
 impl<'a> JobWatch<'a> {
-    /// Starts a watch; its time starts too.
-    pub fn start(client: &'a EntryClient, path: String, limit: Option<Duration>) -> Self {
+    /// Starts a watch and its time limit.
+    pub fn start(client: &'a OperatorClient, path: String, limit: Option<Duration>) -> Self {
         Self {
             client,
             path,
             limit,
             started: Instant::now(),
-            pause: SHORTEST_PAUSE,
+            pause: MIN_PAUSE,
             failures: 0,
         }
     }
@@ -68,72 +72,73 @@
     ///
     /// # Errors
     ///
-    /// Fails when the job was not completed, the time is up, or the node can't
-    /// be asked.
+    /// Fails when the job was cancelled or failed, the time limit is reached, or
+    /// the node can't be polled.
     pub async fn run(
         mut self,
         mut job: JobAnswer,
         show: impl Fn(&JobAnswer) -> Result<()>,
     ) -> Result<()> {
         while !job.phase.is_final() {
-            match self.look().await? {
-                WatchLook::Seen(now) if now == job => self.slow_down(),
-                WatchLook::Seen(now) => {
+            match self.poll().await? {
+                PollResult::Received(now) if now == job => self.slow_down(),
+                PollResult::Received(now) => {
                     show(&now)?;
                     job = now;
-                    self.pause = SHORTEST_PAUSE;
+                    self.pause = MIN_PAUSE;
                 }
-                WatchLook::Missed => self.slow_down(),
-                WatchLook::TimeUp => return Err(self.time_up(job).into()),
+                PollResult::Failed => self.slow_down(),
+                PollResult::TimeUp => return Err(self.time_up(job).into()),
             }
         }
         if job.phase == JobPhase::Completed {
             return Ok(());
         }
         let JobAnswer { id, phase, .. } = job;
-        Err(CommandError::Ended { id, phase }.into())
+        Err(CommandError::JobEnded { id, phase }.into())
     }
 
-    async fn look(&mut self) -> Result<WatchLook, CommandError> {
-        let left = self.left();
-        actix_rt::time::sleep(self.pause.min(left)).await;
-        let left = self.left();
-        if left.is_zero() {
-            return Ok(WatchLook::TimeUp);
+    async fn poll(&mut self) -> Result<PollResult, CommandError> {
+        let remaining = self.remaining();
+        actix_rt::time::sleep(self.pause.min(remaining)).await;
+        let remaining = self.remaining();
+        if remaining.is_zero() {
+            return Ok(PollResult::TimeUp);
         }
-        match timeout(left, self.client.get(&self.path)).await {
-            Err(_) => Ok(WatchLook::TimeUp),
+        match timeout(remaining, self.client.get(&self.path)).await {
+            Err(_) => Ok(PollResult::TimeUp),
             Ok(Ok(job)) => {
                 self.failures = 0;
-                Ok(WatchLook::Seen(job))
+                Ok(PollResult::Received(job))
             }
-            Ok(Err(err)) => self.take_failure(err),
+            Ok(Err(err)) => self.handle_failure(err),
         }
     }
 
-    /// Goes on after a failure that may pass; the first of a row is shown.
-    fn take_failure(&mut self, err: CommandError) -> Result<WatchLook, CommandError> {
-        let may_pass = match &err {
+    /// Lets the watch continue after a transient failure; the first one in a row
+    /// is printed.
+    fn handle_failure(&mut self, err: CommandError) -> Result<PollResult, CommandError> {
+        let is_transient = match &err {
             CommandError::Unreachable { .. } => true,
-            CommandError::Refused { status, .. } => *status >= STATUS_SERVER_FAULT,
+            CommandError::Refused { status, .. } => *status >= HTTP_STATUS_SERVER_ERROR,
             _ => false,
         };
         self.failures += 1;
-        let is_over = self.limit.is_none() && self.failures >= FAILURE_LIMIT;
-        if !may_pass || is_over {
+        let is_exhausted = self.limit.is_none() && self.failures >= FAILURE_LIMIT;
+        if !is_transient || is_exhausted {
             return Err(err);
         }
         if self.failures == 1 {
             eprintln!("hoisthitch: {err}; asking again");
         }
-        Ok(WatchLook::Missed)
+        Ok(PollResult::Failed)
     }
 
     fn slow_down(&mut self) {
-        self.pause = (self.pause * PAUSE_GROWTH).min(LONGEST_PAUSE);
+        self.pause = (self.pause * PAUSE_GROWTH).min(MAX_PAUSE);
     }
 
-    fn left(&self) -> Duration {
+    fn remaining(&self) -> Duration {
         self.limit.map_or(Duration::MAX, |limit| {
             limit.saturating_sub(self.started.elapsed())
         })
@@ -142,6 +147,6 @@
     fn time_up(&self, job: JobAnswer) -> CommandError {
         let JobAnswer { id, phase, .. } = job;
         let limit = self.limit.unwrap_or_default();
-        CommandError::TimeUp { id, phase, limit }
+        CommandError::WatchTimeUp { id, phase, limit }
     }
 }
--- a/crates/hoisthitch-cli/src/commands/wave.rs
+++ b/crates/hoisthitch-cli/src/commands/wave.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch wave`: maintenance waves.
+//! `hoisthitch wave`: starts, controls and follows maintenance waves.
 
 use std::time::Duration;
 
@@ -17,12 +17,12 @@
 };
 
 use crate::{
-    client::EntryClient,
+    client::OperatorClient,
     commands::CommandContext,
     render::print_json, //
 };
 
-/// Time between two lines of progress.
+/// Time between two reports of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// start and steer maintenance waves
@@ -104,9 +104,9 @@
     pub async fn run(self, context: &CommandContext) -> Result<()> {
         match self.action {
             WaveAction::Start(args) => start(context, args).await,
-            WaveAction::Pause(args) => set(context, args.name, WaveState::Paused).await,
-            WaveAction::Resume(args) => set(context, args.name, WaveState::Running).await,
-            WaveAction::Cancel(args) => set(context, args.name, WaveState::Cancelled).await,
+            WaveAction::Pause(args) => set_state(context, args.name, WaveState::Paused).await,
+            WaveAction::Resume(args) => set_state(context, args.name, WaveState::Running).await,
+            WaveAction::Cancel(args) => set_state(context, args.name, WaveState::Cancelled).await,
             WaveAction::Status(args) => show(context, args).await,
         }
     }
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-async fn set(context: &CommandContext, name: String, state: WaveState) -> Result<()> {
+async fn set_state(context: &CommandContext, name: String, state: WaveState) -> Result<()> {
     let call = WaveStateCall { name, state };
     let client = context.client()?;
     let wave: WaveRecord = client.post(WAVE_STATE_PATH, &call).await?;
@@ -149,7 +149,7 @@
     Ok(())
 }
 
-async fn follow(client: &EntryClient, name: &str) -> Result<()> {
+async fn follow(client: &OperatorClient, name: &str) -> Result<()> {
     loop {
         let waves: Vec<WaveAnswer> = client.get(WAVES_PATH).await?;
         let Some(wave) = waves.iter().find(|wave| wave.name == name) else {
--- a/crates/hoisthitch-cli/src/error.rs
+++ b/crates/hoisthitch-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command line.
+//! Errors of the command line, and their exit codes.
 
 use std::time::Duration;
 
@@ -6,46 +6,46 @@
 use thiserror::Error;
 
 /// Exit code of a command that was not carried out.
-const FAILED: u8 = 1;
+const EXIT_FAILED: u8 = 1;
 
-/// Exit code of a command whose words are off.
-pub const USAGE: u8 = 2;
+/// Exit code of a command whose arguments are invalid.
+pub const EXIT_USAGE: u8 = 2;
 
-/// Exit code of a command that met another operator's change.
-const CONFLICT: u8 = 3;
+/// Exit code of a command that conflicts with another operator's change.
+const EXIT_CONFLICT: u8 = 3;
 
 /// Exit code of a command that watched a job which was cancelled.
-const CANCELLED: u8 = 4;
+const EXIT_JOB_CANCELLED: u8 = 4;
 
 /// Exit code of a command that watched a job which failed.
-const JOB_FAILED: u8 = 5;
+const EXIT_JOB_FAILED: u8 = 5;
 
-/// Exit code of a command that watched a job for as long as it was told to.
-const TIME_UP: u8 = 6;
+/// Exit code of a command that watched a job until its time limit.
+const EXIT_TIME_UP: u8 = 6;
 
 /// Why an operator's command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The entry can't be reached.
+    /// The entry or node can't be reached, or its response can't be read.
     #[error("{url}: {fault}; check that the entry runs, or name another one in the settings")]
     Unreachable {
-        /// Address that was called.
+        /// URL of the request.
         url: String,
         /// What the transport reported.
         fault: String,
     },
-    /// The entry refused the call.
+    /// The entry or node refused the request.
     #[error("{error}")]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// What the entry says.
+        /// Error that the response gives.
         error: String,
     },
-    /// The command's words are off.
+    /// The command's arguments are invalid.
     #[error("{0}")]
     Usage(String),
-    /// No line that was read names the id.
+    /// No log line that was read names the identifier.
     #[error(
         "no line names {id}, of {read} lines read, {broken} of them not log lines; check the id and \
          give the logs of all nodes: a call that matched no queue or had a bad body leaves no line"
@@ -53,17 +53,17 @@
     NotInLogs {
         /// Identifier.
         id: String,
-        /// Lines that were read.
+        /// Number of lines read.
         read: u64,
-        /// Lines that are not whole log lines.
+        /// Number of lines that are not complete log lines.
         broken: u64,
     },
     /// A job that was watched has failed or was cancelled.
     #[error("job {id} has ended: {phase:?}")]
-    Ended {
+    JobEnded {
         /// Identifier.
         id: String,
-        /// State.
+        /// Final state.
         phase: JobPhase,
     },
     /// A job that was watched has not ended in time.
@@ -71,33 +71,35 @@
         "job {id} is {phase:?} after {limit:?}, and was left as it is; 'hoisthitch job status {id} --watch' \
          goes on"
     )]
-    TimeUp {
+    WatchTimeUp {
         /// Identifier.
         id: String,
-        /// State that was seen last.
+        /// State in the last response.
         phase: JobPhase,
         /// Time limit.
         limit: Duration,
     },
 }
 
-/// Status of an answer that tells of another operator's change.
-const STATUS_CONFLICT: u16 = 409;
+/// HTTP status of a response that reports another operator's change.
+const HTTP_STATUS_CONFLICT: u16 = 409;
 
 /// Exit code for an error.
 pub fn exit_code(err: &eyre::Report) -> u8 {
     match err.downcast_ref::<CommandError>() {
-        Some(CommandError::Usage(_)) => USAGE,
-        Some(CommandError::Ended { phase, .. }) => end_code(*phase),
-        Some(CommandError::TimeUp { .. }) => TIME_UP,
-        Some(CommandError::Refused { status, .. }) if *status == STATUS_CONFLICT => CONFLICT,
-        _ => FAILED,
+        Some(CommandError::Usage(_)) => EXIT_USAGE,
+        Some(CommandError::JobEnded { phase, .. }) => job_end_code(*phase),
+        Some(CommandError::WatchTimeUp { .. }) => EXIT_TIME_UP,
+        Some(CommandError::Refused { status, .. }) if *status == HTTP_STATUS_CONFLICT => {
+            EXIT_CONFLICT
+        }
+        _ => EXIT_FAILED,
     }
 }
 
-fn end_code(phase: JobPhase) -> u8 {
+fn job_end_code(phase: JobPhase) -> u8 {
     match phase {
-        JobPhase::Cancelled => CANCELLED,
-        _ => JOB_FAILED,
+        JobPhase::Cancelled => EXIT_JOB_CANCELLED,
+        _ => EXIT_JOB_FAILED,
     }
 }
--- a/crates/hoisthitch-cli/src/main.rs
+++ b/crates/hoisthitch-cli/src/main.rs
@@ -1,9 +1,9 @@
 //! The operators' command line.
 //!
-//! One command per file below `commands`. A command ends with code 0 when it
-//! did what was asked, 1 when it did not, 2 when its words are off, 3 when
-//! another operator's change was in its way. For a job that it watched, it ends
-//! with 4 when it was cancelled, 5 when it failed, and 6 when the time was up.
+//! Each command has its own file in `commands`. Exit codes: 0 if the command was
+//! carried out, 1 if not, 2 if its arguments are invalid, 3 if it conflicts with
+//! another operator's change. If it watched a job: 4 if the job was cancelled, 5
+//! if the job failed, 6 if the time limit was reached.
 
 mod client;
 mod commands;
@@ -50,7 +50,7 @@
 
 #[actix_rt::main]
 async fn main() -> ExitCode {
-    let args = match read_args() {
+    let args = match parse_args() {
         Ok(args) => args,
         Err(code) => return code,
     };
@@ -67,18 +67,18 @@
     }
 }
 
-/// Reads the command's words; where there is nothing to carry out, the code to
-/// end with is returned.
-fn read_args() -> Result<OperatorArgs, ExitCode> {
-    let words: Vec<String> = std::env::args().collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let (name, rest) = words.split_first().unwrap_or((&"hoisthitch", &[]));
+/// Parses the arguments; returns the exit code if there is no command to carry
+/// out, as for `--help` or invalid arguments.
+fn parse_args() -> Result<OperatorArgs, ExitCode> {
+    let args: Vec<String> = std::env::args().collect();
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let (name, rest) = args.split_first().unwrap_or((&"hoisthitch", &[]));
     OperatorArgs::from_args(&[name], rest).map_err(|exit| {
         if exit.status.is_ok() {
             println!("{}", exit.output);
             return ExitCode::SUCCESS;
         }
         eprintln!("{}\nRun 'hoisthitch --help' for more.", exit.output);
-        ExitCode::from(error::USAGE)
+        ExitCode::from(error::EXIT_USAGE)
     })
 }
--- a/crates/hoisthitch-cli/src/render.rs
+++ b/crates/hoisthitch-cli/src/render.rs
@@ -1,4 +1,4 @@
-//! Text and JSON output.
+//! Output of values as JSON and of rows as aligned text.
 
 use eyre::Result;
 use serde::Serialize;
@@ -14,7 +14,7 @@
     Ok(())
 }
 
-/// Prints rows as a table with a head.
+/// Prints rows as a table; the names of their fields are the header.
 ///
 /// # Errors
 ///
--- a/crates/hoisthitch-cli/src/settings.rs
+++ b/crates/hoisthitch-cli/src/settings.rs
@@ -11,11 +11,11 @@
 /// Settings of the command line.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
-    /// URL of an entry's operators' side.
+    /// URL of the operators' API of an entry.
     pub entry: String,
-    /// Token that operators' calls carry.
+    /// Bearer token of the operators' requests.
     pub token: String,
-    /// URL of a node of the job service.
+    /// URL of a node of the job service; only job and team commands need it.
     pub jobs: Option<String>,
 }
 
@@ -24,16 +24,16 @@
     ///
     /// # Errors
     ///
-    /// Reports all faults of the file.
+    /// Returns all faults of the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::read(&SettingsFile::load(path)?)
     }
 
-    /// Checks a settings file that was read.
+    /// Checks a settings file that is already parsed.
     ///
     /// # Errors
     ///
-    /// Reports all faults of the file.
+    /// Returns all faults of the file.
     pub fn read(file: &SettingsFile) -> Result<Self, SettingsError> {
         let reader = SettingsReader::new(file);
         let settings = Self {
