--- a/crates/hoisthitch-cli/src/commands/explain.rs
+++ b/crates/hoisthitch-cli/src/commands/explain.rs
@@ -34,7 +34,7 @@
 /// File name that means standard input.
 const STDIN_NAME: &str = "-";
 
-/// tell from logs what happened to a request or job, and the likeliest cause
+/// show from logs what happened to a request or job, and the likeliest cause
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
--- a/crates/hoisthitch-cli/src/commands/job.rs
+++ b/crates/hoisthitch-cli/src/commands/job.rs
@@ -33,7 +33,7 @@
     }, //
 };
 
-/// hand jobs in, follow and cancel them
+/// submit, follow and cancel jobs
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "job")]
 pub struct JobCommand {
@@ -50,7 +50,7 @@
     List(ListQueues),
 }
 
-/// hand a job in; the same id again is the same job
+/// submit a job; the same id again is the same job
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -75,7 +75,7 @@
     time_limit: Option<Duration>,
 }
 
-/// show how far a job is
+/// show the state and progress of a job
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 struct ShowJob {
@@ -90,7 +90,7 @@
     time_limit: Option<Duration>,
 }
 
-/// cancel a job, and stop what runs of it
+/// cancel a job, and stop its running tasks
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "cancel")]
 struct CancelJob {
--- a/crates/hoisthitch-cli/src/commands/keys.rs
+++ b/crates/hoisthitch-cli/src/commands/keys.rs
@@ -24,14 +24,14 @@
     KeyUsagePurpose, //
 };
 
-/// make an authority and a certificate for each name, for mutual TLS between
-/// entries
+/// generate a certificate authority and a certificate for each name, for mutual
+/// TLS between entries
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "keys",
     example = "hoisthitch keys --out keys entry-1 entry-2",
-    note = "The authority's key stands beside the certificates: fit for tests, not for service."
+    note = "The authority's key is written beside the certificates: use them for tests, not in production."
 )]
 pub struct KeysCommand {
     /// folder to write to
--- a/crates/hoisthitch-cli/src/commands/status.rs
+++ b/crates/hoisthitch-cli/src/commands/status.rs
@@ -15,7 +15,7 @@
     }, //
 };
 
-/// show what the entry holds and sees
+/// show the entry's pools and runners, with their load
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status", example = "hoisthitch status")]
 pub struct StatusCommand {}
--- a/crates/hoisthitch-cli/src/commands/table.rs
+++ b/crates/hoisthitch-cli/src/commands/table.rs
@@ -94,10 +94,10 @@
     /// cells, as column=value
     #[argh(positional)]
     cells: Vec<String>,
-    /// row revision that the change is made on (default: the one in force)
+    /// row revision that the change is made on (default: the current one)
     #[argh(option)]
     revision: Option<u64>,
-    /// only try the change
+    /// check the change without applying it
     #[argh(switch)]
     dry_run: bool,
 }
@@ -112,12 +112,12 @@
     /// name of the row
     #[argh(positional)]
     name: String,
-    /// row revision that the removal is made on (default: the one in force)
+    /// row revision that the removal is made on (default: the current one)
     #[argh(option)]
     revision: Option<u64>,
 }
 
-/// write rows from a CSV file, with a head of column names
+/// write rows from a CSV file, with a header of column names
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -131,7 +131,7 @@
     /// the file
     #[argh(positional)]
     file: PathBuf,
-    /// only try the change
+    /// check the change without applying it
     #[argh(switch)]
     dry_run: bool,
 }
--- a/crates/hoisthitch-cli/src/commands/vms.rs
+++ b/crates/hoisthitch-cli/src/commands/vms.rs
@@ -51,7 +51,7 @@
     example = "hoisthitch vms assign --pool quotes vm-1 vm-2"
 )]
 struct AssignVms {
-    /// pool to hold the VMs
+    /// pool that receives the VMs
     #[argh(option)]
     pool: String,
     /// names of the VMs, as the platform lists them
@@ -68,7 +68,7 @@
     note = "The move waits for a permit of the pool's availability budget and for every entry."
 )]
 struct MoveVms {
-    /// pool that gets the VMs
+    /// pool that receives the VMs
     #[argh(option)]
     to: String,
     /// names of the VMs
--- a/crates/hoisthitch-cli/src/commands/wave.rs
+++ b/crates/hoisthitch-cli/src/commands/wave.rs
@@ -25,7 +25,7 @@
 /// Time between two reports of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// start and steer maintenance waves
+/// start and control maintenance waves
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "wave")]
 pub struct WaveCommand {
@@ -55,7 +55,7 @@
     /// name of the wave; unique
     #[argh(positional)]
     name: String,
-    /// pool that the wave goes through; may be given several times (default all)
+    /// pool that the wave covers; may be given several times (default all)
     #[argh(option)]
     pool: Vec<String>,
     /// show progress until the wave is done, paused or cancelled
@@ -72,7 +72,7 @@
     name: String,
 }
 
-/// go on with a wave that is paused
+/// continue a paused wave
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "resume")]
 struct ResumeWave {
--- a/crates/hoisthitch-cli/src/main.rs
+++ b/crates/hoisthitch-cli/src/main.rs
@@ -24,15 +24,15 @@
     OperatorCommand, //
 };
 
-/// Drive hoisthitch: its table of pools and teams, VMs and entries.
+/// Operate hoisthitch: its table of pools and teams, VMs and entries.
 #[derive(Debug, FromArgs)]
 #[argh(
     example = "hoisthitch table show",
     example = "hoisthitch table set pool quotes in_flight_limit=40",
     note = "The settings file names an entry and the operators' token; see docs/operators/install.md.",
     error_code(1, "The command was not carried out."),
-    error_code(2, "The command's words are off."),
-    error_code(3, "Another operator's change was in its way."),
+    error_code(2, "The command's arguments are invalid."),
+    error_code(3, "The command conflicts with another operator's change."),
     error_code(4, "The job that was watched was cancelled."),
     error_code(5, "The job that was watched failed."),
     error_code(6, "The job that was watched has not ended in time.")
