--- a/crates/hoisthitch-cli/src/commands/watch.rs
+++ b/crates/hoisthitch-cli/src/commands/watch.rs
@@ -28,11 +28,11 @@
 /// Factor by which the pause grows while nothing changes.
 const PAUSE_GROWTH: u32 = 2;
 
-/// Consecutive polls without a response after which a watch without a time
-/// limit ends: with all pauses over half a minute, in which a node is replaced.
+/// Consecutive failed polls after which a watch without a time limit ends: with
+/// all pauses over half a minute, in which a node is replaced.
 const FAILURE_LIMIT: u32 = 12;
 
-/// Lowest HTTP status of errors that a later request may not meet.
+/// Lowest HTTP status of server errors, which a later request may not meet.
 const HTTP_STATUS_SERVER_ERROR: u16 = 500;
 
 /// A watch of a job.
--- a/crates/hoisthitch-cli/src/story/cause.rs
+++ b/crates/hoisthitch-cli/src/story/cause.rs
@@ -30,8 +30,8 @@
 /// replaced in less.
 const LATE_MS: u64 = 2_000;
 
-/// Number of runs of one task that ended by themselves from which the task is
-/// taken as the cause.
+/// Number of runs of one task that ended by themselves from which the task, or
+/// the runner that all of them ran on, is suspected as the cause.
 const SUSPECT_RUNS: usize = 2;
 
 /// Kind of failure.
@@ -320,10 +320,10 @@
 /// delays that start.
 fn owner_change(loss: &RunLoss, related: &[StoryEvent]) -> String {
     let until = loss.restarted_ms.unwrap_or(u64::MAX);
-    let mut taken = related.iter().filter(|event| {
+    let mut takeovers = related.iter().filter(|event| {
         event.kind == EventKind::PoolTaken && (loss.first_sign_ms..=until).contains(&event.time_ms)
     });
-    if let Some(event) = taken.next_back() {
+    if let Some(event) = takeovers.next_back() {
         let (node, at) = (&event.node, event.formatted_time());
         return format!(", while the pool changed its owner ({node} took it at {at})");
     }
--- a/crates/hoisthitch-cli/src/story/delay.rs
+++ b/crates/hoisthitch-cli/src/story/delay.rs
@@ -11,18 +11,18 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JobDelay {
     /// When it was accepted, in milliseconds since the epoch.
-    accepted_at: u64,
+    accepted_ms: u64,
     /// When an owner picked it up.
-    picked_up_at: Option<u64>,
+    picked_up_ms: Option<u64>,
     /// When its first task was started.
-    started_at: Option<u64>,
+    started_ms: Option<u64>,
 }
 
 impl JobDelay {
     /// Computes the delay from a job's own events, in order of time.
     pub fn from_events(own: &[StoryEvent]) -> Self {
         let first = own.first().map_or(0, |event| event.time_ms);
-        let taken = own.iter().find_map(|event| match &event.kind {
+        let picked_up = own.iter().find_map(|event| match &event.kind {
             // A restored job had begun under an earlier owner: its age is no delay.
             EventKind::JobTaken {
                 age_ms,
@@ -31,37 +31,37 @@
             } => Some((event.time_ms, *age_ms)),
             _ => None,
         });
-        let begun = own
+        let started = own
             .iter()
             .find(|event| is_order(event, OrderOutcome::Started));
         Self {
-            accepted_at: taken.map_or(first, |(at, age)| at.saturating_sub(age)),
-            picked_up_at: taken.map(|(at, _)| at),
-            started_at: begun.map(|event| event.time_ms),
+            accepted_ms: picked_up.map_or(first, |(at, age)| at.saturating_sub(age)),
+            picked_up_ms: picked_up.map(|(at, _)| at),
+            started_ms: started.map(|event| event.time_ms),
         }
     }
 
     /// Time from the submission to the first start, in milliseconds; zero
     /// if there was no start.
     pub fn total_ms(&self) -> u64 {
-        let begun = self.started_at.unwrap_or(self.accepted_at);
-        begun.saturating_sub(self.accepted_at)
+        let started = self.started_ms.unwrap_or(self.accepted_ms);
+        started.saturating_sub(self.accepted_ms)
     }
 
     /// Whether most of the delay passed before an owner picked the job up.
     fn waited_for_owner(&self) -> bool {
-        let Some(taken) = self.picked_up_at else {
-            return self.started_at.is_none();
+        let Some(picked_up) = self.picked_up_ms else {
+            return self.started_ms.is_none();
         };
-        let waited = taken.saturating_sub(self.accepted_at);
-        let begun = self.started_at.unwrap_or(u64::MAX);
-        waited > begun.saturating_sub(taken)
+        let waited = picked_up.saturating_sub(self.accepted_ms);
+        let started = self.started_ms.unwrap_or(u64::MAX);
+        waited > started.saturating_sub(picked_up)
     }
 }
 
 /// Explains in a sentence why a job waited; both lists are in order of time.
 pub fn wait_cause(own: &[StoryEvent], related: &[StoryEvent], delay: &JobDelay) -> String {
-    let waited = match delay.started_at {
+    let waited = match delay.started_ms {
         Some(_) => format!("it began {} ms after its submission: ", delay.total_ms()),
         None => String::new(),
     };
@@ -74,13 +74,13 @@
 }
 
 fn owner_cause(related: &[StoryEvent], delay: &JobDelay) -> String {
-    let until = delay.picked_up_at.unwrap_or(u64::MAX);
-    let within = |event: &&StoryEvent| (delay.accepted_at..=until).contains(&event.time_ms);
-    let mut taken = related
+    let until = delay.picked_up_ms.unwrap_or(u64::MAX);
+    let within = |event: &&StoryEvent| (delay.accepted_ms..=until).contains(&event.time_ms);
+    let mut takeovers = related
         .iter()
         .filter(within)
         .filter(|event| is_takeover(event));
-    if let Some(event) = taken.next_back() {
+    if let Some(event) = takeovers.next_back() {
         let (node, at) = (&event.node, event.formatted_time());
         return format!("its pool had no owner until {node} took it at {at}");
     }
@@ -113,8 +113,8 @@
 }
 
 fn start_cause(own: &[StoryEvent], related: &[StoryEvent], delay: &JobDelay) -> String {
-    let from = delay.picked_up_at.unwrap_or(delay.accepted_at);
-    let until = delay.started_at.unwrap_or(u64::MAX);
+    let from = delay.picked_up_ms.unwrap_or(delay.accepted_ms);
+    let until = delay.started_ms.unwrap_or(u64::MAX);
     let within = |event: &&StoryEvent| (from..=until).contains(&event.time_ms);
     let own: Vec<&StoryEvent> = own.iter().filter(within).collect();
     let related: Vec<&StoryEvent> = related.iter().filter(within).collect();
--- a/crates/hoisthitch-cli/src/story/event.rs
+++ b/crates/hoisthitch-cli/src/story/event.rs
@@ -1,6 +1,6 @@
 //! Parses log lines into the events that can belong to a job's story.
 //!
-//! Variants of [`EventKind`] mirror the names of log events; a change of an
+//! Most variants of [`EventKind`] are named after their log event. A change of an
 //! event's name or keys where it is logged needs the same change here.
 
 use std::time::{
--- a/crates/hoisthitch-cli/src/story/runs.rs
+++ b/crates/hoisthitch-cli/src/story/runs.rs
@@ -1,7 +1,7 @@
 //! Runs of a job's tasks that were lost, and the cause of each loss.
 //!
-//! A run counts as lost if its task was started again, or if an event shows for
-//! certain that the run is over.
+//! A run counts as lost if its task was started again, or if an event is strong
+//! evidence of the loss.
 
 use std::collections::BTreeMap;
 
@@ -99,8 +99,8 @@
     tasks
 }
 
-/// Finds how a run was lost. Without a later start only certain signs count: a
-/// runner that leaves one request unanswered may continue.
+/// Finds how a run was lost. Without a later start only certain signs count,
+/// because a runner that leaves one request unanswered may continue.
 fn find_loss<'a>(
     started: StartedRun<'a>,
     restarted_ms: Option<u64>,
--- a/crates/hoisthitch-cli/src/story/window.rs
+++ b/crates/hoisthitch-cli/src/story/window.rs
@@ -179,6 +179,7 @@
         self.end_ms = last.unwrap_or_default().saturating_add(TRAILING_MS);
     }
 
+    /// Finds the owners of the pool, from the one at the start of the window on.
     fn find_owners(&mut self, candidates: &'a [StoryEvent]) {
         let taken = |event: &&StoryEvent| {
             event.kind == EventKind::PoolTaken && event.pool() == self.pool && self.pool.is_some()
@@ -301,6 +302,7 @@
         })
     }
 
+    /// Finds the losses of the store, as the node saw them, that overlap the call.
     fn find_losses(&mut self, candidates: &'a [StoryEvent]) {
         let here = candidates.iter().filter(|event| event.node == self.node);
         for event in here {
@@ -357,17 +359,17 @@
 }
 
 fn find_pool<'a>(own: &'a [StoryEvent], pools: &'a HashMap<String, String>) -> Option<&'a str> {
-    let taken = own.iter().find_map(|event| match &event.kind {
+    let logged = own.iter().find_map(|event| match &event.kind {
         EventKind::JobTaken { pool, .. } => Some(pool),
         _ => None,
     });
-    let asked = || {
+    let pool_of_queue = || {
         own.iter().find_map(|event| match &event.kind {
             EventKind::Submitted { queue, .. } => pools.get(queue),
             _ => None,
         })
     };
-    taken.or_else(asked).map(String::as_str)
+    logged.or_else(pool_of_queue).map(String::as_str)
 }
 
 fn find_runners(own: &[StoryEvent]) -> BTreeMap<&str, u64> {
