--- a/crates/hoisthitch-cli/src/commands/keys.rs
+++ b/crates/hoisthitch-cli/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch keys`: a set of keys and certificates for trying out and tests.
+//! `hoisthitch keys`: generates keys and certificates for trials and tests.
 
 use std::{
     fs,
@@ -24,14 +24,14 @@
     KeyUsagePurpose, //
 };
 
-/// make an authority and a certificate for each name, for mutual TLS between
-/// entries
+/// generate a certificate authority and a certificate for each name, for mutual
+/// TLS between entries
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "keys",
     example = "hoisthitch keys --out keys entry-1 entry-2",
-    note = "The authority's key stands beside the certificates: fit for tests, not for service."
+    note = "The authority's key is written beside the certificates: use them for tests, not in production."
 )]
 pub struct KeysCommand {
     /// folder to write to
@@ -43,7 +43,7 @@
 }
 
 impl KeysCommand {
-    /// Writes the files.
+    /// Generates the authority and the certificates and writes their files.
     pub fn run(self) -> Result<()> {
         fs::create_dir_all(&self.out).wrap_err_with(|| self.out.display().to_string())?;
         let key = KeyPair::generate()?;
--- a/crates/hoisthitch-cli/src/commands/status.rs
+++ b/crates/hoisthitch-cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch status`: what one entry holds and sees.
+//! `hoisthitch status`: prints one entry's pools and runners, with its load.
 
 use argh::FromArgs;
 use eyre::Result;
@@ -15,7 +15,7 @@
     }, //
 };
 
-/// show what the entry holds and sees
+/// show the entry's pools and runners, with their load
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status", example = "hoisthitch status")]
 pub struct StatusCommand {}
