--- a/crates/hoisthitch-jobs/tests/decisions/account.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/account.rs
@@ -1,4 +1,5 @@
-//! Where the time of a job went.
+//! Tests of a job's time account: its time until the owner had it, waiting for a runner,
+//! ordering its starts, and running.
 
 use eyre::{
     OptionExt,
@@ -23,13 +24,13 @@
 };
 
 cases! {
-    time_is_put_down_to_what_held_the_job_up => parts();
-    lasting_jobs_are_not_told_of => lasting();
+    time_is_put_down_to_what_held_the_job_up => time_uses();
+    lasting_jobs_are_not_told_of => long_running();
 }
 
-/// Taken 300 ms after its acceptance, without room for 700 ms, ordered for 50 ms,
-/// and then 2 s of work.
-async fn parts() -> Result<()> {
+/// The owner has the job 300 ms after its acceptance; it waits 700 ms for free capacity, its
+/// starts are ordered for 50 ms, and then its tasks run for 2 s.
+async fn time_uses() -> Result<()> {
     let mut state = pool_of(1, 8);
     state.add_job(new_job("first", vec![step(8)]), 1_000);
     let first = start_all(&mut state, 1_000);
@@ -58,7 +59,8 @@
     Ok(())
 }
 
-async fn lasting() -> Result<()> {
+/// Long-running jobs are not reported among the ended ones.
+async fn long_running() -> Result<()> {
     let mut state = pool_of(1, 8);
     let work = StepSpec {
         long_running: true,
--- a/crates/hoisthitch-jobs/tests/decisions/admission.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/admission.rs
@@ -1,5 +1,5 @@
-//! Starts that were decided on and may not be sent any more when their turn comes, or
-//! when they are to be sent again.
+//! Tests of the second check of a planned start: whether it may still be sent when its record
+//! is written, and whether it may be sent again after it got no response.
 
 use eyre::{
     OptionExt,
@@ -31,7 +31,7 @@
 cases! {
     repeat_is_stopped_on_a_runner_that_leaves => repeat(Change::Drains);
     repeat_is_stopped_on_a_runner_off_the_list => repeat(Change::Unlisted);
-    repeat_is_stopped_on_a_runner_that_is_emptied => repeat(Change::Emptied);
+    repeat_is_stopped_on_a_runner_that_is_emptied => repeat(Change::Evacuates);
     repeat_is_stopped_where_the_room_has_shrunk => repeat(Change::Shrinks);
     repeat_is_stopped_once_its_ticket_is_over => repeat(Change::TicketEnds);
     repeat_is_stopped_once_its_team_is_over_its_limit => repeat(Change::LimitLowered);
@@ -39,26 +39,27 @@
     first_order_is_not_sent_to_a_runner_that_leaves => first(Change::Drains);
     first_order_is_not_sent_into_room_that_has_shrunk => first(Change::Shrinks);
     first_order_is_not_sent_without_a_ticket => first(Change::TicketEnds);
-    lasting_repeat_waits_off_the_list_while_others_are_away => lasting(Change::Unlisted, false);
-    lasting_repeat_is_sent_to_an_emptied_runner_while_others_are_away => lasting(Change::Emptied, true);
-    lasting_repeat_is_stopped_on_a_leaving_runner => lasting_drains();
+    lasting_repeat_waits_off_the_list_while_others_are_away => repeat_while_unavailable(Change::Unlisted, false);
+    lasting_repeat_is_sent_to_an_emptied_runner_while_others_are_away => repeat_while_unavailable(Change::Evacuates, true);
+    lasting_repeat_is_stopped_on_a_leaving_runner => drain_while_unavailable();
 }
 
-/// What changes between the decision on a start and its sending.
+/// What changes between the planning of a start and its sending.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Change {
     None,
     Drains,
     Unlisted,
-    Emptied,
+    Evacuates,
     Shrinks,
     TicketEnds,
     LimitLowered,
 }
 
-/// When the ticket of the tests is over.
-const TICKET_END: u64 = 1_990;
+/// When the ticket of the tests ends, if it ends.
+const TICKET_END_MS: u64 = 1_990;
 
+/// Applies a change to a runner or its team.
 fn change(state: &mut PoolState, key: RunnerKey, change: Change) -> Result<()> {
     let runner = state.runner(key).ok_or_eyre("no runner")?;
     let facts = runner.facts.clone();
@@ -69,7 +70,7 @@
             state.set_runner(RunnerFacts { draining, ..facts }, 1_500);
         }
         Change::Unlisted => state.unlist_runner(key),
-        Change::Emptied => state.set_evacuating(key, true),
+        Change::Evacuates => state.set_evacuating(key, true),
         Change::Shrinks => {
             let capacity = ResourceAmounts {
                 cpu_milli: 500,
@@ -82,7 +83,7 @@
     Ok(())
 }
 
-/// A job of one task, of a team with a limit, on a queue with an adviser.
+/// A job of one task, of a team with a quota, on a queue with an adviser.
 fn advised_job() -> NewJob {
     let mut new = new_job("a", vec![step(1)]);
     new.submission.policy.advised = true;
@@ -90,8 +91,12 @@
     new
 }
 
+/// Requests advice for the waiting task and records a ticket for the first runner, valid
+/// until then.
 fn advise(state: &mut PoolState, until: u64) -> Result<()> {
-    let request = state.next_advice_request(1_000).ok_or_eyre("no question")?;
+    let request = state
+        .next_advice_request(1_000)
+        .ok_or_eyre("no advice was requested")?;
     let ticket = AdviceTicket {
         runner: "i-0".to_owned(),
         ticket: "t".to_owned(),
@@ -100,7 +105,8 @@
     Ok(())
 }
 
-/// A pool of one runner, in which the job waits with a ticket.
+/// A pool of one runner, in which the job waits with a ticket; `ends` says whether the ticket
+/// ends before the start is checked again.
 fn advised_pool(ends: bool) -> Result<PoolState> {
     let mut state = pool_of(1, 8);
     let plenty = ResourceAmounts {
@@ -111,11 +117,12 @@
     state.set_quota_allocation("choir", plenty);
     state.add_job(advised_job(), 1_000);
     state.begin_due_rounds(1_000, 0);
-    advise(&mut state, if ends { TICKET_END } else { 9_000 })?;
+    advise(&mut state, if ends { TICKET_END_MS } else { 9_000 })?;
     Ok(state)
 }
 
-/// A start gets no answer, something changes, and a hold does not show its run.
+/// A start gets no response, something changes, and a later heartbeat does not list its run:
+/// the start is sent again if nothing changed, else its run is stopped.
 async fn repeat(what: Change) -> Result<()> {
     let mut state = advised_pool(what == Change::TicketEnds)?;
     let order = decide(&mut state, 1_000).pop().ok_or_eyre("no order")?;
@@ -132,7 +139,8 @@
     Ok(())
 }
 
-/// Something changes while the record of a start is written.
+/// Something changes while the record of a start is written: it is never sent, and needs no
+/// stop.
 async fn first(what: Change) -> Result<()> {
     let mut state = advised_pool(what == Change::TicketEnds)?;
     state.plan(1_000);
@@ -145,20 +153,21 @@
     Ok(())
 }
 
-/// A pool in which a step that may miss one task has one that is away, and another whose
-/// start got no answer; answers with that.
-fn two_away() -> Result<(PoolState, StartOrder)> {
+/// A pool with a long-running step of three tasks, one of which may be unavailable: one task
+/// is available, one is unavailable, and the start of the third got no response. Returns the
+/// order of the third.
+fn two_unavailable() -> Result<(PoolState, StartOrder)> {
     let mut state = pool_of(3, 1);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         max_per_runner: 1,
         max_unavailable: 1,
         ..step(3)
     };
-    state.add_job(new_job("long", vec![lasting]), 1_000);
+    state.add_job(new_job("long", vec![long_running]), 1_000);
     let orders = decide(&mut state, 1_000);
     ensure!(orders.len() == 3, "{orders:?}");
-    // The first works, the second never began, the third got no answer.
+    // The first is available, the second never began, the third's start got no response.
     state.record_start_outcome(&orders[0], StartOutcome::Started, 1_010);
     let report = HeartbeatReport {
         running: running_on(&state, orders[0].runner, None, 100),
@@ -170,20 +179,23 @@
     Ok((state, orders[2].clone()))
 }
 
-async fn lasting(what: Change, is_sent: bool) -> Result<()> {
-    let (mut state, order) = two_away()?;
+/// The step can't miss the third task, so that its start is not stopped; `is_sent` says
+/// whether it is sent again.
+async fn repeat_while_unavailable(what: Change, is_sent: bool) -> Result<()> {
+    let (mut state, order) = two_unavailable()?;
     change(&mut state, order.runner, what)?;
     let again = state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_950, 2_000);
     ensure!(
         state.take_stop_orders().is_empty(),
-        "it may have come to work"
+        "a task that may be available was stopped"
     );
     ensure!(again.len() == usize::from(is_sent), "{again:?}");
     Ok(())
 }
 
-async fn lasting_drains() -> Result<()> {
-    let (mut state, order) = two_away()?;
+/// A runner that drains ends its tasks in any case, and the start there is stopped.
+async fn drain_while_unavailable() -> Result<()> {
+    let (mut state, order) = two_unavailable()?;
     change(&mut state, order.runner, Change::Drains)?;
     let again = state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_950, 2_000);
     ensure!(again.is_empty(), "{again:?}");
--- a/crates/hoisthitch-jobs/tests/decisions/main.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/main.rs
@@ -1,5 +1,9 @@
-//! Decisions of a pool's owner: order of steps, budgets, gangs, leave of an
-//! adviser, tasks that stand still.
+//! Tests of the decisions of a pool's owner, made on a [`PoolState`] without a network or a
+//! clock: each test passes the time in, and plays the runners' responses and reports itself.
+//!
+//! This file checks the order of steps, retries, gangs, an adviser's tickets, stalled tasks,
+//! the throttle of best-effort tasks and the validation of specs. It also holds the helpers
+//! that the other modules use.
 
 mod account;
 mod admission;
@@ -64,6 +68,7 @@
     bad_specs_are_refused => bad_specs();
 }
 
+/// A step of `count` tasks, each of one core and an estimated 500 ms.
 fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
@@ -77,6 +82,7 @@
     }
 }
 
+/// The same step as a gang: all of its tasks run at once, or none.
 fn gang(count: u32) -> StepSpec {
     StepSpec {
         gang: true,
@@ -84,6 +90,7 @@
     }
 }
 
+/// A job without a team, accepted at 1 s, with three attempts a task.
 fn new_job(id: &str, steps: Vec<StepSpec>) -> NewJob {
     NewJob {
         id: id.to_owned(),
@@ -110,6 +117,8 @@
     }
 }
 
+/// A pool of ready runners of so many cores and 10,000 MB each, two to a rack, whose leases
+/// end at 1,000 s.
 fn pool_of(runners: u32, cores: u64) -> PoolState {
     let mut state = PoolState::new(InheritedRuns::default());
     for number in 0..runners {
@@ -135,6 +144,7 @@
     state
 }
 
+/// Plans starts and finishes the write of their records; returns the orders to send.
 fn decide(state: &mut PoolState, now: u64) -> Vec<StartOrder> {
     state.begin_due_rounds(now, 0);
     state.plan(now);
@@ -142,6 +152,7 @@
     state.finish_flush(&plan, now)
 }
 
+/// Plans starts, all of which succeed.
 fn start_all(state: &mut PoolState, now: u64) -> Vec<StartOrder> {
     let orders = decide(state, now);
     for order in &orders {
@@ -150,7 +161,7 @@
     orders
 }
 
-/// Reports ends of these starts, each on its runner.
+/// Reports that the runs of these starts ended, each on its runner.
 fn end_all(state: &mut PoolState, orders: &[StartOrder], kind: EndKind, now: u64) {
     for order in orders {
         let number = state
@@ -173,7 +184,7 @@
     }
 }
 
-/// What the state believes to run on a runner, but for one task.
+/// What runs on a runner according to the state, without the task of one order.
 fn running_on(
     state: &PoolState,
     runner: RunnerKey,
@@ -244,9 +255,12 @@
     end_all(&mut state, &orders[..1], EndKind::Failed, 2_000);
     ensure!(
         state.take_stop_orders().len() == 5,
-        "the others are stopped"
+        "the other members are stopped"
+    );
+    ensure!(
+        decide(&mut state, 2_100).is_empty(),
+        "restarted before all members ended"
     );
-    ensure!(decide(&mut state, 2_100).is_empty(), "until none is left");
     end_all(&mut state, &orders[1..], EndKind::GangBroken, 2_500);
     let again = start_all(&mut state, 3_000);
     ensure!(again.len() == 6 && again.iter().all(|order| order.run == 2));
@@ -260,7 +274,7 @@
     state.add_job(new_job("a", vec![step(4)]), 1_000);
     ensure!(
         decide(&mut state, 1_100).len() == 4,
-        "room is not held for it"
+        "no capacity is reserved for a gang that does not fit"
     );
     Ok(())
 }
@@ -313,9 +327,14 @@
     new.submission.policy.advised = true;
     state.add_job(new, 1_000);
     ensure!(decide(&mut state, 1_000).is_empty());
-    let request = state.next_advice_request(1_000).ok_or_eyre("no question")?;
+    let request = state
+        .next_advice_request(1_000)
+        .ok_or_eyre("no advice was requested")?;
     ensure!(request.step == "a.0.0" && request.runners.len() == 3);
-    ensure!(state.next_advice_request(1_010).is_none(), "asked once");
+    ensure!(
+        state.next_advice_request(1_010).is_none(),
+        "requested only once"
+    );
     let ticket = AdviceTicket {
         runner: "i-1".to_owned(),
         ticket: "t-1".to_owned(),
@@ -335,7 +354,9 @@
     new.submission.policy.advised = true;
     state.add_job(new, 1_000);
     state.begin_due_rounds(1_000, 0);
-    let request = state.next_advice_request(1_000).ok_or_eyre("no question")?;
+    let request = state
+        .next_advice_request(1_000)
+        .ok_or_eyre("no advice was requested")?;
     let ticket = AdviceTicket {
         runner: "i-0".to_owned(),
         ticket: "t".to_owned(),
@@ -390,20 +411,20 @@
     ensure!((2..=4).contains(&failures), "{failures} runs failed");
     state.add_job(new_job("late", vec![step(4)]), 8_000);
     let orders = decide(&mut state, 8_000);
-    let trial = orders.iter().filter(|order| Some(order.runner) == broken);
-    ensure!(trial.count() == 1, "one task to try it again");
+    let retried = orders.iter().filter(|order| Some(order.runner) == broken);
+    ensure!(retried.count() == 1, "one task after the backoff");
     Ok(())
 }
 
 async fn spread() -> Result<()> {
     let mut state = pool_of(6, 8);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         max_unavailable: 1,
         ..step(4)
     };
-    state.add_job(new_job("a", vec![lasting.clone()]), 1_000);
-    state.add_job(new_job("b", vec![lasting]), 1_000);
+    state.add_job(new_job("a", vec![long_running.clone()]), 1_000);
+    state.add_job(new_job("b", vec![long_running]), 1_000);
     let orders = start_all(&mut state, 1_000);
     ensure!(orders.len() == 8);
     let mut runners: Vec<RunnerKey> = orders.iter().map(|order| order.runner).collect();
@@ -413,8 +434,8 @@
     Ok(())
 }
 
-/// The tail of a serving task over its target stops the filler beside it within
-/// two reports, and lets it work again step by step.
+/// Tail latency of a serving task above its target stops the best-effort task beside it
+/// within two reports. Below the target, the best-effort task is let work again step by step.
 async fn paces() -> Result<()> {
     let mut state = pool_of(1, 8);
     let serving = StepSpec {
@@ -422,12 +443,12 @@
         target_ms: 100,
         ..step(1)
     };
-    let filler = StepSpec {
+    let best_effort = StepSpec {
         best_effort: true,
         long_running: true,
         ..step(1)
     };
-    state.add_job(new_job("a", vec![serving, filler]), 1_000);
+    state.add_job(new_job("a", vec![serving, best_effort]), 1_000);
     let orders = start_all(&mut state, 1_000);
     let runner = orders.first().ok_or_eyre("nothing was started")?.runner;
     let mut pace_at = |load: u64, now: u64| {
@@ -440,14 +461,20 @@
             ended: Vec::new(),
         };
         state.record_heartbeat(runner, &report, now - 1, now);
-        let paced = state.pace(runner, now);
-        paced.iter().map(|order| order.percent).collect::<Vec<_>>()
+        let orders = state.pace(runner, now);
+        orders.iter().map(|order| order.percent).collect::<Vec<_>>()
     };
-    ensure!(pace_at(20, 2_000).is_empty(), "nothing is disturbed");
-    ensure!(pace_at(150, 2_700) == [0], "it has to make way at once");
+    ensure!(
+        pace_at(20, 2_000).is_empty(),
+        "throttled though the latency is below the target"
+    );
+    ensure!(
+        pace_at(150, 2_700) == [0],
+        "it is throttled to zero at once"
+    );
     ensure!(pace_at(150, 3_400).is_empty(), "it is stopped already");
     let back: Vec<u32> = (0..20)
-        .flat_map(|look| pace_at(20, 4_100 + look * 700))
+        .flat_map(|report| pace_at(20, 4_100 + report * 700))
         .collect();
     ensure!(back.is_sorted() && back.last() == Some(&100), "{back:?}");
     ensure!(back.first().is_some_and(|first| *first <= 50), "{back:?}");
@@ -479,8 +506,8 @@
 }
 
 quickcheck! {
-    /// No task waits that a runner has room for, whatever was found to be full
-    /// before it.
+    /// No task waits while a runner has free capacity for it, whichever requests were
+    /// found not to fit before it.
     fn nothing_waits_beside_room(needs: Vec<(u8, u8, bool)>) -> bool {
         let mut state = pool_of(3, 4);
         for (number, (cpu, memory, far)) in needs.iter().take(40).enumerate() {
@@ -504,7 +531,8 @@
             .all(|step| state.runners().all(|(_, runner)| !runner.fits(step)))
     }
 
-    /// No runner is ever planned over its capacity, and each task once.
+    /// No runner is planned beyond its capacity, no task is planned twice, and the plan uses
+    /// all the capacity that is needed.
     fn plans_keep_to_capacity(counts: Vec<u8>, runners: u8) -> bool {
         let mut state = pool_of(u32::from(runners % 6) + 1, 4);
         for (number, count) in counts.iter().take(12).enumerate() {
@@ -519,10 +547,10 @@
             names.insert(order.name.to_string());
         }
         let wanted: usize = counts.iter().take(12).map(|count| usize::from(count % 9) + 1).sum();
-        let room = (usize::from(runners % 6) + 1) * 4;
-        // The naive plan fills the pool in order of arrival.
+        let capacity = (usize::from(runners % 6) + 1) * 4;
+        // The reference is a naive plan, which fills the pool in order of arrival.
         used.values().all(|used| *used <= 4)
             && names.len() == orders.len()
-            && orders.len() == wanted.min(room)
+            && orders.len() == wanted.min(capacity)
     }
 }
