--- a/crates/hoisthitch-jobs/tests/decisions/demand.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/demand.rs
@@ -1,8 +1,8 @@
-//! How many VMs a pool asks for.
+//! Tests of how many VMs a pool requests.
 //!
-//! The load it answers: demand that goes from pool to pool by turns of some seconds. A move
-//! takes a second and a half, so that each half second by which the begin or the end of a
-//! turn is seen sooner counts.
+//! They guard against a slow forecast where high demand moves from pool to pool every few
+//! seconds. Moving a VM takes a second and a half, so that each half second by which the begin
+//! or the end of a rise is detected sooner counts.
 
 use eyre::{
     Result,
@@ -29,9 +29,9 @@
     work_that_runs_late_wants_fewer_vms => late_runs();
 }
 
-/// Takes jobs of eight cores for a second in, which are cancelled at once: only that they
-/// came counts.
-fn come(state: &mut PoolState, times: impl IntoIterator<Item = u64>) {
+/// Adds jobs at these times, each of eight tasks of one core that are expected to take a
+/// second, and cancels them at once, so that only the rate of arrivals counts.
+fn add_arrivals(state: &mut PoolState, times: impl IntoIterator<Item = u64>) {
     for at in times {
         let id = format!("j{at}");
         let job = NewJob {
@@ -43,36 +43,39 @@
     }
 }
 
-/// Six jobs a second after nothing: a second later they are half of the want, where the
-/// mean of four seconds makes them a quarter.
+/// Six jobs a second after no demand: a second later at least half of the VMs that they need
+/// are wanted, where a mean of four seconds gives a quarter.
 async fn rises() -> Result<()> {
     let mut state = pool_of(4, 8);
-    come(&mut state, (0..6).map(|number| 10_000 + number * 166));
+    add_arrivals(&mut state, (0..6).map(|number| 10_000 + number * 166));
     let wanted = state.wanted_vms(10_900).steady;
     ensure!(wanted >= 4, "{wanted} VMs");
     Ok(())
 }
 
+/// Two jobs that arrive close together by chance are no rise.
 async fn chance() -> Result<()> {
     let mut state = pool_of(4, 8);
-    come(&mut state, [10_000, 10_100]);
+    add_arrivals(&mut state, [10_000, 10_100]);
     let wanted = state.wanted_vms(10_150).steady;
     ensure!(wanted <= 1, "{wanted} VMs");
     Ok(())
 }
 
-/// Ten jobs a second come for four seconds, and then none.
+/// Ten jobs a second arrive for four seconds, then none: a second later the pool wants at most
+/// a third of the VMs.
 async fn falls() -> Result<()> {
     let mut state = pool_of(4, 8);
-    come(&mut state, (0..40).map(|number| 1_000 + number * 100));
+    add_arrivals(&mut state, (0..40).map(|number| 1_000 + number * 100));
     let before = state.wanted_vms(5_000).steady;
     let after = state.wanted_vms(6_000).steady;
-    ensure!(before >= 10, "{before} VMs in the turn");
+    ensure!(before >= 10, "{before} VMs during the rise");
     ensure!(after * 3 <= before, "{after} of {before} VMs after it");
     Ok(())
 }
 
-/// The same work waits in two pools; in one of them it can't be in time any more.
+/// The same work waits in two pools; in one of them it can't be in time any more. There it adds
+/// at least one VM to the steady demand, and at most a third as many as in the other.
 async fn late_backlog() -> Result<()> {
     let wanted = |accepted_at: u64| {
         let mut state = pool_of(4, 8);
@@ -92,7 +95,8 @@
     Ok(())
 }
 
-/// All runs that a pool of four VMs has room for; its jobs were not done in time.
+/// Running tasks fill a pool of four VMs. Once their job can't be in time any more, they add
+/// nothing to the steady demand, and at least one VM is still wanted now.
 async fn late_runs() -> Result<()> {
     let mut state = pool_of(4, 8);
     state.add_job(new_job("a", vec![step(32)]), 1_000);
--- a/crates/hoisthitch-jobs/tests/decisions/load.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/load.rs
@@ -1,5 +1,8 @@
-//! A pool under load on the paused clock: jobs of two steps of four tasks come at their
-//! times, tasks take theirs, and starts are planned at each look.
+//! Simulates a pool under load, for the tests of the order of jobs and of fair shares.
+//!
+//! Jobs of two steps of four tasks arrive at given times, each task runs for a time that
+//! follows from its name, and starts are planned in passes at fixed intervals of simulated
+//! time. The result is the time that each completed job took.
 
 use std::collections::HashMap;
 
@@ -18,22 +21,23 @@
     step, //
 };
 
-/// Mean time of a task, in milliseconds; they vary by half of it.
+/// Mean time of a task, in milliseconds; the times vary by half of it.
 const TASK_MS: u64 = 500;
 
 /// Steps of a job, one after the other.
 const STEPS: u64 = 2;
 
-/// Time between two looks, in milliseconds.
-pub const LOOK_MS: u64 = 25;
+/// Time between two passes, in milliseconds.
+pub const PASS_MS: u64 = 25;
 
-/// Objective of the jobs: the aim, and the stretch of the longest chain.
+/// Time within which a job is to be done, in milliseconds: the target latency of its queue,
+/// plus the stretch times the mean time of its critical path.
 pub const OBJECTIVE_MS: u64 = 600 + 2 * STEPS * TASK_MS;
 
-/// Time of the first look, in milliseconds.
+/// Time of the first pass, in milliseconds.
 pub const START_MS: u64 = 1_000;
 
-/// A job that comes at a time after the first look.
+/// A job that arrives in the pass that begins `at` milliseconds after the first one.
 pub struct ComingJob {
     pub id: String,
     /// Its team; empty for none.
@@ -41,19 +45,19 @@
     pub at: u64,
 }
 
-/// Plays so many looks; answers with the time that each job took which was done.
-pub fn play_jobs(state: &mut PoolState, jobs: &[ComingJob], looks: u64) -> HashMap<String, u64> {
+/// Runs so many passes; returns the time that each completed job took, in milliseconds.
+pub fn run_jobs(state: &mut PoolState, jobs: &[ComingJob], passes: u64) -> HashMap<String, u64> {
     let mut times: HashMap<String, u64> = HashMap::new();
     let mut running: Vec<(u64, StartOrder)> = Vec::new();
-    for look in 0..looks {
-        let now = START_MS + look * LOOK_MS;
-        let (ended, going): (Vec<_>, Vec<_>) =
+    for pass in 0..passes {
+        let now = START_MS + pass * PASS_MS;
+        let (ended, remaining): (Vec<_>, Vec<_>) =
             running.drain(..).partition(|(until, _)| *until <= now);
-        running = going;
+        running = remaining;
         let ended: Vec<StartOrder> = ended.into_iter().map(|(_, order)| order).collect();
         end_all(state, &ended, EndKind::Done, now);
-        for job in jobs.iter().filter(|job| job.at == look * LOOK_MS) {
-            hand_in(state, job, now);
+        for job in jobs.iter().filter(|job| job.at == pass * PASS_MS) {
+            submit(state, job, now);
         }
         for job in jobs {
             let found = state.job(&job.id);
@@ -71,8 +75,8 @@
     times
 }
 
-/// Hands a job in.
-pub fn hand_in(state: &mut PoolState, coming: &ComingJob, now: u64) {
+/// Adds a job of two steps of four tasks, of four cores each, to the pool.
+pub fn submit(state: &mut PoolState, coming: &ComingJob, now: u64) {
     let mut steps = vec![step(4), step(4)];
     steps[1].after = vec![0];
     for step in &mut steps {
@@ -86,13 +90,13 @@
     state.add_job(job, now);
 }
 
-/// Times within the objective.
+/// Number of times within the objective.
 pub fn in_time<'a>(times: impl IntoIterator<Item = &'a u64>) -> usize {
     let times = times.into_iter();
     times.filter(|took| **took <= OBJECTIVE_MS).count()
 }
 
-/// Time of a task, between half and one and a half of the mean.
+/// Time of a task in milliseconds, between half and one and a half of the mean.
 fn time_of(order: &StartOrder) -> u64 {
     let name = hash_name(&order.name.to_string());
     TASK_MS / 2 + name % (TASK_MS + 1)
--- a/crates/hoisthitch-jobs/tests/decisions/order.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/order.rs
@@ -1,10 +1,10 @@
-//! The order of a queue whose jobs need more room than there is.
+//! Tests of the order of a queue whose jobs need more capacity than there is.
 //!
-//! Seen: in rises of several seconds a sixth of a queue's jobs were done in time,
-//! where there was room for half of them. Cause: jobs went by the latest time at
-//! which they could start. Under overload that is the time at which each gets its
-//! turn, so that all began too late, one like the other. Proof: the first case,
-//! which needs no platform: jobs come at twice the rate at which they can be done.
+//! They guard against an order by the latest time at which a job can start: under overload
+//! each job then gets its turn just at that time, and all of them start too late. With that
+//! order, a sixth of a queue's jobs were done in time in rises of several seconds, where there
+//! was capacity for half of them. The first case shows it without a platform: jobs arrive at
+//! twice the rate at which they can be done.
 
 use eyre::{
     Result,
@@ -15,9 +15,9 @@
 use crate::{
     load::{
         ComingJob,
-        LOOK_MS,
+        PASS_MS,
         in_time,
-        play_jobs, //
+        run_jobs, //
     },
     pool_of, //
 };
@@ -27,8 +27,8 @@
     rise_that_can_be_served_is_served_in_time => overload(75, 80, 76);
 }
 
-/// Hands in `jobs` of two steps of four tasks, one each `gap_ms`, to runners that
-/// can do sixteen in a second; at least `least` of them have to be in time.
+/// Submits `jobs` jobs of two steps of four tasks, one each `gap_ms`, to runners that can do
+/// sixteen jobs in a second; at least `least` of them have to be in time.
 async fn overload(gap_ms: u64, jobs: u64, least: usize) -> Result<()> {
     let coming: Vec<ComingJob> = (0..jobs)
         .map(|number| ComingJob {
@@ -37,8 +37,8 @@
             at: number * gap_ms,
         })
         .collect();
-    let looks = 2 * jobs * gap_ms / LOOK_MS + 400;
-    let times = play_jobs(&mut pool_of(8, 32), &coming, looks);
+    let passes = 2 * jobs * gap_ms / PASS_MS + 400;
+    let times = run_jobs(&mut pool_of(8, 32), &coming, passes);
     ensure!(times.len() as u64 == jobs, "{} jobs are done", times.len());
     let in_time = in_time(times.values());
     ensure!(in_time >= least, "{in_time} jobs in time");
