--- a/crates/hoisthitch-jobs/tests/decisions/lives.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/lives.rs
@@ -1,5 +1,8 @@
-//! Runners that start again under their names: what ended with the life before, and what
-//! the next one may run.
+//! Tests of runners that restart under their names: which runs ended with the previous
+//! instance, and what the next one may run.
+//!
+//! They guard against a task that runs twice: a start whose outcome is unknown may have been
+//! carried out by the next instance, and a run that was thought to have ended may show again.
 
 use eyre::{
     OptionExt,
@@ -29,31 +32,31 @@
 };
 
 cases! {
-    runs_that_were_heard_end_with_their_life => heard_runs();
-    starts_after_the_last_answer_wait_for_the_next_life => doubtful_starts();
-    end_on_the_next_life_counts => doubtful_end();
-    next_life_gets_nothing_before_it_is_listed => unlisted_life();
+    runs_that_were_heard_end_with_their_life => reported_runs();
+    starts_after_the_last_answer_wait_for_the_next_life => unreported_starts();
+    end_on_the_next_life_counts => unreported_end();
+    next_life_gets_nothing_before_it_is_listed => unlisted_instance();
     earlier_run_that_is_at_work_keeps_the_task => earlier_run();
     start_is_withdrawn_for_an_earlier_run => withdrawn_start();
-    lives_are_told_by_birth_where_both_tell => told_lives();
+    lives_are_told_by_birth_where_both_tell => parsed_instances();
 }
 
-/// Birth of the next life.
-const BORN: u64 = 9_000;
+/// Start time of the next instance, in Unix milliseconds.
+const STARTED_AT_MS: u64 = 9_000;
 
-/// Time until which a doubtful start is waited for.
-const UNTIL: u64 = 20_000;
+/// Time until which a start of unknown outcome keeps its task, in milliseconds.
+const UNTIL_MS: u64 = 20_000;
 
 /// One task, started on the only runner.
 fn one_started() -> Result<(PoolState, StartOrder)> {
     let mut state = pool_of(1, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let order = start_all(&mut state, 1_000).pop();
-    Ok((state, order.ok_or_eyre("nothing was ordered")?))
+    Ok((state, order.ok_or_eyre("no start was ordered")?))
 }
 
-/// The runner reports what it has.
-fn hear(state: &mut PoolState, runner: RunnerKey, asked_at: u64) {
+/// The runner reports that all runs of the state are running.
+fn report_runs(state: &mut PoolState, runner: RunnerKey, asked_at: u64) {
     let report = HeartbeatReport {
         running: running_on(state, runner, None, 10),
         ..HeartbeatReport::default()
@@ -61,25 +64,42 @@
     state.record_heartbeat(runner, &report, asked_at, asked_at + 1);
 }
 
-async fn heard_runs() -> Result<()> {
+/// A run that the previous instance has reported ends with it.
+async fn reported_runs() -> Result<()> {
     let (mut state, order) = one_started()?;
-    hear(&mut state, order.runner, 1_100);
-    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
-    let renewed = renewed.ok_or_eyre("the runner is known")?;
-    ensure!((renewed.ended, renewed.doubtful) == (1, 0), "{renewed:?}");
-    ensure!(state.runner(order.runner).is_none(), "the life is over");
-    let runner = state.runner(renewed.key).ok_or_eyre("the next life")?;
+    report_runs(&mut state, order.runner, 1_100);
+    let restarted = state.replace_restarted_runner(order.runner, STARTED_AT_MS, UNTIL_MS, 2_000);
+    let restarted = restarted.ok_or_eyre("the runner is unknown")?;
+    ensure!(
+        (restarted.ended, restarted.doubtful) == (1, 0),
+        "{restarted:?}"
+    );
+    ensure!(
+        state.runner(order.runner).is_none(),
+        "the previous instance is still listed"
+    );
+    let runner = state
+        .runner(restarted.key)
+        .ok_or_eyre("the next instance is unknown")?;
     ensure!(runner.last_seen_end == 0 && runner.tasks.is_empty());
     Ok(())
 }
 
-async fn doubtful_starts() -> Result<()> {
+/// A start that the previous instance never reported keeps its task until the next instance
+/// has reported: the task goes on there, or is free once it is not listed.
+async fn unreported_starts() -> Result<()> {
     let (mut state, order) = one_started()?;
-    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
-    let renewed = renewed.ok_or_eyre("the runner is known")?;
-    ensure!((renewed.ended, renewed.doubtful) == (0, 1), "{renewed:?}");
-    ensure!(decide(&mut state, 2_100).is_empty(), "started elsewhere");
-    // The next life has it, and it goes on there.
+    let restarted = state.replace_restarted_runner(order.runner, STARTED_AT_MS, UNTIL_MS, 2_000);
+    let restarted = restarted.ok_or_eyre("the runner is unknown")?;
+    ensure!(
+        (restarted.ended, restarted.doubtful) == (0, 1),
+        "{restarted:?}"
+    );
+    ensure!(
+        decide(&mut state, 2_100).is_empty(),
+        "the task was started again"
+    );
+    // The next instance runs the task, which goes on there.
     let row = RunningTask {
         name: order.name.to_string(),
         run: order.run,
@@ -91,19 +111,24 @@
         running: vec![row],
         ..HeartbeatReport::default()
     };
-    state.record_heartbeat(renewed.key, &report, 2_200, 2_201);
-    ensure!(state.take_stop_orders().is_empty(), "it was stopped");
-    let holds = |state: &PoolState| state.runner(renewed.key).map(|r| r.tasks.len());
-    ensure!(holds(&state) == Some(1));
-    state.record_heartbeat(renewed.key, &HeartbeatReport::default(), 2_300, 2_301);
-    ensure!(holds(&state) == Some(0), "it is not there any more");
+    state.record_heartbeat(restarted.key, &report, 2_200, 2_201);
+    ensure!(state.take_stop_orders().is_empty(), "the task was stopped");
+    let tasks_there = |state: &PoolState| state.runner(restarted.key).map(|r| r.tasks.len());
+    ensure!(tasks_there(&state) == Some(1));
+    state.record_heartbeat(restarted.key, &HeartbeatReport::default(), 2_300, 2_301);
+    ensure!(
+        tasks_there(&state) == Some(0),
+        "the task is still counted on the runner"
+    );
     Ok(())
 }
 
-async fn doubtful_end() -> Result<()> {
+/// The next instance reports the end of a start that the previous one never reported: the task
+/// is done.
+async fn unreported_end() -> Result<()> {
     let (mut state, order) = one_started()?;
-    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
-    let renewed = renewed.ok_or_eyre("the runner is known")?;
+    let restarted = state.replace_restarted_runner(order.runner, STARTED_AT_MS, UNTIL_MS, 2_000);
+    let restarted = restarted.ok_or_eyre("the runner is unknown")?;
     let report = HeartbeatReport {
         ended: vec![EndedTask {
             number: 1,
@@ -114,34 +139,38 @@
         }],
         ..HeartbeatReport::default()
     };
-    state.record_heartbeat(renewed.key, &report, 2_200, 2_201);
+    state.record_heartbeat(restarted.key, &report, 2_200, 2_201);
     ensure!(state.task(order.task).is_some_and(|task| task.is_done()));
     Ok(())
 }
 
-async fn unlisted_life() -> Result<()> {
+/// The next instance gets no tasks before its record is read, since its capacity may differ.
+async fn unlisted_instance() -> Result<()> {
     let (mut state, order) = one_started()?;
-    hear(&mut state, order.runner, 1_100);
+    report_runs(&mut state, order.runner, 1_100);
     let facts = state.runner(order.runner).map(|r| r.facts.clone());
-    let mut facts = facts.ok_or_eyre("the runner is known")?;
-    let renewed = state.replace_restarted_runner(order.runner, BORN, UNTIL, 2_000);
-    let renewed = renewed.ok_or_eyre("the runner is known")?;
-    hear(&mut state, renewed.key, 2_100);
-    state.mark_runner_ready(renewed.key);
-    state.extend_lease(renewed.key, 1_000_000);
+    let mut facts = facts.ok_or_eyre("the runner is unknown")?;
+    let restarted = state.replace_restarted_runner(order.runner, STARTED_AT_MS, UNTIL_MS, 2_000);
+    let restarted = restarted.ok_or_eyre("the runner is unknown")?;
+    report_runs(&mut state, restarted.key, 2_100);
+    state.mark_runner_ready(restarted.key);
+    state.extend_lease(restarted.key, 1_000_000);
     ensure!(
         decide(&mut state, 2_200).is_empty(),
-        "its kind is not known"
+        "a task was started on an unlisted instance"
     );
-    facts.started_at = Some(BORN);
+    facts.started_at = Some(STARTED_AT_MS);
     let key = state.set_runner(facts, 2_300);
-    ensure!(key == renewed.key, "the record is that of the life");
+    ensure!(
+        key == restarted.key,
+        "the record is not that of the next instance"
+    );
     let again = decide(&mut state, 2_400);
     ensure!(again.len() == 1 && again[0].run == order.run + 1);
     Ok(())
 }
 
-/// A life reports a run of a task that nothing is under way for.
+/// A runner reports one run, which the state does not expect there.
 fn report_run(state: &mut PoolState, runner: RunnerKey, order: &StartOrder, at: u64) {
     let report = HeartbeatReport {
         running: vec![RunningTask {
@@ -156,12 +185,14 @@
     state.record_heartbeat(runner, &report, at, at + 1);
 }
 
+/// A report leaves out a run, so that its task waits again, and a later report lists it: no
+/// second run begins before it has ended.
 async fn earlier_run() -> Result<()> {
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let order = start_all(&mut state, 1_000).pop().ok_or_eyre("no order")?;
     state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_100, 1_101);
-    // It is free again, and its run shows all the same.
+    // The task waits again, but a report lists its run.
     report_run(&mut state, order.runner, &order, 1_200);
     ensure!(decide(&mut state, 1_300).is_empty(), "a second run began");
     let stop = state
@@ -176,15 +207,20 @@
     Ok(())
 }
 
+/// A task that waits again is started on another runner with unknown outcome, and then a report
+/// lists its earlier run: the later start is stopped.
 async fn withdrawn_start() -> Result<()> {
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let first = start_all(&mut state, 1_000).pop().ok_or_eyre("no order")?;
     state.record_heartbeat(first.runner, &HeartbeatReport::default(), 1_100, 1_101);
-    // The runner where it was may be down, so that it is started on the other one.
+    // The task's earlier runner may be down, so that it is started on the other one.
     state.mark_runner_unreachable(first.runner);
     let second = decide(&mut state, 1_150).pop().ok_or_eyre("no order")?;
-    ensure!(second.runner != first.runner, "elsewhere");
+    ensure!(
+        second.runner != first.runner,
+        "the task was started on the unreachable runner"
+    );
     state.record_start_outcome(&second, StartOutcome::Unclear, 1_200);
     report_run(&mut state, first.runner, &first, 1_300);
     let stop = state
@@ -195,10 +231,14 @@
     Ok(())
 }
 
-async fn told_lives() -> Result<()> {
+/// Two names may be of one instance unless both give a start time and the times differ.
+async fn parsed_instances() -> Result<()> {
     let instance = |text: &str| RunnerInstance::parse(text);
     ensure!(instance("i-1@7").to_string() == "i-1@7" && instance("i-1").started_at.is_none());
-    ensure!(instance("i-1@x").name == "i-1@x", "no birth");
+    ensure!(
+        instance("i-1@x").name == "i-1@x",
+        "a bad start time is not a part of the name"
+    );
     ensure!(instance("i-1@7").may_be(&instance("i-1")));
     ensure!(!instance("i-1@7").may_be(&instance("i-1@8")));
     ensure!(!instance("i-1@7").may_be(&instance("i-2@7")));
--- a/crates/hoisthitch-jobs/tests/decisions/outcomes.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/outcomes.rs
@@ -1,5 +1,5 @@
-//! Orders that get no answer, are refused or come late, and runners that fall
-//! silent.
+//! Tests of orders that get no response, are refused or come late, and of runners that become
+//! unresponsive.
 
 use eyre::{
     OptionExt,
@@ -28,7 +28,7 @@
 
 cases! {
     task_on_a_silent_runner_is_left_alone => silent();
-    lapsed_lease_frees_the_tasks => lapse();
+    lapsed_lease_frees_the_tasks => lease_expires();
     refused_copy_of_an_unanswered_start_is_stopped_first => refused_copy();
     late_starts_shun_no_runner_for_long => late_start();
     runner_without_a_lease_gets_nothing_until_it_has_one => late_lease();
@@ -38,6 +38,8 @@
     stop_of_a_task_at_work_is_not_repeated_while_others_are_away => repeated_stop();
 }
 
+/// A task on a runner that misses heartbeats is neither stopped nor started elsewhere while the
+/// lease lasts.
 async fn silent() -> Result<()> {
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
@@ -48,7 +50,8 @@
     Ok(())
 }
 
-async fn lapse() -> Result<()> {
+/// Once the lease of a runner that misses heartbeats has expired, its task is started elsewhere.
+async fn lease_expires() -> Result<()> {
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let orders = start_all(&mut state, 1_000);
@@ -60,16 +63,16 @@
     Ok(())
 }
 
-/// A start got no answer and may be carried out late; its second copy is refused.
-/// The task may only be started elsewhere once a stop was answered there.
+/// A start got no response and may be carried out late; its second copy is refused. The task
+/// may be started elsewhere only once the runner has acknowledged a stop.
 async fn refused_copy() -> Result<()> {
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let orders = decide(&mut state, 1_000);
-    let order = orders.first().ok_or_eyre("nothing was ordered")?;
+    let order = orders.first().ok_or_eyre("no start was ordered")?;
     state.record_start_outcome(order, StartOutcome::Unclear, 1_900);
     let again = state.record_heartbeat(order.runner, &HeartbeatReport::default(), 1_950, 2_000);
-    ensure!(again.len() == 1, "the same run is sent again");
+    ensure!(again.len() == 1, "the same run is not sent again");
     state.record_start_outcome(order, StartOutcome::Refused, 2_100);
     ensure!(
         decide(&mut state, 2_200).is_empty(),
@@ -84,8 +87,8 @@
     Ok(())
 }
 
-/// A slow owner's orders come when the lease that they name is over. The runners
-/// are well, and a pool that shunned them all would stand still.
+/// A slow owner's orders arrive after the end of the lease that they name. The runners are
+/// healthy, and a pool that backed off from all of them would start nothing.
 async fn late_start() -> Result<()> {
     let mut state = pool_of(1, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
@@ -100,10 +103,10 @@
     Ok(())
 }
 
-/// Seen on a fleet of 1,100 VMs: an owner whose leases had lapsed ordered 2,500 starts a
-/// second, all of which were refused as late, and its link had no room left for the
-/// holds that renew leases. Nothing is decided on for a runner whose lease is about to
-/// end, and it gets tasks again with the next one.
+/// Guards against a flood of late starts: on a fleet of 1,100 VMs, an owner whose leases had
+/// expired ordered 2,500 starts a second, all of which were refused as late, and its link had no
+/// capacity left for the heartbeats that renew leases. No start is planned for a runner whose
+/// lease is about to end, until the lease is renewed.
 async fn late_lease() -> Result<()> {
     let mut state = pool_of(1, 8);
     let key = state.runner_key("i-0").ok_or_eyre("no runner")?;
@@ -115,8 +118,9 @@
     Ok(())
 }
 
-/// Under load each write leaves some records out, and what changes meanwhile is behind
-/// again. The ends of a time are recorded once all that they changed was written.
+/// Under load each write leaves some records out, and jobs that change meanwhile have to be
+/// written again. Ends are still acknowledged, each once all the records that it changed are
+/// written.
 async fn flush_rounds() -> Result<()> {
     let mut state = pool_of(1, 512);
     for number in 0..4 {
@@ -125,14 +129,14 @@
     let first = start_all(&mut state, 1_000);
     let mut acknowledged = 0;
     for (turn, now) in (1..30).zip((1_010..).step_by(10)) {
-        // In each turn a task of each job ends, so that all are behind again.
+        // In each turn a task of each job ends, so that all records have to be written again.
         let ended = first.iter().filter(|order| order.name.index == turn);
         let ended: Vec<_> = ended.cloned().collect();
         end_all(&mut state, &ended, EndKind::Done, now);
         let plan = state.begin_flush(2);
-        for (_, seen) in &plan.acked_ends {
-            ensure!(*seen >= acknowledged, "{seen} after {acknowledged}");
-            acknowledged = *seen;
+        for (_, end) in &plan.acked_ends {
+            ensure!(*end >= acknowledged, "{end} after {acknowledged}");
+            acknowledged = *end;
         }
         state.finish_flush(&plan, now);
     }
@@ -140,36 +144,38 @@
     Ok(())
 }
 
-/// A job is cancelled while its start is on its way; the stop comes first, and
-/// the start is refused. No end is ever listed.
+/// A job is cancelled while its start is under way; the stop arrives first, and the start is
+/// refused. No end is ever reported, and the capacity is free once the stop is acknowledged.
 async fn stopped_start() -> Result<()> {
     let mut state = pool_of(1, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
     let orders = decide(&mut state, 1_000);
-    let order = orders.first().ok_or_eyre("nothing was ordered")?;
+    let order = orders.first().ok_or_eyre("no start was ordered")?;
     state.cancel("a", 1_100);
-    let look = |state: &mut PoolState, now: u64| {
+    let next_pass = |state: &mut PoolState, now: u64| {
         state.resend_stops(now);
         let stops = state.take_stop_orders();
         state.record_heartbeat(order.runner, &HeartbeatReport::default(), now - 1, now);
         let runner = state.runner(order.runner);
         (stops, runner.is_some_and(|runner| runner.tasks.is_empty()))
     };
-    // While no stop is answered, the start may still come.
+    // While no stop is acknowledged, the start may still be carried out.
     let mut last = Vec::new();
     for now in (1_200..9_000).step_by(100) {
-        let (stops, free) = look(&mut state, now);
+        let (stops, free) = next_pass(&mut state, now);
         ensure!(!free, "free at {now}");
         last.extend(stops);
     }
     let stop = last.last().ok_or_eyre("no stop was sent")?;
     state.record_stop_ack(stop, 9_000);
     state.record_start_outcome(order, StartOutcome::Old, 9_010);
-    let (_, free) = look(&mut state, 9_100);
-    ensure!(free, "the room is not free");
+    let (_, free) = next_pass(&mut state, 9_100);
+    ensure!(free, "the capacity is not free");
     Ok(())
 }
 
+/// A heartbeat that was sent before the start ended says nothing about it; a later one that
+/// does not list the run has the same run sent again.
 async fn unanswered() -> Result<()> {
     let mut state = pool_of(1, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
@@ -177,48 +183,58 @@
     state.record_start_outcome(&orders[0], StartOutcome::Unclear, 1_900);
     let report = HeartbeatReport::default();
     let early = state.record_heartbeat(orders[0].runner, &report, 1_800, 2_000);
-    ensure!(early.is_empty(), "the hold was sent before the start ended");
+    ensure!(
+        early.is_empty(),
+        "sent again for a heartbeat from before the start ended"
+    );
     let again = state.record_heartbeat(orders[0].runner, &report, 2_100, 2_101);
     ensure!(again.len() == 1 && again[0].run == orders[0].run);
     Ok(())
 }
 
-/// One of two lasting tasks on a runner that is emptied is moved, and its stop gets no answer.
-/// The other fails meanwhile: a second copy would end the only one that is at work.
+/// One of two long-running tasks on an evacuating runner is moved, and its stop gets no
+/// response. The other fails meanwhile: a second stop would end the only task that is
+/// available.
 async fn repeated_stop() -> Result<()> {
     let mut state = pool_of(1, 8);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         max_unavailable: 1,
         ..step(2)
     };
-    state.add_job(new_job("long", vec![lasting]), 1_000);
+    state.add_job(new_job("long", vec![long_running]), 1_000);
     let orders = start_all(&mut state, 1_000);
     ensure!(orders.len() == 2, "{orders:?}");
     let key = orders[0].runner;
-    hold(&mut state, key, 2_000);
+    report_available(&mut state, key, 2_000);
     state.set_evacuating(key, true);
-    ensure!(state.relocate_task(key, 2_100), "none is moved");
+    ensure!(state.relocate_task(key, 2_100), "no task is moved");
     let stops = state.take_stop_orders();
     let moved = orders.iter().find(|order| order.name == stops[0].name);
     let moved = moved.ok_or_eyre("another task was stopped")?;
     let other = orders.iter().find(|order| order.name != moved.name);
     let other = other.ok_or_eyre("no other task")?.clone();
     state.resend_stops(2_900);
-    ensure!(state.take_stop_orders().len() == 1, "it is sent again");
+    ensure!(
+        state.take_stop_orders().len() == 1,
+        "the stop is not sent again"
+    );
     end_all(&mut state, &[other], EndKind::Failed, 3_000);
-    hold(&mut state, key, 3_050);
+    report_available(&mut state, key, 3_050);
     state.resend_stops(3_700);
-    ensure!(state.take_stop_orders().is_empty(), "none is at work then");
-    // Once the step can miss it, or it is not there, the stop is sent again.
+    ensure!(
+        state.take_stop_orders().is_empty(),
+        "the stop leaves no task available"
+    );
+    // Once the step can miss the task, or the runner does not list it, the stop is sent again.
     state.record_heartbeat(key, &HeartbeatReport::default(), 3_750, 3_760);
     state.resend_stops(4_500);
     ensure!(state.take_stop_orders().len() == 1);
     Ok(())
 }
 
-/// Has a runner show all its runs at work.
-fn hold(state: &mut PoolState, key: RunnerKey, now: u64) {
+/// A runner reports that all its runs are available.
+fn report_available(state: &mut PoolState, key: RunnerKey, now: u64) {
     let report = HeartbeatReport {
         running: running_on(state, key, None, 100),
         ..HeartbeatReport::default()
