--- a/crates/hoisthitch-jobs/tests/decisions/pools.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/pools.rs
@@ -1,4 +1,5 @@
-//! VMs: which may go down, how many a pool needs, and which pool gives.
+//! Tests of VMs: which may go down for maintenance, which pools give and get VMs, and how a
+//! runner that drains gets its long-running tasks moved.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +34,8 @@
 };
 
 cases! {
-    task_that_may_be_at_work_by_now_counts_for_an_upkeep => upkeep_counts_starting();
-    runner_that_is_not_listed_counts_with_its_tasks => upkeep_counts_unlisted();
+    task_that_may_be_at_work_by_now_counts_for_an_upkeep => maintenance_counts_starting();
+    runner_that_is_not_listed_counts_with_its_tasks => maintenance_counts_unlisted();
     lack_is_met_from_what_is_off_first => balance_off_first();
     vms_on_their_way_are_counted => balance_counts_sent();
     floor_is_kept => balance_floor();
@@ -42,12 +43,12 @@
     jobs_of_an_earlier_owner_are_no_rise => no_false_rise();
     pool_that_lacks_vms_gives_none => balance_gives_none();
     pool_that_lacks_far_more_gets_vms_of_one_that_lacks_some => balance_lacks();
-    no_more_tasks_leave_than_have_room => drain_room();
-    tasks_that_may_not_be_missed_leave_too => drain_unmissable();
+    no_more_tasks_leave_than_have_room => drain_capacity();
+    tasks_that_may_not_be_missed_leave_too => drain_undisruptable();
 }
 
-/// A lasting step with one task on each runner, of which one may be away.
-fn lasting_step(count: u32) -> StepSpec {
+/// A long-running step with at most one task on each runner, one of which may be unavailable.
+fn long_running_step(count: u32) -> StepSpec {
     StepSpec {
         long_running: true,
         max_unavailable: 1,
@@ -56,11 +57,11 @@
     }
 }
 
-/// Two tasks were started a moment ago. Each may have come to work since its
-/// runner last told, so that neither VM can go down.
-async fn upkeep_counts_starting() -> Result<()> {
+/// Two of four tasks were started a moment ago and are unavailable by their runners' last
+/// reports. Each may have become available since, so that no VM can go down.
+async fn maintenance_counts_starting() -> Result<()> {
     let mut state = pool_of(6, 8);
-    state.add_job(new_job("a", vec![lasting_step(4)]), 1_000);
+    state.add_job(new_job("a", vec![long_running_step(4)]), 1_000);
     let orders = start_all(&mut state, 1_000);
     for order in &orders {
         let percent = if order.name.index < 2 { 60 } else { 100 };
@@ -73,14 +74,19 @@
         state.record_heartbeat(order.runner, &report, 1_199, 1_200);
     }
     for order in &orders {
-        let view = state.evacuation_status(order.runner);
-        ensure!(view == EvacuationStatus::Held, "{}: {view:?}", order.name);
+        let status = state.evacuation_status(order.runner);
+        ensure!(
+            status == EvacuationStatus::Held,
+            "{}: {status:?}",
+            order.name
+        );
     }
     Ok(())
 }
 
-/// A new owner may hear of the wave before it hears of the runner.
-async fn upkeep_counts_unlisted() -> Result<()> {
+/// A new owner may learn of the wave before it learns of the runner: until the inherited runs
+/// expire, recorded tasks keep an unlisted runner's VM from going down.
+async fn maintenance_counts_unlisted() -> Result<()> {
     let mut state = PoolState::new(InheritedRuns {
         until: 9_000,
         ..InheritedRuns::default()
@@ -96,7 +102,7 @@
             phase: JobPhase::Running,
             tasks: vec![ordered("i-0"), ordered("i-1")],
         }),
-        ..new_job("a", vec![lasting_step(2)])
+        ..new_job("a", vec![long_running_step(2)])
     };
     state.add_job(job, 1_000);
     ensure!(state.unlisted_evacuation_status("i-0") == Some(EvacuationStatus::Held));
@@ -106,7 +112,8 @@
     Ok(())
 }
 
-fn share(want: u32, vms: &[&str]) -> VmBalance {
+/// What a pool publishes that wants and keeps so many VMs and has these.
+fn balance(want: u32, vms: &[&str]) -> VmBalance {
     VmBalance {
         want,
         keep: want,
@@ -115,14 +122,16 @@
     }
 }
 
+/// A pool that lacks two VMs gets them from those that are off, though another pool has VMs to
+/// spare.
 async fn balance_off_first() -> Result<()> {
     let off = VmBalance {
         spare: true,
-        ..share(0, &["s1", "s2"])
+        ..balance(0, &["s1", "s2"])
     };
     let pools = BTreeMap::from([
-        ("a".to_owned(), share(6, &["a1", "a2", "a3", "a4"])),
-        ("b".to_owned(), share(1, &["b1", "b2", "b3", "b4"])),
+        ("a".to_owned(), balance(6, &["a1", "a2", "a3", "a4"])),
+        ("b".to_owned(), balance(1, &["b1", "b2", "b3", "b4"])),
         ("off".to_owned(), off),
     ]);
     let moves = plan_moves(&pools);
@@ -135,40 +144,43 @@
     Ok(())
 }
 
+/// A pool that lacks two VMs gets no more while two are on their way to it.
 async fn balance_counts_sent() -> Result<()> {
-    let mut giver = share(1, &["b1", "b2", "b3", "b4", "b5", "b6"]);
+    let mut giver = balance(1, &["b1", "b2", "b3", "b4", "b5", "b6"]);
     giver.sent.insert("b1".to_owned(), "a".to_owned());
     giver.sent.insert("b2".to_owned(), "a".to_owned());
     let pools = BTreeMap::from([
-        ("a".to_owned(), share(4, &["a1", "a2"])),
+        ("a".to_owned(), balance(4, &["a1", "a2"])),
         ("b".to_owned(), giver),
     ]);
     ensure!(plan_moves(&pools).is_empty());
     Ok(())
 }
 
+/// A pool that wants no VMs keeps two of its five: half of an even share of five,
+/// rounded down.
 async fn balance_floor() -> Result<()> {
     let pools = BTreeMap::from([
-        ("a".to_owned(), share(50, &["a1", "a2", "a3", "a4", "a5"])),
-        ("b".to_owned(), share(0, &["b1", "b2", "b3", "b4", "b5"])),
+        ("a".to_owned(), balance(50, &["a1", "a2", "a3", "a4", "a5"])),
+        ("b".to_owned(), balance(0, &["b1", "b2", "b3", "b4", "b5"])),
     ]);
     let given: usize = plan_moves(&pools).iter().map(|order| order.count).sum();
     ensure!(given == 3, "{given} VMs");
     Ok(())
 }
 
-/// VMs that are off are given to pools that need none now, and those of a pool beyond its
-/// even share too; no pool gives and gets.
+/// While no pool lacks VMs, those that are off go to pools that need none now, and so do those
+/// that a pool has beyond its even share; no pool both gives and gets.
 async fn balance_levels() -> Result<()> {
     let names: Vec<String> = (0..20).map(|vm| format!("vm-{vm}")).collect();
     let vms: Vec<&str> = names.iter().map(String::as_str).collect();
     let off = VmBalance {
         spare: true,
-        ..share(0, &vms[..6])
+        ..balance(0, &vms[..6])
     };
     let pools = BTreeMap::from([
-        ("a".to_owned(), share(0, &vms[6..8])),
-        ("b".to_owned(), share(0, &vms[8..20])),
+        ("a".to_owned(), balance(0, &vms[6..8])),
+        ("b".to_owned(), balance(0, &vms[8..20])),
         ("off".to_owned(), off),
     ]);
     let moves = plan_moves(&pools);
@@ -182,7 +194,8 @@
     Ok(())
 }
 
-/// A new owner finds all jobs at once; they came in over a long time.
+/// A new owner finds all jobs at once, though they arrived over a long time: they are no rise
+/// of demand.
 async fn no_false_rise() -> Result<()> {
     let mut state = pool_of(4, 8);
     for number in 0..200 {
@@ -193,11 +206,12 @@
     Ok(())
 }
 
-/// A pool whose want rises keeps less than it wants; it is no giver for that.
+/// A pool whose demand rises publishes that it keeps fewer VMs than it wants. It gives none for
+/// that, since it lacks VMs.
 async fn balance_gives_none() -> Result<()> {
     let rising = VmBalance {
         keep: 2,
-        ..share(9, &["a1", "a2", "a3", "a4", "a5", "a6"])
+        ..balance(9, &["a1", "a2", "a3", "a4", "a5", "a6"])
     };
     let pools = BTreeMap::from([("a".to_owned(), rising)]);
     ensure!(plan_moves(&pools).is_empty(), "{:?}", plan_moves(&pools));
@@ -205,7 +219,7 @@
 }
 
 quickcheck! {
-    /// Moves give only what is there, and never more than is lacked.
+    /// A pool gives at most the VMs that it has, and no pool both gives and gets.
     fn moves_add_up(wants: Vec<(u8, u8, u8)>) -> bool {
         let pools: BTreeMap<String, VmBalance> = wants
             .iter()
@@ -215,45 +229,45 @@
                 let vms: Vec<String> = (0..has % 20).map(|vm| format!("{number}-{vm}")).collect();
                 let vms: Vec<&str> = vms.iter().map(String::as_str).collect();
                 let want = u32::from(want % 30);
-                let share = VmBalance {
+                let balance = VmBalance {
                     keep: want.min(u32::from(*keep)),
-                    ..share(want, &vms)
+                    ..balance(want, &vms)
                 };
-                (format!("p{number}"), share)
+                (format!("p{number}"), balance)
             })
             .collect();
         let moves = plan_moves(&pools);
-        pools.iter().all(|(pool, share)| {
+        pools.iter().all(|(pool, balance)| {
             let gives: usize = moves.iter().filter(|m| m.from == *pool).map(|m| m.count).sum();
             let gets: usize = moves.iter().filter(|m| m.to == *pool).map(|m| m.count).sum();
-            gives <= share.vms.len() && (gives == 0 || gets == 0)
+            gives <= balance.vms.len() && (gives == 0 || gets == 0)
         })
     }
 }
 
-/// Lasting tasks of `jobs` jobs on the first runner, which then leaves; answers
-/// with the state.
+/// A pool whose first runner has one long-running task of each of `jobs` jobs and then drains,
+/// beside another runner with `free` cores; tasks to move are stopped.
 fn draining(jobs: usize, max_unavailable: u32, free: u64) -> PoolState {
     let mut state = pool_of(1, 8);
     for number in 0..jobs {
-        let lasting = StepSpec {
+        let long_running = StepSpec {
             long_running: true,
             max_unavailable,
             ..step(1)
         };
-        state.add_job(new_job(&format!("l{number}"), vec![lasting]), 1_000);
+        state.add_job(new_job(&format!("l{number}"), vec![long_running]), 1_000);
     }
     let orders = start_all(&mut state, 1_000);
-    let leaves = orders[0].runner;
+    let drains = orders[0].runner;
     let report = HeartbeatReport {
         started_at: None,
         clock_ms: 1_500,
-        running: running_on(&state, leaves, None, 100),
+        running: running_on(&state, drains, None, 100),
         ended: Vec::new(),
     };
-    state.record_heartbeat(leaves, &report, 1_499, 1_500);
+    state.record_heartbeat(drains, &report, 1_499, 1_500);
     let mut facts = state
-        .runner(leaves)
+        .runner(drains)
         .map(|r| r.facts.clone())
         .unwrap_or_default();
     let mut other = facts.clone();
@@ -269,32 +283,35 @@
     state
 }
 
-async fn drain_room() -> Result<()> {
+/// Only as many tasks are moved off as another runner has free capacity for.
+async fn drain_capacity() -> Result<()> {
     let mut state = draining(5, 1, 1);
     let stops = state.take_stop_orders().len();
-    ensure!(stops == 1, "{stops} stops, and room for one elsewhere");
+    ensure!(stops == 1, "{stops} stops, and capacity for one elsewhere");
     Ok(())
 }
 
-async fn drain_unmissable() -> Result<()> {
+/// Tasks of steps that may have none unavailable are moved off too, since they end with the
+/// runner in any case.
+async fn drain_undisruptable() -> Result<()> {
     let mut state = draining(2, 0, 8);
     let stops = state.take_stop_orders().len();
-    ensure!(stops > 0, "no stop though there is room");
+    ensure!(stops > 0, "no stop though there is free capacity");
     Ok(())
 }
 
-/// A pool at the end of its turn lacks some VMs, the pool whose turn begins nearly
-/// all. The first one keeps what its steady work needs, and nothing goes back.
+/// A pool whose peak of demand ends lacks some VMs, and one whose peak begins lacks nearly all.
+/// The first one gives VMs but keeps what its steady work needs, and no VM goes back.
 async fn balance_lacks() -> Result<()> {
     let names: Vec<String> = (0..37).map(|number| format!("v{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let ending = VmBalance {
         keep: 24,
-        ..share(36, &names[..31])
+        ..balance(36, &names[..31])
     };
     let beginning = VmBalance {
         keep: 5,
-        ..share(30, &names[31..])
+        ..balance(30, &names[31..])
     };
     let mut pools = BTreeMap::from([("a".to_owned(), ending), ("b".to_owned(), beginning)]);
     let moves = plan_moves(&pools);
--- a/crates/hoisthitch-jobs/tests/decisions/quota.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/quota.rs
@@ -1,4 +1,5 @@
-//! Limits of teams: what pools take of them in sum, and what a plan starts under one.
+//! Tests of quotas of teams: which part of a team's limit is allocated to each pool, and what a
+//! plan starts within that allocation.
 
 use std::collections::BTreeMap;
 
@@ -22,9 +23,10 @@
     step, //
 };
 
-/// When the pools of the cases decide.
-const NOW: u64 = 2_000;
+/// Time at which the pools of the cases plan, in milliseconds.
+const NOW_MS: u64 = 2_000;
 
+/// So many cores, and nothing else.
 fn cores(cores: u64) -> ResourceAmounts {
     ResourceAmounts {
         cpu_milli: cores * 1_000,
@@ -33,8 +35,8 @@
     }
 }
 
-/// Leave for so many cores, and any memory.
-fn allowance(count: u64) -> ResourceAmounts {
+/// An allocation of so many cores, without a limit on memory and GPUs.
+fn core_quota(count: u64) -> ResourceAmounts {
     ResourceAmounts {
         memory_mb: u64::MAX,
         gpus: u64::MAX,
@@ -42,7 +44,8 @@
     }
 }
 
-fn needs(used: u64, waiting: u64) -> TeamUsage {
+/// Cores in use by a team's tasks, and requested by those that wait.
+fn usage(used: u64, waiting: u64) -> TeamUsage {
     TeamUsage {
         used: cores(used),
         waiting: cores(waiting),
@@ -55,54 +58,60 @@
     parts_follow_a_limit_that_is_lowered => lowers();
     amounts_without_a_limit_are_free => frees();
     plan_starts_no_more_than_its_part => plans();
-    team_that_is_held_back_holds_up_no_other => holds_up_none();
+    team_that_is_held_back_holds_up_no_other => delays_none();
 }
 
+/// An allocation covers what the pool's tasks request and at most half more, stays while their
+/// requests are about the same, and shrinks with them.
 async fn follows() -> Result<()> {
-    let mut parts = QuotaAllocations::default();
+    let mut allocations = QuotaAllocations::default();
     let limit = cores(64);
-    let part = parts.next_allocation("halls", limit, needs(0, 8));
+    let allocation = allocations.next_allocation("halls", limit, usage(0, 8));
     ensure!(
-        part.cpu_milli >= 8_000 && part.cpu_milli <= 12_000,
-        "{part:?}"
+        allocation.cpu_milli >= 8_000 && allocation.cpu_milli <= 12_000,
+        "{allocation:?}"
     );
-    parts.set("halls", part);
+    allocations.set("halls", allocation);
     ensure!(
-        parts.next_allocation("halls", limit, needs(6, 2)) == part,
-        "near enough"
+        allocations.next_allocation("halls", limit, usage(6, 2)) == allocation,
+        "changed though the sum of the requests did not"
     );
-    let less = parts.next_allocation("halls", limit, needs(1, 0));
-    ensure!(less.cpu_milli < part.cpu_milli, "{less:?}");
-    let none = parts.next_allocation("halls", limit, needs(0, 0));
+    let less = allocations.next_allocation("halls", limit, usage(1, 0));
+    ensure!(less.cpu_milli < allocation.cpu_milli, "{less:?}");
+    let none = allocations.next_allocation("halls", limit, usage(0, 0));
     ensure!(none == ResourceAmounts::default(), "{none:?}");
     Ok(())
 }
 
+/// An allocation is at most what the other pools' allocations leave free.
 async fn leaves() -> Result<()> {
-    let mut parts = QuotaAllocations::default();
-    parts.set("concerts", cores(60));
-    let part = parts.next_allocation("halls", cores(64), needs(0, 30));
-    ensure!(part == cores(4), "{part:?}");
-    ensure!(parts.allowed("halls", cores(64)) == allowance(0));
+    let mut allocations = QuotaAllocations::default();
+    allocations.set("concerts", cores(60));
+    let allocation = allocations.next_allocation("halls", cores(64), usage(0, 30));
+    ensure!(allocation == cores(4), "{allocation:?}");
+    ensure!(allocations.allowed("halls", cores(64)) == core_quota(0));
     Ok(())
 }
 
+/// When a limit is lowered below the sum of the allocations, what runs goes on, and allocations
+/// shrink to what is in use.
 async fn lowers() -> Result<()> {
-    let mut parts = QuotaAllocations::default();
-    parts.set("concerts", cores(30));
-    parts.set("halls", cores(30));
-    let allowed = parts.allowed("halls", cores(20));
+    let mut allocations = QuotaAllocations::default();
+    allocations.set("concerts", cores(30));
+    allocations.set("halls", cores(30));
+    let allowed = allocations.allowed("halls", cores(20));
     ensure!(allowed.cpu_milli == 10_000, "{allowed:?}");
-    let kept = parts.next_allocation("halls", cores(20), needs(25, 5));
-    ensure!(kept == cores(25), "what runs goes on: {kept:?}");
-    let less = parts.next_allocation("halls", cores(20), needs(5, 5));
+    let kept = allocations.next_allocation("halls", cores(20), usage(25, 5));
+    ensure!(kept == cores(25), "less than what runs: {kept:?}");
+    let less = allocations.next_allocation("halls", cores(20), usage(5, 5));
     ensure!(less == cores(5), "{less:?}");
     Ok(())
 }
 
+/// A limit of cores alone neither limits nor allocates memory and GPUs.
 async fn frees() -> Result<()> {
-    let parts = QuotaAllocations::default();
-    let part = parts.next_allocation(
+    let allocations = QuotaAllocations::default();
+    let allocation = allocations.next_allocation(
         "halls",
         cores(8),
         TeamUsage {
@@ -114,25 +123,30 @@
             },
         },
     );
-    ensure!(part.memory_mb == 0 && part.gpus == 0, "{part:?}");
-    let allowed = parts.allowed("halls", cores(8));
+    ensure!(
+        allocation.memory_mb == 0 && allocation.gpus == 0,
+        "{allocation:?}"
+    );
+    let allowed = allocations.allowed("halls", cores(8));
     ensure!(allowed.memory_mb == u64::MAX && allowed.gpus == u64::MAX);
     Ok(())
 }
 
-/// A job of a team, in a pool with room for all.
-fn hand_in(state: &mut PoolState, id: &str, team: &str) {
+/// Adds a job of a team, with four tasks of a core each.
+fn submit(state: &mut PoolState, id: &str, team: &str) {
     let mut new = new_job(id, vec![step(4)]);
     new.submission.team = team.to_owned();
-    state.add_job(new, NOW);
+    state.add_job(new, NOW_MS);
 }
 
+/// A plan starts tasks up to the team's allocation, none once that is below what runs, and the
+/// rest once it is raised.
 async fn plans() -> Result<()> {
     let mut state = pool_of(4, 8);
-    state.set_quota_allocation("choir", allowance(6));
-    hand_in(&mut state, "a", "choir");
-    hand_in(&mut state, "b", "choir");
-    decide(&mut state, NOW);
+    state.set_quota_allocation("choir", core_quota(6));
+    submit(&mut state, "a", "choir");
+    submit(&mut state, "b", "choir");
+    decide(&mut state, NOW_MS);
     let used = state.team_usage()["choir"].used;
     ensure!(
         used.cpu_milli <= 6_000 && used.cpu_milli > 5_000,
@@ -142,55 +156,58 @@
         state
             .tasks_over_quota()
             .get("choir")
-            .is_some_and(|held| *held > 0)
+            .is_some_and(|over| *over > 0)
     );
-    state.set_quota_allocation("choir", allowance(2));
+    state.set_quota_allocation("choir", core_quota(2));
     ensure!(
-        decide(&mut state, NOW).is_empty(),
-        "a limit that is lowered starts nothing"
+        decide(&mut state, NOW_MS).is_empty(),
+        "tasks were started under a lowered limit"
     );
-    state.set_quota_allocation("choir", allowance(60));
-    ensure!(!decide(&mut state, NOW).is_empty());
+    state.set_quota_allocation("choir", core_quota(60));
+    ensure!(!decide(&mut state, NOW_MS).is_empty());
     ensure!(state.tasks_over_quota().is_empty());
     Ok(())
 }
 
-async fn holds_up_none() -> Result<()> {
+/// Tasks of a team that is at its limit delay neither another team's tasks nor those without a
+/// team.
+async fn delays_none() -> Result<()> {
     let mut state = pool_of(4, 8);
-    state.set_quota_allocation("choir", allowance(0));
-    hand_in(&mut state, "a", "choir");
-    hand_in(&mut state, "b", "band");
-    hand_in(&mut state, "c", "");
+    state.set_quota_allocation("choir", core_quota(0));
+    submit(&mut state, "a", "choir");
+    submit(&mut state, "b", "band");
+    submit(&mut state, "c", "");
     ensure!(
-        decide(&mut state, NOW).len() == 8,
-        "both others start whole"
+        decide(&mut state, NOW_MS).len() == 8,
+        "not all tasks of the two other jobs start"
     );
     Ok(())
 }
 
 quickcheck! {
-    /// Pools that take and give back in any order, each by what the record says, never hold
-    /// more than the limit in sum, and each always holds what it uses.
+    /// Pools that raise and lower their allocations in any order, each by the team's record,
+    /// never use more than the limit in sum, and each pool's allocation always covers what it
+    /// uses.
     fn parts_never_pass_the_limit(limit: u16, turns: Vec<(u8, u16, u16)>) -> bool {
         let limit = u64::from(limit) + 1;
-        let mut parts = QuotaAllocations::default();
+        let mut allocations = QuotaAllocations::default();
         let mut used: BTreeMap<u8, u64> = BTreeMap::new();
         turns.into_iter().all(|(pool, wants, ends)| {
             let pool = pool % 5;
             let name = format!("pool-{pool}");
             let running = used.entry(pool).or_default();
             *running = running.saturating_sub(u64::from(ends) * 1_000);
-            let needs = TeamUsage {
+            let usage = TeamUsage {
                 used: ResourceAmounts { cpu_milli: *running, ..ResourceAmounts::default() },
                 waiting: cores(u64::from(wants)),
             };
-            let part = parts.next_allocation(&name, cores(limit), needs);
-            parts.set(&name, part);
-            let allowed = parts.allowed(&name, cores(limit)).cpu_milli;
+            let allocation = allocations.next_allocation(&name, cores(limit), usage);
+            allocations.set(&name, allocation);
+            let allowed = allocations.allowed(&name, cores(limit)).cpu_milli;
             let start = (u64::from(wants) * 1_000).min(allowed.saturating_sub(*running));
             *running += start;
             let sum: u64 = used.values().sum();
-            sum <= limit * 1_000 && used[&pool] <= part.cpu_milli
+            sum <= limit * 1_000 && used[&pool] <= allocation.cpu_milli
         })
     }
 }
--- a/crates/hoisthitch-jobs/tests/decisions/suspects.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/suspects.rs
@@ -1,4 +1,8 @@
-//! Runners that are lost under tasks: which of them are tried alone, cleared and given up.
+//! Tests of tasks whose runners crash: which tasks are run in isolation, cleared of suspicion,
+//! or failed as the cause.
+//!
+//! They guard against a task that crashes one runner after the other, and against failing tasks
+//! that only ran beside it.
 
 use eyre::{
     OptionExt,
@@ -30,20 +34,20 @@
 };
 
 cases! {
-    task_alone_under_crashes_right_after_its_start_is_given_up => given_up();
-    lasting_task_is_given_up_alike => given_up_lasting();
-    suspect_gets_a_runner_alone => runs_alone();
+    task_alone_under_crashes_right_after_its_start_is_given_up => failed();
+    lasting_task_is_given_up_alike => failed_long_running();
+    suspect_gets_a_runner_alone => runs_in_isolation();
     neighbour_that_runs_on_is_cleared => cleared();
     runners_lost_at_one_moment_count_against_nobody => one_moment();
     runner_that_leaves_as_announced_counts_against_nobody => announced();
-    job_that_was_given_up_keeps_nobody_planning => rests();
+    job_that_was_given_up_keeps_nobody_planning => needs_no_plan();
     what_counts_outlasts_the_owner => outlasts_owner();
-    room_that_shrank_takes_nothing_more => shrunk_room();
+    room_that_shrank_takes_nothing_more => shrunk_capacity();
     repeat_of_a_suspect_is_stopped_beside_others => repeated_suspect();
 }
 
-/// Lets each runner be heard, with what it runs.
-fn hear_all(state: &mut PoolState, now: u64) {
+/// Each runner reports all its runs as running.
+fn report_all(state: &mut PoolState, now: u64) {
     let keys: Vec<RunnerKey> = state.runners().map(|(key, _)| key).collect();
     for key in keys {
         let report = HeartbeatReport {
@@ -54,27 +58,30 @@
     }
 }
 
-/// A runner's connections are reset, and another runner is found in its place later.
+/// A runner's connections are reset; 2 s later it is removed as crashed, as when another
+/// instance is found in its place.
 fn crash(state: &mut PoolState, runner: RunnerKey, now: u64) {
     state.record_missed_heartbeat(runner, true, now);
     state.remove_runner(runner, RunnerLoss::Crashed, now + 2_000);
 }
 
-/// A pool that has been heard for a minute, and one job of the step.
-fn heard_pool(runners: u32, job_step: StepSpec) -> PoolState {
+/// A pool whose runners have reported for a minute, and one job of the step.
+fn reporting_pool(runners: u32, job_step: StepSpec) -> PoolState {
     let mut state = pool_of(runners, 8);
-    hear_all(&mut state, 1_000);
-    hear_all(&mut state, 61_000);
+    report_all(&mut state, 1_000);
+    report_all(&mut state, 61_000);
     state.add_job(new_job("a", vec![job_step]), 61_000);
     state
 }
 
+/// The first of these orders, which has to exist.
 fn first(orders: &[StartOrder]) -> Result<StartOrder> {
-    orders.first().cloned().ok_or_eyre("nothing was ordered")
+    orders.first().cloned().ok_or_eyre("no start was ordered")
 }
 
-/// Crashes of its runner right after its start, until it is not started any more.
-fn crashes_until_given_up(state: &mut PoolState) -> Result<u32> {
+/// Crashes the runner of each start right after it, until nothing is started any more; returns
+/// the number of crashes.
+fn crashes_until_failed(state: &mut PoolState) -> Result<u32> {
     let mut now = 61_000;
     for crashes in 0..6 {
         let Some(order) = start_all(state, now).into_iter().next() else {
@@ -82,50 +89,54 @@
         };
         crash(state, order.runner, now + 10);
         now += 4_000;
-        hear_all(state, now);
+        report_all(state, now);
     }
-    eyre::bail!("it is started again and again")
+    eyre::bail!("the task is started again and again")
 }
 
-async fn given_up() -> Result<()> {
-    let mut state = heard_pool(8, step(1));
-    let crashes = crashes_until_given_up(&mut state)?;
+/// A task alone on its runner is failed, and reported, after two or three crashes right after
+/// its start.
+async fn failed() -> Result<()> {
+    let mut state = reporting_pool(8, step(1));
+    let crashes = crashes_until_failed(&mut state)?;
     ensure!((2..=3).contains(&crashes), "{crashes} crashes");
     let phase = state.job("a").map(|job| job.phase);
     ensure!(phase == Some(JobPhase::Failed), "{phase:?}");
-    let told = state.take_crashing_tasks();
+    let crashing = state.take_crashing_tasks();
     ensure!(
-        told.len() == 1 && told[0].suspicion.losses == crashes,
-        "{told:?}"
+        crashing.len() == 1 && crashing[0].suspicion.losses == crashes,
+        "{crashing:?}"
     );
     ensure!(state.take_lost_runs().len() == crashes as usize);
     Ok(())
 }
 
-/// Its tasks wait for ever, and nothing is to be planned for them.
-async fn rests() -> Result<()> {
-    let mut state = heard_pool(8, step(3));
-    crashes_until_given_up(&mut state)?;
+/// The tasks of a failed job never run again, and no plan is needed for them.
+async fn needs_no_plan() -> Result<()> {
+    let mut state = reporting_pool(8, step(3));
+    crashes_until_failed(&mut state)?;
     for now in [90_000, 90_050] {
         state.clear_suspects(now);
         state.plan(now);
     }
     state.clear_suspects(90_100);
-    ensure!(!state.needs_plan(), "it is planned again and again");
+    ensure!(!state.needs_plan(), "plans are needed again and again");
     Ok(())
 }
 
-async fn given_up_lasting() -> Result<()> {
-    let mut lasting = step(1);
-    lasting.long_running = true;
-    let mut state = heard_pool(8, lasting);
-    let crashes = crashes_until_given_up(&mut state)?;
+/// A long-running task is failed after two or three such crashes too.
+async fn failed_long_running() -> Result<()> {
+    let mut long_running = step(1);
+    long_running.long_running = true;
+    let mut state = reporting_pool(8, long_running);
+    let crashes = crashes_until_failed(&mut state)?;
     ensure!((2..=3).contains(&crashes), "{crashes} crashes");
     Ok(())
 }
 
-async fn runs_alone() -> Result<()> {
-    let mut state = heard_pool(3, step(1));
+/// A suspect is run in isolation: no other task is started on its runner.
+async fn runs_in_isolation() -> Result<()> {
+    let mut state = reporting_pool(3, step(1));
     let order = first(&start_all(&mut state, 61_000))?;
     crash(&mut state, order.runner, 61_010);
     let again = first(&start_all(&mut state, 64_000))?;
@@ -136,12 +147,13 @@
     Ok(())
 }
 
+/// A suspect that runs on for long enough is cleared, and others are started beside it.
 async fn cleared() -> Result<()> {
-    let mut state = heard_pool(3, step(1));
+    let mut state = reporting_pool(3, step(1));
     let order = first(&start_all(&mut state, 61_000))?;
     crash(&mut state, order.runner, 61_010);
     first(&start_all(&mut state, 64_000))?;
-    hear_all(&mut state, 65_500);
+    report_all(&mut state, 65_500);
     state.clear_suspects(65_500);
     state.add_job(new_job("b", vec![step(16)]), 65_500);
     let others = start_all(&mut state, 65_500);
@@ -149,8 +161,9 @@
     Ok(())
 }
 
+/// Two runners that are lost at the same moment count against none of their tasks.
 async fn one_moment() -> Result<()> {
-    let mut state = heard_pool(4, step(1));
+    let mut state = reporting_pool(4, step(1));
     state.add_job(new_job("b", vec![step(1)]), 61_000);
     for round in 0..2 {
         let now = 61_000 + round * 5_000;
@@ -176,8 +189,9 @@
     Ok(())
 }
 
+/// A runner that is lost while it is evacuating counts against none of its tasks.
 async fn announced() -> Result<()> {
-    let mut state = heard_pool(3, step(1));
+    let mut state = reporting_pool(3, step(1));
     let order = first(&start_all(&mut state, 61_000))?;
     state.set_evacuating(order.runner, true);
     crash(&mut state, order.runner, 61_010);
@@ -190,9 +204,9 @@
     Ok(())
 }
 
-/// The next owner takes over what counts with the job's record.
+/// The next owner gets the losses that count against a task from the job's record.
 async fn outlasts_owner() -> Result<()> {
-    let mut state = heard_pool(8, step(1));
+    let mut state = reporting_pool(8, step(1));
     let order = first(&start_all(&mut state, 61_000))?;
     crash(&mut state, order.runner, 61_010);
     let plan = state.begin_flush(10);
@@ -201,9 +215,9 @@
     let mut job = new_job("a", vec![step(1)]);
     job.progress = Some(serde_json::from_str(&text)?);
     let mut next = pool_of(8, 8);
-    hear_all(&mut next, 1_000);
+    report_all(&mut next, 1_000);
     next.add_job(job, 61_000);
-    hear_all(&mut next, 61_000);
+    report_all(&mut next, 61_000);
     let again = first(&start_all(&mut next, 64_000))?;
     crash(&mut next, again.runner, 64_010);
     let lost = next.take_lost_runs();
@@ -211,7 +225,9 @@
     Ok(())
 }
 
-async fn shrunk_room() -> Result<()> {
+/// A runner whose capacity shrinks below what it runs gets no tasks; it gets more once its
+/// capacity grows.
+async fn shrunk_capacity() -> Result<()> {
     let mut state = PoolState::new(InheritedRuns::default());
     let facts = |cores: u64| RunnerFacts {
         name: "i-0".to_owned(),
@@ -228,20 +244,26 @@
     state.add_job(new_job("a", vec![step(12)]), 1_000);
     ensure!(start_all(&mut state, 1_000).len() == 8);
     state.set_runner(facts(3), 1_100);
-    ensure!(decide(&mut state, 1_100).is_empty(), "it is over its room");
+    ensure!(
+        decide(&mut state, 1_100).is_empty(),
+        "a task was started beyond the capacity"
+    );
     state.set_runner(facts(10), 1_200);
-    ensure!(decide(&mut state, 1_200).len() == 2, "it has grown");
+    ensure!(
+        decide(&mut state, 1_200).len() == 2,
+        "the added capacity is not used"
+    );
     Ok(())
 }
 
-/// A start got no answer, two runners are lost right after they began others of its step, and
-/// its own runner has other tasks: it is not sent again beside them.
+/// A start got no response, two runners are lost right after they began other tasks of its
+/// step, and its own runner has other tasks: the start is not sent again beside them.
 async fn repeated_suspect() -> Result<()> {
     let spread = StepSpec {
         max_per_runner: 1,
         ..step(3)
     };
-    let mut state = heard_pool(3, spread);
+    let mut state = reporting_pool(3, spread);
     state.add_job(new_job("b", vec![step(12)]), 61_000);
     let orders = decide(&mut state, 61_000);
     let of_step = |index: u32| {
--- a/crates/hoisthitch-jobs/tests/decisions/waves.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/waves.rs
@@ -1,5 +1,5 @@
-//! Waves: changes of owners that write one record, and runners that may go down
-//! together.
+//! Tests of maintenance waves: several owners change one record of a wave, and some runners may
+//! go down together.
 
 use eyre::{
     Result,
@@ -27,9 +27,10 @@
     change_is_put_on_what_another_owner_wrote => merges();
     no_more_are_down_than_may_be_at_once => limits();
     vm_that_had_its_upkeep_is_not_taken_down_again => keeps_done();
-    runners_that_are_free_may_go_down_together => goes_together();
+    runners_that_are_free_may_go_down_together => go_down_together();
 }
 
+/// A change that takes these VMs down.
 fn down(vms: &[&str]) -> WaveChange {
     let instances = vms
         .iter()
@@ -40,6 +41,8 @@
     }
 }
 
+/// A change is applied to what another owner wrote in between, and applying it twice changes
+/// nothing.
 async fn merges() -> Result<()> {
     let first = WaveProgress::default().with(&down(&["a", "b"]), 10);
     let mut change = down(&["c"]);
@@ -49,10 +52,14 @@
     let both = other.with(&change, 10);
     ensure!(both.down.keys().eq(["a", "c", "x"]), "{:?}", both.down);
     ensure!(both.begun.contains("a") && both.done.contains("b"));
-    ensure!(both.with(&change, 10) == both, "the same change, once more");
+    ensure!(
+        both.with(&change, 10) == both,
+        "the same change was applied twice"
+    );
     Ok(())
 }
 
+/// No more VMs are down at once than the limit.
 async fn limits() -> Result<()> {
     let first = WaveProgress::default().with(&down(&["a", "b"]), 3);
     let next = first.with(&down(&["c", "d"]), 3);
@@ -60,6 +67,7 @@
     Ok(())
 }
 
+/// A VM whose maintenance is done is neither due nor taken down again.
 async fn keeps_done() -> Result<()> {
     let mut change = WaveChange::default();
     change.done.insert("a".to_owned());
@@ -70,17 +78,17 @@
     Ok(())
 }
 
-/// Three tasks of a lasting step, one of which may be away: each of their runners could
-/// go down by itself, but only one of them at once.
-async fn goes_together() -> Result<()> {
+/// Three tasks of a long-running step, one of which may be unavailable: each of their runners
+/// could go down by itself, but only one of them at a time.
+async fn go_down_together() -> Result<()> {
     let mut state = pool_of(4, 8);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         max_per_runner: 1,
         max_unavailable: 1,
         ..step(3)
     };
-    state.add_job(new_job("long", vec![lasting]), 1_000);
+    state.add_job(new_job("long", vec![long_running]), 1_000);
     let orders = start_all(&mut state, 1_000);
     for order in &orders {
         let report = HeartbeatReport {
@@ -94,9 +102,11 @@
     for key in &keys {
         ensure!(state.evacuation_status(*key) == EvacuationStatus::Free);
     }
-    let views = state.evacuation_statuses(&keys);
-    let free = views.iter().filter(|view| **view == EvacuationStatus::Free);
-    // The empty one, and one with a task.
-    ensure!(free.count() == 2, "{views:?}");
+    let statuses = state.evacuation_statuses(&keys);
+    let free = statuses
+        .iter()
+        .filter(|status| **status == EvacuationStatus::Free);
+    // The runner without tasks, and one of those with a task.
+    ensure!(free.count() == 2, "{statuses:?}");
     Ok(())
 }
