--- a/crates/hoisthitch-jobs/tests/patterns/fleet.rs
+++ b/crates/hoisthitch-jobs/tests/patterns/fleet.rs
@@ -1,10 +1,11 @@
-//! A model of pools and their VMs around the decisions, without a network.
+//! Simulates pools and their VMs around the decisions, without a network.
 //!
-//! Each pool's owner decides as in the product: it places tasks, says what the pool wants,
-//! and gives VMs away once they are empty. The model adds what takes time: an order 20
-//! ms, a report 40 ms, a stop 400 ms (the platform allows 900), a move 1.5 s and 400 ms
-//! until the runner is known, and what an owner may not do: to order about a VM that
-//! another one ordered about in the last 3.2 s. The clock is the model's.
+//! It is given jobs with their arrival times and the true times of their tasks, and returns the
+//! jobs that ended. Each pool's owner decides as in the product: it places tasks, publishes how
+//! many VMs the pool wants, and gives VMs away once they are empty. The simulation adds the
+//! delays: 20 ms for an order, 40 ms for a report, 400 ms for a stop (the platform allows 900),
+//! 1.5 s for a move and 400 ms until the runner is known. It also keeps an owner from ordering
+//! an operation on a VM that another owner ordered one on in the last 3.2 s. Time is simulated.
 
 use std::collections::{
     BTreeMap,
@@ -35,82 +36,92 @@
     plan_moves, //
 };
 
-/// Time between two looks of the model, in milliseconds.
+/// Time between two passes of the simulation, in milliseconds.
 const TICK_MS: u64 = 20;
 /// Time between two reports of a runner on which nothing ended, in milliseconds.
 const REPORT_MS: u64 = 200;
 /// Time from an order until the task runs, in milliseconds.
 const ORDER_MS: u64 = 20;
-/// Time that a stop takes, in milliseconds.
+/// Time from an order to stop a task until it has stopped, in milliseconds.
 const STOP_MS: u64 = 400;
 /// Time from the order of a move until the runner can get tasks, in milliseconds.
 const MOVE_MS: u64 = 1_900;
-/// Time for which no other owner orders about a VM, in milliseconds.
+/// Time after a move for which no other owner may move the VM, in milliseconds.
 const SETTLE_MS: u64 = 3_200;
-/// Time between two looks of an owner at its VMs, in milliseconds.
+/// Time between two passes in which owners plan moves of VMs, in milliseconds.
 const BALANCE_MS: u64 = 200;
 /// Capacity of a VM, in thousandths of a core.
-const VM_CPU: u64 = 16_000;
+const VM_CPU_MILLI: u64 = 16_000;
 
-/// Name of the pool whose VMs are off.
+/// Name of the pool of VMs that are turned off.
 pub const OFF: &str = "off";
 
-/// A job that comes in, with the true time of each of its tasks.
+/// A job that arrives, with the true time of each of its tasks.
 #[derive(Clone, Debug)]
 pub struct ModelJob {
+    /// Time of its arrival after the begin of the simulation, in milliseconds.
     pub at: u64,
     pub pool: String,
     pub id: String,
     pub spec: JobSpec,
-    /// Time of its tasks, in milliseconds, by step and number.
+    /// Time of its tasks, in milliseconds, by step and index.
     pub times: Vec<Vec<u64>>,
 }
 
+/// A run of a task on a VM.
 struct ModelRun {
     name: String,
     run: u32,
-    began: u64,
-    left: u64,
-    stopping: Option<u64>,
+    began_at: u64,
+    /// Time that the task still needs at the begin of the run, in milliseconds.
+    remaining_ms: u64,
+    /// When a stop takes effect; none where none was ordered.
+    stops_at: Option<u64>,
 }
 
+/// A VM and its runner.
 struct ModelVm {
     name: String,
     key: RunnerKey,
     runs: Vec<ModelRun>,
-    ends: u64,
-    reported: u64,
+    /// Number of the last end that was reported.
+    last_end: u64,
+    reported_at: u64,
 }
 
+/// A pool, its owner's state and its VMs.
 #[derive(Default)]
 struct ModelPool {
     state: PoolState,
-    wants: DemandHistory,
-    share: VmBalance,
+    demand: DemandHistory,
+    balance: VmBalance,
     vms: Vec<ModelVm>,
-    /// VMs of a pool whose VMs are off, and since when they are there.
-    idle: Vec<(String, u64)>,
-    leaving: Vec<RunnerKey>,
+    /// VMs of the pool of turned-off VMs, and since when they are there.
+    turned_off: Vec<(String, u64)>,
+    /// Runners that are evacuated to give their VMs away.
+    evacuating: Vec<RunnerKey>,
     ended: Vec<EndedJob>,
 }
 
-/// VMs on their way.
+/// A VM on its way to another pool.
 struct ModelMove {
     vm: String,
     to: String,
-    at: u64,
+    arrives_at: u64,
 }
 
-/// The model.
+/// The simulated fleet.
 pub struct ModelFleet {
     now: u64,
     pools: BTreeMap<String, ModelPool>,
     moves: Vec<ModelMove>,
+    /// Number of runners so far; it is a part of the name of each.
     instances: u32,
-    /// Time of each task that is left, by its name, in milliseconds.
-    left: HashMap<String, u64>,
-    /// VM-seconds in pools that are not off, in milliseconds.
+    /// Time that each task still needs, by its name, in milliseconds.
+    remaining_ms: HashMap<String, u64>,
+    /// Time of all VMs that were turned on or on their way, in VM-milliseconds.
     pub vm_ms: u64,
+    /// Number of VMs that were moved.
     pub moved: usize,
 }
 
@@ -122,7 +133,7 @@
             pools: BTreeMap::new(),
             moves: Vec::new(),
             instances: 0,
-            left: HashMap::new(),
+            remaining_ms: HashMap::new(),
             vm_ms: 0,
             moved: 0,
         };
@@ -135,6 +146,7 @@
         fleet
     }
 
+    /// Adds a VM to a pool, with a ready runner unless the VM is turned off.
     fn arrive(&mut self, pool: &str, vm: String, since: u64) {
         self.instances += 1;
         let instance = self.instances;
@@ -142,7 +154,7 @@
             return;
         };
         if pool == OFF {
-            entry.idle.push((vm, since));
+            entry.turned_off.push((vm, since));
             return;
         }
         let facts = RunnerFacts {
@@ -150,7 +162,7 @@
             started_at: None,
             vm: vm.clone(),
             capacity: ResourceAmounts {
-                cpu_milli: VM_CPU,
+                cpu_milli: VM_CPU_MILLI,
                 memory_mb: 32_000,
                 gpus: 0,
             },
@@ -165,25 +177,25 @@
             name: vm,
             key,
             runs: Vec::new(),
-            ends: 0,
-            reported: 0,
+            last_end: 0,
+            reported_at: 0,
         });
     }
 
-    /// Plays jobs, given in the order of their times, until `until`; answers with those
+    /// Simulates jobs, given in the order of their arrival, for `duration_ms`; returns those
     /// that ended.
-    pub fn play(&mut self, jobs: &[ModelJob], until: u64) -> Vec<EndedJob> {
+    pub fn run(&mut self, jobs: &[ModelJob], duration_ms: u64) -> Vec<EndedJob> {
         let start = self.now;
         let mut coming = jobs.iter().peekable();
-        while self.now < start + until {
+        while self.now < start + duration_ms {
             self.now += TICK_MS;
             while let Some(job) = coming.next_if(|job| start + job.at <= self.now) {
                 self.submit(job);
             }
-            self.land();
+            self.finish_moves();
             for pool in self.pools.values_mut() {
-                pool.report(self.now, &mut self.left);
-                pool.decide(self.now, &self.left);
+                pool.report(self.now, &mut self.remaining_ms);
+                pool.decide(self.now, &self.remaining_ms);
             }
             if (self.now - start).is_multiple_of(BALANCE_MS) {
                 self.balance();
@@ -200,7 +212,7 @@
     fn submit(&mut self, job: &ModelJob) {
         for (step, times) in job.times.iter().enumerate() {
             for (index, time) in times.iter().enumerate() {
-                self.left
+                self.remaining_ms
                     .insert(format!("{}.0.{step}.{index}", job.id), *time);
             }
         }
@@ -229,45 +241,47 @@
         pool.state.add_job(new, self.now);
     }
 
-    /// Takes in the VMs that have arrived.
-    fn land(&mut self) {
+    /// Adds the VMs that have arrived to their new pools.
+    fn finish_moves(&mut self) {
         let now = self.now;
-        let (landed, coming) = std::mem::take(&mut self.moves)
+        let (arrived, coming) = std::mem::take(&mut self.moves)
             .into_iter()
-            .partition(|order| order.at <= now);
+            .partition(|order| order.arrives_at <= now);
         self.moves = coming;
-        for order in landed {
+        for order in arrived {
             for pool in self.pools.values_mut() {
-                pool.share.sent.remove(&order.vm);
+                pool.balance.sent.remove(&order.vm);
             }
             self.arrive(&order.to, order.vm, now);
         }
     }
 
+    /// Publishes the balance of each pool, plans moves from all of them, and begins the moves
+    /// of VMs that are empty.
     fn balance(&mut self) {
         let now = self.now;
         for (name, pool) in &mut self.pools {
-            pool.tell(name == OFF, now);
+            pool.update_balance(name == OFF, now);
         }
-        let shares: BTreeMap<String, VmBalance> = self
+        let balances: BTreeMap<String, VmBalance> = self
             .pools
             .iter()
-            .map(|(name, pool)| (name.clone(), pool.share.clone()))
+            .map(|(name, pool)| (name.clone(), pool.balance.clone()))
             .collect();
-        let planned = plan_moves(&shares);
+        let planned = plan_moves(&balances);
         for (name, pool) in &mut self.pools {
             let own = planned.iter().filter(|order| order.from == *name);
             let targets: Vec<&String> = own
                 .flat_map(|order| std::iter::repeat_n(&order.to, order.count))
                 .collect();
-            let vms = pool.emptied(name == OFF, targets.len(), now);
+            let vms = pool.evacuate(name == OFF, targets.len(), now);
             for (vm, to) in vms.into_iter().zip(targets) {
                 pool.send(&vm, to, now);
                 self.moved += 1;
                 self.moves.push(ModelMove {
                     vm,
                     to: to.clone(),
-                    at: now + MOVE_MS,
+                    arrives_at: now + MOVE_MS,
                 });
             }
         }
@@ -275,34 +289,37 @@
 }
 
 impl ModelPool {
-    fn tell(&mut self, off: bool, now: u64) {
-        let forecast = self.wants.forecast(self.state.wanted_vms(now), now);
-        self.share.want = if off { 0 } else { forecast.want };
-        self.share.keep = if off { 0 } else { forecast.keep };
-        self.share.spare = off;
-        self.share.vms = if off {
-            self.idle.iter().map(|(vm, _)| vm.clone()).collect()
+    /// Updates what the pool publishes of the VMs that it has, wants and keeps.
+    fn update_balance(&mut self, off: bool, now: u64) {
+        let forecast = self.demand.forecast(self.state.wanted_vms(now), now);
+        self.balance.want = if off { 0 } else { forecast.want };
+        self.balance.keep = if off { 0 } else { forecast.keep };
+        self.balance.spare = off;
+        self.balance.vms = if off {
+            self.turned_off.iter().map(|(vm, _)| vm.clone()).collect()
         } else {
             self.state.vms()
         };
     }
 
-    /// VMs that can be sent away; has runners emptied.
-    fn emptied(&mut self, off: bool, count: usize, now: u64) -> Vec<String> {
+    /// Evacuates as many runners as VMs are to be given, and no others; returns the VMs that
+    /// can be sent away now. VMs that are turned off can be sent once they have been in the
+    /// pool for [`SETTLE_MS`].
+    fn evacuate(&mut self, off: bool, count: usize, now: u64) -> Vec<String> {
         if off {
             let free = self
-                .idle
+                .turned_off
                 .iter()
                 .filter(|(_, since)| since + SETTLE_MS <= now);
             return free.map(|(vm, _)| vm.clone()).take(count).collect();
         }
         let spare = self.state.spare_runners(now, count);
-        for key in self.leaving.iter().filter(|key| !spare.contains(key)) {
+        for key in self.evacuating.iter().filter(|key| !spare.contains(key)) {
             self.state.set_evacuating(*key, false);
         }
-        self.leaving = spare;
+        self.evacuating = spare;
         let mut free = Vec::new();
-        for key in &self.leaving {
+        for key in &self.evacuating {
             self.state.set_evacuating(*key, true);
             self.state.evict_resumable(*key, now);
             if self.state.evacuation_status(*key) == EvacuationStatus::Free {
@@ -312,33 +329,34 @@
         free
     }
 
+    /// Removes a VM that is sent to another pool.
     fn send(&mut self, vm: &str, to: &str, now: u64) {
-        self.share.sent.insert(vm.to_owned(), to.to_owned());
-        self.idle.retain(|(name, _)| name != vm);
+        self.balance.sent.insert(vm.to_owned(), to.to_owned());
+        self.turned_off.retain(|(name, _)| name != vm);
         if let Some(place) = self.vms.iter().position(|entry| entry.name == vm) {
             let entry = self.vms.remove(place);
-            self.leaving.retain(|key| *key != entry.key);
+            self.evacuating.retain(|key| *key != entry.key);
             self.state.record_planned_shutdown(entry.key, now);
             self.state
                 .remove_runner(entry.key, RunnerLoss::Planned, now);
         }
     }
 
-    /// Has runners report ends, and what runs.
-    fn report(&mut self, now: u64, left: &mut HashMap<String, u64>) {
+    /// Each runner reports its ends at once, and else what runs at intervals.
+    fn report(&mut self, now: u64, remaining_ms: &mut HashMap<String, u64>) {
         for vm in &mut self.vms {
             let (ended, running) = std::mem::take(&mut vm.runs)
                 .into_iter()
                 .partition::<Vec<_>, _>(|run| run.is_over(now));
             vm.runs = running;
-            if ended.is_empty() && vm.reported + REPORT_MS > now {
+            if ended.is_empty() && vm.reported_at + REPORT_MS > now {
                 continue;
             }
-            vm.reported = now;
+            vm.reported_at = now;
             let mut rows = Vec::new();
             for run in ended {
-                vm.ends += 1;
-                rows.push(run.end(vm.ends, now, left));
+                vm.last_end += 1;
+                rows.push(run.end(vm.last_end, now, remaining_ms));
             }
             let report = HeartbeatReport {
                 started_at: None,
@@ -351,7 +369,8 @@
         self.ended.extend(self.state.take_ended_jobs());
     }
 
-    fn decide(&mut self, now: u64, left: &HashMap<String, u64>) {
+    /// A pass of the owner: plans, and carries out its orders to stop and to start tasks.
+    fn decide(&mut self, now: u64, remaining_ms: &HashMap<String, u64>) {
         self.state.begin_due_rounds(now, 0);
         self.state.resend_stops(now);
         self.state.stop_stalled(now);
@@ -363,27 +382,28 @@
                 runs.find(|run| run.name == stop.name.to_string() && run.run == stop.run)
             });
             if let Some(run) = run {
-                run.stopping = run.stopping.or(Some(now + STOP_MS));
+                run.stops_at = run.stops_at.or(Some(now + STOP_MS));
             }
             self.state.record_stop_ack(&stop, now);
         }
         let plan = self.state.begin_flush(usize::MAX);
         for order in self.state.finish_flush(&plan, now) {
-            self.start(&order, now, left);
+            self.start(&order, now, remaining_ms);
         }
     }
 
-    fn start(&mut self, order: &StartOrder, now: u64, left: &HashMap<String, u64>) {
+    /// Starts a task on its runner, which always succeeds.
+    fn start(&mut self, order: &StartOrder, now: u64, remaining_ms: &HashMap<String, u64>) {
         let name = order.name.to_string();
         let Some(vm) = self.vms.iter_mut().find(|vm| vm.key == order.runner) else {
             return;
         };
         vm.runs.push(ModelRun {
-            left: left.get(&name).copied().unwrap_or(0),
+            remaining_ms: remaining_ms.get(&name).copied().unwrap_or(0),
             name,
             run: order.run,
-            began: now + ORDER_MS,
-            stopping: None,
+            began_at: now + ORDER_MS,
+            stops_at: None,
         });
         self.state
             .record_start_outcome(order, StartOutcome::Started, now);
@@ -392,15 +412,17 @@
 
 impl ModelRun {
     fn is_over(&self, now: u64) -> bool {
-        self.began.saturating_add(self.left) <= now || self.stopping.is_some_and(|at| at <= now)
+        self.began_at.saturating_add(self.remaining_ms) <= now
+            || self.stops_at.is_some_and(|at| at <= now)
     }
 
-    /// The report of its end; what is left of a stopped task is kept, as its checkpoint.
-    fn end(&self, number: u64, now: u64, left: &mut HashMap<String, u64>) -> EndedTask {
-        let done = self.began.saturating_add(self.left) <= now;
+    /// The report of the run's end. The time that a stopped task still needs is saved, as by a
+    /// checkpoint.
+    fn end(&self, number: u64, now: u64, remaining_ms: &mut HashMap<String, u64>) -> EndedTask {
+        let done = self.began_at.saturating_add(self.remaining_ms) <= now;
         if !done {
-            let ran = now.saturating_sub(self.began);
-            left.insert(self.name.clone(), self.left.saturating_sub(ran));
+            let ran = now.saturating_sub(self.began_at);
+            remaining_ms.insert(self.name.clone(), self.remaining_ms.saturating_sub(ran));
         }
         EndedTask {
             number,
@@ -415,12 +437,13 @@
         }
     }
 
+    /// The report of the run while it goes on; a long-running task is always available.
     fn row(&self, now: u64) -> RunningTask {
-        let ran = now.saturating_sub(self.began);
-        let percent = if self.left > 1_000_000 {
+        let ran = now.saturating_sub(self.began_at);
+        let percent = if self.remaining_ms > 1_000_000 {
             100
         } else {
-            100 * ran / self.left.max(1)
+            100 * ran / self.remaining_ms.max(1)
         };
         RunningTask {
             name: self.name.clone(),
@@ -432,13 +455,13 @@
     }
 }
 
-/// Time of a window in which jobs are counted by themselves, in milliseconds.
+/// Length of the windows of arrival in which jobs are counted, in milliseconds.
 const WINDOW_MS: u64 = 2_000;
-/// Jobs of a window from which on it counts.
-const WINDOW_JOBS: usize = 10;
+/// Least number of jobs of a window that counts among the worst.
+const MIN_WINDOW_JOBS: usize = 10;
 
-/// Share of the jobs that were done within their objective, of all and in the two worst
-/// windows; lasting ones don't count.
+/// Share of the jobs that were done within their objective, of all jobs and as the mean of the
+/// two worst windows; long-running jobs don't count.
 pub fn in_time(ended: &[EndedJob], jobs: &[ModelJob]) -> (f64, f64) {
     let took: HashMap<&str, u64> = ended
         .iter()
@@ -447,8 +470,8 @@
         .collect();
     let mut windows: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
     for job in jobs.iter().filter(|job| !job.spec.is_long_running()) {
-        let chain: u64 = job.times.iter().filter_map(|step| step.iter().max()).sum();
-        let objective = 600 + chain * 16 / 10;
+        let critical_path: u64 = job.times.iter().filter_map(|step| step.iter().max()).sum();
+        let objective = 600 + critical_path * 16 / 10;
         let good = took
             .get(job.id.as_str())
             .is_some_and(|took| *took <= objective);
@@ -458,7 +481,7 @@
     }
     let sum = |part: fn(&(usize, usize)) -> usize| windows.values().map(part).sum();
     let share = ratio(sum(|window| window.0), sum(|window| window.1));
-    let counted = windows.values().filter(|(_, all)| *all >= WINDOW_JOBS);
+    let counted = windows.values().filter(|(_, all)| *all >= MIN_WINDOW_JOBS);
     let mut shares: Vec<f64> = counted.map(|(done, all)| ratio(*done, *all)).collect();
     shares.sort_by(f64::total_cmp);
     (share, shares.iter().take(2).sum::<f64>() / 2.0)
--- a/crates/hoisthitch-jobs/tests/patterns/main.rs
+++ b/crates/hoisthitch-jobs/tests/patterns/main.rs
@@ -1,9 +1,10 @@
-//! Patterns of load, played against the decisions on a model of the fleet.
+//! Tests of the decisions under patterns of load, on a simulated fleet.
 //!
-//! Each case names its pattern; the figure it asks for lies two to six hundredths below what
-//! the mean of ten seeds reached when it was set, so that it fails when a change makes the
-//! pattern worse by more than chance does. `cargo test -p hoisthitch-jobs --test patterns --
-//! --nocapture` prints what each pattern reaches.
+//! Each case simulates one pattern with ten seeds and requires a least mean share of jobs done
+//! in time. That share lies two to six hundredths below the mean that was reached when it was
+//! set, so that a case fails when a change makes the pattern worse by more than chance does.
+//! `cargo test -p hoisthitch-jobs --test patterns -- --nocapture` prints what each pattern
+//! reaches.
 
 mod fleet;
 
@@ -41,15 +42,20 @@
 
 /// Kind of jobs of a pool.
 struct WorkKind {
+    /// Steps of a job, one after the other.
     steps: u32,
+    /// Tasks of a step.
     tasks: u32,
+    /// Estimated time of a task; true times lie between half and twice of it.
     task_ms: u64,
     cpu_milli: u64,
-    saves: bool,
+    /// Whether stopped tasks resume from saved progress.
+    checkpoints: bool,
 }
 
-/// Short jobs of the first and third pool, larger ones that save their progress of the
-/// others; each kind asks about five VMs of 16 cores in the mean, at these rates.
+/// Kind and rate of the jobs of each pool, in jobs a second: short ones for the first and third
+/// pool, larger ones that save their progress for the others. Each kind needs about five VMs of
+/// 16 cores on average at its rate.
 const KINDS: [(WorkKind, f64); 4] = [
     (SHORT, 9.0),
     (LARGE, 1.5),
@@ -61,22 +67,22 @@
     tasks: 5,
     task_ms: 1_000,
     cpu_milli: 900,
-    saves: false,
+    checkpoints: false,
 };
 const LARGE: WorkKind = WorkKind {
     steps: 2,
     tasks: 8,
     task_ms: 1_700,
     cpu_milli: 1_900,
-    saves: true,
+    checkpoints: true,
 };
 
-/// Lasting jobs of each pool; their tasks hold as many VMs in the pool as the widest
-/// of them has tasks.
-const LASTING_JOBS: u32 = 6;
+/// Long-running jobs of each pool. They keep as many VMs in the pool as the one with the most
+/// tasks has.
+const LONG_RUNNING_JOBS: u32 = 6;
 
-/// A job that lasts to the end of the play.
-fn lasting_job(pool: &str, number: u32, rng: &mut StdRng) -> ModelJob {
+/// A job that runs to the end of the simulation.
+fn long_running_job(pool: &str, number: u32, rng: &mut StdRng) -> ModelJob {
     let step = StepSpec {
         count: rng.random_range(4..8),
         need: ResourceAmounts {
@@ -102,6 +108,7 @@
     }
 }
 
+/// A job of a kind, with `size` times the kind's tasks in each step, that arrives at `at`.
 fn job_of(
     kind: &WorkKind,
     size: u32,
@@ -118,7 +125,7 @@
             gpus: 0,
         },
         estimate_ms: kind.task_ms,
-        checkpoints: kind.saves,
+        checkpoints: kind.checkpoints,
         after,
         ..StepSpec::default()
     };
@@ -147,7 +154,8 @@
     }
 }
 
-/// Jobs at the rate that `factor` gives for a pool at a time, over 34 seconds.
+/// Jobs that arrive over 34 seconds, at the pools' rates multiplied by `factor` of the pool and
+/// the time; `size` gives the size of each.
 fn jobs_at(
     rng: &mut StdRng,
     factor: impl Fn(usize, u64) -> f64,
@@ -155,7 +163,7 @@
 ) -> Vec<ModelJob> {
     let mut jobs = Vec::new();
     for pool in POOLS {
-        jobs.extend((0..LASTING_JOBS).map(|number| lasting_job(pool, number, rng)));
+        jobs.extend((0..LONG_RUNNING_JOBS).map(|number| long_running_job(pool, number, rng)));
     }
     for at in (0..34_000).step_by(20) {
         for (number, ((kind, rate), pool)) in KINDS.iter().zip(POOLS).enumerate() {
@@ -169,8 +177,8 @@
     jobs
 }
 
-/// Each pool in its turn asks four times its mean for eight seconds, and a twentieth
-/// in between.
+/// Each pool in its turn has about four times its mean demand for eight seconds, and a
+/// twentieth of it in between.
 fn turns(rng: &mut StdRng) -> Vec<ModelJob> {
     let turn = |number: usize, at: u64| {
         let place = (at + 500) / 8_500;
@@ -183,11 +191,12 @@
     )
 }
 
+/// Each pool has its mean demand all the time.
 fn steady(rng: &mut StdRng) -> Vec<ModelJob> {
     jobs_at(rng, |_, _| 1.0, |_| 1)
 }
 
-/// One job in twenty is ten times as large.
+/// Each pool has less than its mean demand, but one job in twenty is ten times as large.
 fn lumps(rng: &mut StdRng) -> Vec<ModelJob> {
     jobs_at(
         rng,
@@ -196,13 +205,14 @@
     )
 }
 
+/// Simulates a pattern with each seed; the mean share of jobs in time has to be `least`.
 async fn reaches(name: &str, pattern: fn(&mut StdRng) -> Vec<ModelJob>, least: f64) -> Result<()> {
     let mut reached = Vec::new();
     for seed in 0..SEEDS {
         let mut rng = StdRng::seed_from_u64(seed);
         let jobs = pattern(&mut rng);
         let mut fleet = ModelFleet::new(&[("a", 10), ("b", 10), ("c", 10), ("d", 10), (OFF, 9)]);
-        let ended = fleet.play(&jobs, 50_000);
+        let ended = fleet.run(&jobs, 50_000);
         let (share, worst) = in_time(&ended, &jobs);
         println!(
             "{name} seed {seed}: {share:.3} of {} in time, {worst:.3} in the worst windows, {} VM-seconds, {} moves",
