--- a/crates/hoisthitch-jobs/tests/decisions/admission.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/admission.rs
@@ -149,7 +149,10 @@
     change(&mut state, key, what)?;
     let orders = state.finish_flush(&plan, 2_000);
     ensure!(orders.is_empty(), "{orders:?}");
-    ensure!(state.take_stop_orders().is_empty(), "nothing was sent");
+    ensure!(
+        state.take_stop_orders().is_empty(),
+        "a start that was not sent is stopped"
+    );
     Ok(())
 }
 
--- a/crates/hoisthitch-jobs/tests/decisions/main.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/main.rs
@@ -144,7 +144,7 @@
     state
 }
 
-/// Plans starts and finishes the write of their records; returns the orders to send.
+/// Plans starts and has their records written; returns the orders to send.
 fn decide(state: &mut PoolState, now: u64) -> Vec<StartOrder> {
     state.begin_due_rounds(now, 0);
     state.plan(now);
@@ -161,7 +161,7 @@
     orders
 }
 
-/// Reports that the runs of these starts ended, each on its runner.
+/// Reports that the runs of these starts ended, each on its runner, where all else runs on.
 fn end_all(state: &mut PoolState, orders: &[StartOrder], kind: EndKind, now: u64) {
     for order in orders {
         let number = state
@@ -184,7 +184,8 @@
     }
 }
 
-/// What runs on a runner according to the state, without the task of one order.
+/// What a runner would report as running if it ran all that the state has there, but for the
+/// task of `except`; each task is done to `percent`.
 fn running_on(
     state: &PoolState,
     runner: RunnerKey,
@@ -255,7 +256,7 @@
     end_all(&mut state, &orders[..1], EndKind::Failed, 2_000);
     ensure!(
         state.take_stop_orders().len() == 5,
-        "the other members are stopped"
+        "the other members are not stopped"
     );
     ensure!(
         decide(&mut state, 2_100).is_empty(),
@@ -274,7 +275,7 @@
     state.add_job(new_job("a", vec![step(4)]), 1_000);
     ensure!(
         decide(&mut state, 1_100).len() == 4,
-        "no capacity is reserved for a gang that does not fit"
+        "capacity is reserved for a gang that does not fit"
     );
     Ok(())
 }
@@ -333,7 +334,7 @@
     ensure!(request.step == "a.0.0" && request.runners.len() == 3);
     ensure!(
         state.next_advice_request(1_010).is_none(),
-        "requested only once"
+        "advice was requested twice"
     );
     let ticket = AdviceTicket {
         runner: "i-1".to_owned(),
@@ -412,7 +413,7 @@
     state.add_job(new_job("late", vec![step(4)]), 8_000);
     let orders = decide(&mut state, 8_000);
     let retried = orders.iter().filter(|order| Some(order.runner) == broken);
-    ensure!(retried.count() == 1, "one task after the backoff");
+    ensure!(retried.count() == 1, "not just one task after the backoff");
     Ok(())
 }
 
@@ -468,11 +469,8 @@
         pace_at(20, 2_000).is_empty(),
         "throttled though the latency is below the target"
     );
-    ensure!(
-        pace_at(150, 2_700) == [0],
-        "it is throttled to zero at once"
-    );
-    ensure!(pace_at(150, 3_400).is_empty(), "it is stopped already");
+    ensure!(pace_at(150, 2_700) == [0], "not throttled to zero at once");
+    ensure!(pace_at(150, 3_400).is_empty(), "throttled again at zero");
     let back: Vec<u32> = (0..20)
         .flat_map(|report| pace_at(20, 4_100 + report * 700))
         .collect();
