--- a/crates/hoisthitch-jobs/tests/decisions/main.rs
+++ b/crates/hoisthitch-jobs/tests/decisions/main.rs
@@ -1,8 +1,8 @@
 //! Tests of the decisions of a pool's owner, made on a [`PoolState`] without a network or a
-//! clock: each test passes the time in, and plays the runners' responses and reports itself.
+//! clock: each test passes in the time and the runners' responses and reports.
 //!
 //! This file checks the order of steps, retries, gangs, an adviser's tickets, stalled tasks,
-//! the throttle of best-effort tasks and the validation of specs. It also holds the helpers
+//! the throttle of best-effort tasks and the validation of specs. It also contains the helpers
 //! that the other modules use.
 
 mod account;
@@ -62,7 +62,7 @@
     queue_with_an_adviser_starts_only_with_a_ticket => advised();
     refused_ticket_is_asked_for_again => ticket_refused();
     task_that_stands_still_is_started_elsewhere => stalls();
-    runner_that_fails_everything_is_shunned_and_tried_again => shunned();
+    runner_that_fails_everything_is_shunned_and_tried_again => backs_off();
     fillers_make_way_for_a_serving_task_and_come_back => paces();
     lasting_tasks_are_spread_and_keep_together => spread();
     bad_specs_are_refused => bad_specs();
@@ -213,6 +213,7 @@
         .collect()
 }
 
+/// A step starts once all tasks of the step before it are done.
 async fn step_order() -> Result<()> {
     let mut state = pool_of(2, 8);
     let after = StepSpec {
@@ -232,6 +233,8 @@
     Ok(())
 }
 
+/// A failed task is started on another runner, until its three attempts are used up and the job
+/// fails.
 async fn budget() -> Result<()> {
     let mut state = pool_of(3, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
@@ -248,6 +251,8 @@
     Ok(())
 }
 
+/// All members of a gang start under one run number. When one fails, the others are stopped, and
+/// the gang starts again under the next number once all have ended.
 async fn gang_starts() -> Result<()> {
     let mut state = pool_of(4, 2);
     state.add_job(new_job("g", vec![gang(6)]), 1_000);
@@ -268,6 +273,7 @@
     Ok(())
 }
 
+/// A gang that does not fit as a whole is not started, and other tasks use the free capacity.
 async fn gang_waits() -> Result<()> {
     let mut state = pool_of(2, 2);
     state.add_job(new_job("g", vec![gang(5)]), 1_000);
@@ -280,6 +286,7 @@
     Ok(())
 }
 
+/// One member's start is refused: the members that started are stopped.
 async fn gang_refused() -> Result<()> {
     let mut state = pool_of(4, 2);
     state.add_job(new_job("g", vec![gang(4)]), 1_000);
@@ -292,6 +299,7 @@
     Ok(())
 }
 
+/// The job is completed as soon as one member of its gang is done.
 async fn gang_done() -> Result<()> {
     let mut state = pool_of(4, 2);
     state.add_job(new_job("g", vec![gang(4)]), 1_000);
@@ -303,6 +311,7 @@
     Ok(())
 }
 
+/// A gang whose tasks are slower on more than one rack is started on one rack.
 async fn gang_rack() -> Result<()> {
     let mut state = pool_of(6, 2);
     let together = StepSpec {
@@ -322,6 +331,8 @@
     Ok(())
 }
 
+/// On a queue with an adviser nothing starts before there is advice, and then only on the runner
+/// of the ticket.
 async fn advised() -> Result<()> {
     let mut state = pool_of(3, 8);
     let mut new = new_job("a", vec![step(2)]);
@@ -349,6 +360,7 @@
     Ok(())
 }
 
+/// The runner refuses a ticket: the task waits, and advice is requested again.
 async fn ticket_refused() -> Result<()> {
     let mut state = pool_of(2, 8);
     let mut new = new_job("a", vec![step(1)]);
@@ -370,6 +382,8 @@
     Ok(())
 }
 
+/// A task whose progress stays the same in three reports is stopped in the end and started on
+/// another runner.
 async fn stalls() -> Result<()> {
     let mut state = pool_of(2, 8);
     state.add_job(new_job("a", vec![step(1)]), 1_000);
@@ -393,7 +407,9 @@
     Ok(())
 }
 
-async fn shunned() -> Result<()> {
+/// A runner on which every task fails gets no more tasks after two to four failed runs, and
+/// later one task to see whether it works again.
+async fn backs_off() -> Result<()> {
     let mut state = pool_of(2, 2);
     let broken = state.runner_key("i-0");
     for number in 0..8 {
@@ -417,6 +433,8 @@
     Ok(())
 }
 
+/// Two long-running steps of four tasks each, one of which may be unavailable: the tasks of each
+/// are spread, and both steps share four runners.
 async fn spread() -> Result<()> {
     let mut state = pool_of(6, 8);
     let long_running = StepSpec {
