--- a/crates/hoisthitch-entry/src/traffic/answer.rs
+++ b/crates/hoisthitch-entry/src/traffic/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the entry itself gives: problem details (RFC 9457) with the
+//! Error responses of the entry itself: problem details (RFC 9457) with the
 //! outcome of the request.
 
 use std::time::Duration;
@@ -21,29 +21,29 @@
 /// Media type of problem details.
 const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// When a caller may come back to an entry that has no fresh view.
+/// Default `Retry-After` of an entry that can't send requests at the moment.
 pub const VIEW_RETRY: Duration = Duration::from_secs(1);
 
-/// An answer in place of an exchange.
+/// Error response for a request, boxed to keep `Result`s small.
 pub type Refused = Box<ProblemAnswer>;
 
-/// Problem details.
+/// Problem details of a response.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProblemAnswer {
-    /// Kind of problem, relative to the documentation.
+    /// Type of the problem: a URI reference, relative to the documentation.
     #[serde(rename = "type")]
     kind: String,
     title: &'static str,
     status: u16,
     detail: String,
-    /// What is known about the request.
+    /// Outcome of the request.
     outcome: &'static str,
     #[serde(skip)]
     retry_after: Option<Duration>,
 }
 
 impl ProblemAnswer {
-    /// A problem of the kind that `code` names.
+    /// Creates a problem of the type `/problems/{code}`.
     pub fn new(
         status: StatusCode,
         outcome: RequestOutcome,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A request that was refused by its scheduler.
+    /// Problem of a request that its scheduler refused.
     pub fn refused(refusal: WorkRefusal) -> Self {
         let status = match refusal.reason {
             RefusalReason::PoolRate | RefusalReason::TeamRate | RefusalReason::TeamInFlight => {
@@ -76,13 +76,14 @@
         Self::new(status, RequestOutcome::NotRun, &code, detail).retry_after(refusal.retry_after)
     }
 
-    /// A request that can't be taken now.
+    /// Problem of a request that can't be served now.
     pub fn unavailable(code: &str, detail: &str, retry_after: Duration) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Self::new(status, RequestOutcome::NotRun, code, detail).retry_after(retry_after)
     }
 
-    /// A request that can't be sent by the view that the entry has.
+    /// Problem of a request that can't be sent since the entry's view of the fleet
+    /// is stale.
     pub fn stale_view() -> Self {
         Self::unavailable(
             "stale-view",
@@ -91,13 +92,13 @@
         )
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the `Retry-After` header.
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Builds the response.
+    /// Builds the HTTP response.
     pub fn into_response(self) -> HttpResponse {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let mut builder = HttpResponse::build(status);
--- a/crates/hoisthitch-entry/src/traffic/ask.rs
+++ b/crates/hoisthitch-entry/src/traffic/ask.rs
@@ -1,5 +1,8 @@
-//! What a request asks for: its pool, team, priority and deadline, read from its
-//! path and headers.
+//! Reads a request's pool, team, priority and deadline from its path and headers.
+//!
+//! The pool and the team are looked up in the route table. A request that can't be
+//! routed gets an error response, and so does every request while the entry has no
+//! operators' table or its view of the fleet is stale.
 
 use std::{
     sync::Arc,
@@ -46,32 +49,32 @@
 /// Header that names the caller's team.
 const TEAM_HEADER: &str = "hoisthitch-team";
 
-/// Header that asks for a priority, at most the one that the team pays for.
+/// Header with the requested priority; the team's priority is the highest possible.
 const PRIORITY_HEADER: &str = "hoisthitch-priority";
 
-/// Header with the time that the caller gives the request, in milliseconds.
+/// Header with the request's timeout, in milliseconds.
 const DEADLINE_HEADER: &str = "hoisthitch-deadline-ms";
 
-/// Longest time that a caller may give a request.
+/// Longest timeout that a caller may set.
 const DEADLINE_LIMIT: Duration = Duration::from_secs(86_400);
 
-/// What a request asks for.
+/// A request's pool, team, priority and deadline.
 pub struct RequestAsk {
     /// Dispatcher of the pool that serves the path.
     pub dispatcher: Arc<PoolDispatcher>,
     /// Name of the team.
     pub team_name: String,
-    /// What is asked of the dispatcher.
+    /// What the dispatcher needs in order to grant a slot.
     pub slot: SlotAsk,
-    /// Whether the request may be sent a second time.
+    /// Whether the request may be sent again after a failure.
     pub repeatable: bool,
 }
 
-/// Reads what a request asks for.
+/// Routes a request: reads its pool, team, priority and deadline.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that can't be routed.
+/// Fails with the response for a request that can't be routed.
 pub fn read_ask(shared: &SharedState, request: &HttpRequest) -> Result<RequestAsk, Refused> {
     let routes = shared.routes.load();
     if routes.revision == 0 {
@@ -166,20 +169,20 @@
     ))
 }
 
-/// Method of a request, as the hop to a runner takes it.
+/// Converts a request's method for the HTTP client.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that can't be passed on.
+/// Fails with the response for a request that can't be forwarded.
 pub fn read_method(request: &HttpRequest) -> Result<Method, Refused> {
     Method::from_bytes(request.method().as_str().as_bytes()).map_err(|_| bad_target())
 }
 
-/// Path and query of a request, as the hop to a runner takes them.
+/// Converts a request's path and query for the HTTP client.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that can't be passed on.
+/// Fails with the response for a request that can't be forwarded.
 pub fn read_uri(request: &HttpRequest) -> Result<Uri, Refused> {
     let target = request.uri().path_and_query().ok_or_else(bad_target)?;
     target.as_str().parse().map_err(|_| bad_target())
--- a/crates/hoisthitch-entry/src/traffic/body.rs
+++ b/crates/hoisthitch-entry/src/traffic/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests on their way to a runner.
+//! Request bodies, as sent to a runner.
 
 use std::{
     pin::Pin,
@@ -17,7 +17,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The caller's body ended before its end.
+/// The caller's body was truncated.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the caller's body was cut short")]
 pub struct BodyCut;
@@ -25,25 +25,26 @@
 /// Body of a request.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// The whole body; it can be sent again.
+    /// The whole body, in memory; it can be sent again.
     Whole(Bytes),
-    /// A long body that is passed on as it comes; it can be sent once.
+    /// A long body, streamed to the runner; it can be sent only once.
     Stream(BodyStream),
 }
 
-/// A body that is passed on as it comes.
+/// A body that is streamed.
 #[derive(Debug)]
 pub struct BodyStream {
-    /// Length, where the caller named it.
+    /// Content length in bytes, if the caller sent one.
     pub length: Option<u64>,
-    /// What was read ahead.
+    /// Part that was read before streaming began.
     pub first: Option<Bytes>,
-    /// The rest; bounded, so that a slow runner slows the caller.
+    /// The rest. The channel is bounded, so that a slow runner slows the caller
+    /// down (back pressure).
     pub rest: mpsc::Receiver<Result<Bytes, BodyCut>>,
 }
 
 impl RequestBody {
-    /// A copy for another send, where one can be made.
+    /// Copies the body for another attempt; none for a streamed body.
     pub fn again(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
--- a/crates/hoisthitch-entry/src/traffic/claim.rs
+++ b/crates/hoisthitch-entry/src/traffic/claim.rs
@@ -1,4 +1,8 @@
-//! Claims of keyed requests: what an `Idempotency-Key` header asks for.
+//! Claims the idempotency keys of requests.
+//!
+//! A request that must not be repeated and has an `Idempotency-Key` header is sent
+//! only after its key was claimed in the store. Another request with the same key
+//! gets the stored response, or an error response while there is none.
 
 use std::time::Duration;
 
@@ -33,33 +37,34 @@
     }, //
 };
 
-/// Header that names a request for all its tries.
+/// Header with the key that all attempts of a request share.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Header of an answer that was kept from another try.
+/// Header that marks a response stored by an earlier attempt.
 const REPLAY_HEADER: &str = "hoisthitch-replayed";
 
-/// Longest key, in bytes.
+/// Longest idempotency key.
 const KEY_LIMIT: usize = 128;
 
-/// Longest time that a request waits for its claim.
+/// Timeout of a claim.
 const CLAIM_WAIT: Duration = Duration::from_millis(500);
 
-/// When a caller may come back after a claim could not be made.
+/// `Retry-After` of a request whose key could not be claimed.
 const CLAIM_RETRY: Duration = Duration::from_secs(1);
 
-/// Whose request a claim is for.
+/// Pool, team and deadline of the request whose key is claimed.
 pub struct ClaimScope<'a> {
     /// Pool that serves the request.
     pub pool: &'a str,
     /// Team that sent it.
     pub team: &'a str,
-    /// When the request is of no more use.
+    /// Time after which the caller no longer waits for the response.
     pub deadline: Instant,
 }
 
-/// The claim of a request that was not handed to a runner's exchange yet; the key
-/// is freed when it is dropped, be it because the caller hung up.
+/// Claim of a request that no exchange has taken over yet.
+///
+/// Dropping the guard frees the key, also when the caller disconnects.
 pub struct ClaimGuard {
     client: ClaimClient,
     ticket: Option<ClaimTicket>,
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Hands the claim on.
+    /// Takes the claim out of the guard, without freeing the key.
     pub fn into_ticket(mut self) -> Option<ClaimTicket> {
         self.ticket.take()
     }
@@ -87,19 +92,19 @@
     }
 }
 
-/// What a keyed request is to do.
+/// How a request proceeds after its key was claimed.
 pub enum ClaimResult {
-    /// Go on, with the claim if the request carries a key.
+    /// Send the request, with the claim if it has a key.
     Send(Option<ClaimGuard>),
-    /// Pass this answer on.
+    /// Return this stored response.
     Answer(HttpResponse),
 }
 
-/// Claims the key of a request that carries one.
+/// Claims the key of a request, if it has one.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that must not be sent.
+/// Fails with the response for a request that must not be sent.
 pub async fn claim_key(
     shared: &SharedState,
     request: &HttpRequest,
@@ -151,7 +156,7 @@
     Err(Box::new(problem))
 }
 
-/// The answer that was kept from the try that ran.
+/// Builds the response that the attempt which ran has stored.
 fn replay(answer: ClaimAnswer) -> HttpResponse {
     let Some(body) = answer.body else {
         let problem = ProblemAnswer::new(
@@ -190,7 +195,8 @@
     }
 }
 
-/// Hash of the request; of a long body, the part that was read ahead.
+/// Hash of the method, the URI and the body; of a streamed body, only the part that
+/// was read before streaming began.
 fn fingerprint(request: &HttpRequest, body: &RequestBody) -> u64 {
     let mut bytes = format!("{} {}\n", request.method(), request.uri()).into_bytes();
     match body {
--- a/crates/hoisthitch-entry/src/traffic/dispatcher.rs
+++ b/crates/hoisthitch-entry/src/traffic/dispatcher.rs
@@ -1,4 +1,7 @@
-//! The dispatcher of one pool: its scheduler, shared by the traffic threads.
+//! Dispatcher of one pool: its request scheduler, shared by the traffic threads.
+//!
+//! A request waits here for a slot on a runner, at most until its deadline. A slot
+//! and a part of a team's quota are released when their permits are dropped.
 
 use std::{
     net::SocketAddr,
@@ -35,27 +38,27 @@
     time::Instant, //
 };
 
-/// What a waiting request is told.
+/// Result for a waiting request.
 #[derive(Debug)]
 pub enum WorkNotice {
-    /// It has a slot.
+    /// It was granted a slot on this runner.
     Granted(RunnerKey),
-    /// It was given up on.
+    /// It was refused.
     Refused(WorkRefusal),
 }
 
-/// Handle of a waiting request in the queue.
+/// Sender in the queue that wakes a waiting request.
 pub type Waiter = oneshot::Sender<WorkNotice>;
 
 /// Dispatcher of one pool.
 pub struct PoolDispatcher {
     name: String,
     scheduler: Mutex<PoolScheduler<Waiter>>,
-    /// Most slots asked for at once since this was last read.
+    /// Highest demand in slots since it was last taken.
     peak_demand: AtomicU32,
 }
 
-/// What a request asks of a dispatcher.
+/// Parameters of a request for a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotAsk {
     /// Priority that the request is served at.
@@ -64,11 +67,11 @@
     pub team: TeamKey,
     /// Weight of the team.
     pub weight: u32,
-    /// When the request is of no more use.
+    /// Time after which the request must not be started.
     pub deadline: Instant,
 }
 
-/// A slot on a runner; given back when dropped.
+/// A slot on a runner; released when dropped.
 pub struct SlotPermit {
     dispatcher: Arc<PoolDispatcher>,
     runner: RunnerKey,
@@ -79,18 +82,18 @@
     priority: PaidPriority,
     started: Instant,
     healthy: Option<bool>,
-    /// Whether the scheduler counts the slot.
+    /// Whether the slot is counted by the scheduler; false when it was bypassed.
     counted: bool,
 }
 
-/// A request's place in its team's quota; given back when dropped.
+/// A request's part of its team's in-flight quota; released when dropped.
 pub struct TeamHold {
     dispatcher: Arc<PoolDispatcher>,
     team: TeamKey,
 }
 
 impl PoolDispatcher {
-    /// Starts without runners.
+    /// Creates the dispatcher without runners.
     pub fn new(row: PoolRow) -> Self {
         let name = row.name.clone();
         let now = Instant::now().into_std();
@@ -106,14 +109,14 @@
         &self.name
     }
 
-    /// Changes the scheduler, then grants what has become free.
+    /// Changes the scheduler, then grants free slots to waiting requests.
     pub fn update(self: &Arc<Self>, change: impl FnOnce(&mut PoolScheduler<Waiter>)) {
         let mut scheduler = self.lock();
         change(&mut scheduler);
         grant_waiting(&mut scheduler);
     }
 
-    /// Looks at the scheduler.
+    /// Reads from the scheduler.
     pub fn inspect<A>(&self, look: impl FnOnce(&PoolScheduler<Waiter>) -> A) -> A {
         look(&self.lock())
     }
@@ -122,8 +125,8 @@
     ///
     /// # Errors
     ///
-    /// Refused at once, or when another request takes its place in the queue,
-    /// or when no slot has come free by the deadline.
+    /// Fails if the request is refused on arrival, if another request evicts it
+    /// from the queue, or if no slot is granted by the deadline.
     pub async fn acquire(
         self: &Arc<Self>,
         ask: SlotAsk,
@@ -157,8 +160,8 @@
         Ok((self.permit(runner, ask.priority), hold))
     }
 
-    /// Takes any runner in turn, without limits, queue or counts: what a bare
-    /// proxy would do, to measure what the decisions cost.
+    /// Selects the runners in turn, without limits, queue or counts, as a plain
+    /// proxy would do. Used to measure the cost of scheduling.
     pub fn bypass(self: &Arc<Self>, ask: SlotAsk) -> Option<(SlotPermit, TeamHold)> {
         let turn = self.peak_demand.fetch_add(1, Ordering::Relaxed) as usize;
         let runner = self.inspect(|scheduler| {
@@ -174,9 +177,10 @@
         Some((permit, hold))
     }
 
-    /// Takes a slot for a request whose send to `failed` came to nothing.
+    /// Takes a slot on another runner, after the attempt on `failed` got no
+    /// response.
     ///
-    /// A request that was sent spends retry budget; one that was not, none.
+    /// This uses retry budget only if the request was sent.
     pub fn another(self: &Arc<Self>, failed: &SlotPermit, was_sent: bool) -> Option<SlotPermit> {
         let now = Instant::now().into_std();
         let priority = failed.priority;
@@ -190,23 +194,23 @@
         Some(self.permit(runner, priority))
     }
 
-    /// Most slots that were asked for at once since the last call: requests
-    /// under way and waiting.
+    /// Highest demand since the last call, in slots: requests in flight and
+    /// waiting.
     pub fn take_peak_demand(&self) -> u32 {
         let now = self.inspect(demand);
         self.peak_demand.swap(now, Ordering::Relaxed).max(now)
     }
 
-    /// Requests that this entry has at a VM.
+    /// Number of requests that this entry has in flight at a VM.
     pub fn in_flight_at(&self, vm: &str) -> u32 {
         let count = |runner: &RunnerSlots| u32::from(*runner.vm == *vm) * runner.in_flight;
         self.inspect(|scheduler| scheduler.ledger().iter().map(count).sum())
     }
 
-    /// Refuses everything that waits, for a stop.
+    /// Refuses all waiting requests, since the entry stops.
     pub fn refuse_all(&self, refusal: WorkRefusal) {
         for unit in self.lock().drain_queue() {
-            // A waiter that is gone needs no notice.
+            // Sending fails if the request was cancelled; then nobody waits for it.
             let _ = unit.item.send(WorkNotice::Refused(refusal));
         }
     }
@@ -260,7 +264,7 @@
     }
 }
 
-/// Slots asked for: requests under way and waiting.
+/// Demand in slots: requests in flight and waiting.
 fn demand(scheduler: &PoolScheduler<Waiter>) -> u32 {
     let queued = u32::try_from(scheduler.queue().len()).unwrap_or(u32::MAX);
     scheduler.ledger().in_flight().saturating_add(queued)
@@ -278,14 +282,14 @@
                 }
             }
             WorkGrant::Refused(unit, refusal) => {
-                // A waiter that is gone needs no notice.
+                // Sending fails if the request was cancelled; then nobody waits for it.
                 let _ = unit.item.send(WorkNotice::Refused(refusal));
             }
         }
     }
 }
 
-/// Result of a slot that was granted and not used.
+/// Result to report for a slot that was granted and not used.
 fn unused(runner: RunnerKey, priority: PaidPriority) -> WorkResult {
     WorkResult {
         runner,
@@ -295,7 +299,7 @@
     }
 }
 
-/// A place in the queue, given up when dropped.
+/// A request's place in the queue; cancelled when dropped.
 struct QueuePlace<'a> {
     dispatcher: &'a Arc<PoolDispatcher>,
     ask: SlotAsk,
@@ -340,7 +344,7 @@
         self.dispatcher
             .lock()
             .cancel(self.ticket, ask.priority, ask.team, deadline);
-        // A grant that crossed with the cancellation goes back.
+        // The slot may have been granted just before the cancellation.
         if let Ok(WorkNotice::Granted(runner)) = self.receiver.try_recv() {
             self.dispatcher.finish(unused(runner, ask.priority));
         }
@@ -348,7 +352,7 @@
 }
 
 impl SlotPermit {
-    /// Notes whether the runner did well.
+    /// Records whether the runner handled the request well, for outlier ejection.
     pub fn set_healthy(&mut self, healthy: bool) {
         self.healthy = Some(healthy);
     }
--- a/crates/hoisthitch-entry/src/traffic/download.rs
+++ b/crates/hoisthitch-entry/src/traffic/download.rs
@@ -1,4 +1,4 @@
-//! Passing a runner's answer on to the caller.
+//! Forwards a runner's response to the caller.
 
 use std::{
     pin::Pin,
@@ -32,7 +32,7 @@
     }, //
 };
 
-/// Passes a runner's answer on.
+/// Converts a runner's response into the caller's.
 pub fn pass_answer(answer: RunnerAnswer) -> HttpResponse {
     let RunnerAnswer { head, body } = answer;
     let status = StatusCode::from_u16(head.status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -48,14 +48,15 @@
     }
 }
 
-/// Body of a long answer.
+/// Body of a streamed response.
 struct StreamedAnswer {
     length: Option<u64>,
     pieces: mpsc::Receiver<Result<Bytes, AnswerCut>>,
 }
 
 impl StreamedAnswer {
-    /// The answer to a HEAD: a length, where there is one, and no body.
+    /// Body of the response to a HEAD request: no bytes, but a content length if
+    /// the runner sent one.
     fn without_body(length: Option<u64>) -> Self {
         let (_, pieces) = mpsc::channel(1);
         Self { length, pieces }
--- a/crates/hoisthitch-entry/src/traffic/exchange.rs
+++ b/crates/hoisthitch-entry/src/traffic/exchange.rs
@@ -1,8 +1,8 @@
-//! The exchange: sends a request to a runner, to another one if it may, and
-//! passes the answer on.
+//! Sends a request to a runner, retries on another runner where that is allowed,
+//! and returns the response.
 //!
-//! The exchange runs in a task of its own. A send that may not be repeated goes
-//! on to its end whatever the caller does.
+//! An exchange runs in a task of its own and is not cancelled when the caller
+//! disconnects: a request that must not be repeated is followed to its end.
 
 use std::{
     sync::Arc,
@@ -71,22 +71,22 @@
     }, //
 };
 
-/// An answer up to this length is read whole before the caller sees any of it.
+/// Longest response body that is read whole before it is forwarded.
 const WHOLE_LIMIT: usize = 64 << 10;
 
-/// An answer up to this length is kept with the claim of its request.
+/// Longest response body that is stored with the claim of its request.
 const KEPT_LIMIT: usize = 2 << 10;
 
-/// Pieces of a long answer that may wait for the caller.
+/// Chunks of a streamed response that may wait for the caller.
 const STREAM_PIECES: usize = 4;
 
-/// Longest time after its deadline that a request's answer is waited for.
+/// How long after the request's deadline the runner's response is still awaited.
 const ABANDON_LIMIT: Duration = Duration::from_secs(60);
 
-/// Times that a request which was not sent is given to another runner.
+/// How often a request that was not sent is reassigned to another runner.
 const REASSIGN_LIMIT: usize = 3;
 
-/// A request on its way.
+/// A request that has a slot, with all that is needed to send it.
 pub struct RequestExchange {
     /// State of the process.
     pub shared: Arc<SharedState>,
@@ -102,18 +102,19 @@
     pub body: RequestBody,
     /// Whether the request may be sent again.
     pub repeatable: bool,
-    /// When the request is of no more use.
+    /// Time at which the caller gets an error response.
     pub deadline: Instant,
-    /// The request's place in its team's quota.
+    /// The request's part of its team's quota, held until the exchange ends.
     pub hold: TeamHold,
     /// Claim of the request's idempotency key.
     pub claim: Option<ClaimTicket>,
 }
 
-/// What came of one attempt.
+/// Why one attempt failed.
 enum AttemptError {
     Hop(HopError),
-    /// The head came, and the body was cut short before any of it was passed on.
+    /// The head was received, and the body was truncated before any of it was
+    /// forwarded.
     Cut {
         status: u16,
         fault: String,
@@ -121,11 +122,11 @@
 }
 
 impl RequestExchange {
-    /// Runs to the end and reports through `reply`.
+    /// Runs the exchange and sends its result to `reply`.
     ///
-    /// At the deadline the caller gets its answer; the exchange goes on, since
-    /// the runner's slot stays taken, until the runner answers or the longest
-    /// time for that is over.
+    /// At the deadline a failure is sent to `reply`. The exchange then continues
+    /// until the runner responds or [`ABANDON_LIMIT`] is over, since the request
+    /// still occupies the runner's slot.
     pub async fn run(mut self, permit: SlotPermit, reply: oneshot::Sender<ExchangeResult>) {
         let mut reply = ReplySlot(Some(reply));
         let mut permit = permit;
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Attempts to send; tells the caller when the deadline passes meanwhile.
+    /// Makes one attempt; replies with a failure if the deadline passes meanwhile.
     async fn attempt_until_late(
         &mut self,
         permit: &mut SlotPermit,
@@ -199,7 +200,7 @@
         self.receive(response).await
     }
 
-    /// Reads the answer as far as it is passed on in one piece.
+    /// Reads a short response whole, or the first part of one that is streamed.
     async fn receive(
         &self,
         response: Response<Incoming>,
@@ -269,9 +270,9 @@
         drop(self.hold);
     }
 
-    /// Ends the claim of a request that got no answer to pass on.
+    /// Resolves the claim of a request without a response to forward.
     ///
-    /// A request whose outcome is unknown keeps its key until the lease lapses.
+    /// If the outcome is unknown, the key stays claimed until its lease expires.
     fn end_unanswered(&mut self, err: &AttemptError) {
         let end = match err {
             AttemptError::Hop(HopError::Sent(_)) => return,
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Ends the claim of a request that ran, and keeps a short answer with it.
+    /// Resolves the claim of a request that ran, and stores a short response with it.
     fn end_answered(&mut self, head: &Parts, body: &Received) {
         let Some(ticket) = self.claim.take() else {
             return;
@@ -321,19 +322,19 @@
     }
 }
 
-/// Where the caller's one answer goes.
+/// Channel for the result of the exchange, of which the caller gets only one.
 struct ReplySlot(Option<oneshot::Sender<ExchangeResult>>);
 
 impl ReplySlot {
-    /// Gives the caller its answer; answers whether it was taken. A caller that
-    /// has its answer, or hung up, gets none.
+    /// Sends the result, unless one was sent already or the caller disconnected.
+    /// Returns whether it was sent.
     fn send(&mut self, result: ExchangeResult) -> bool {
         let reply = self.0.take();
         reply.is_some_and(|reply| reply.send(result).is_ok())
     }
 }
 
-/// What was read of an answer.
+/// Body of a response, as far as it was read.
 enum Received {
     Whole(Bytes),
     Head {
@@ -362,7 +363,7 @@
         .ok()
 }
 
-/// Passes a long body on until it ends, is cut, or the caller hangs up.
+/// Streams a body until it ends or is truncated, or the caller disconnects.
 async fn stream_body(
     first: Bytes,
     mut rest: Incoming,
--- a/crates/hoisthitch-entry/src/traffic/headers.rs
+++ b/crates/hoisthitch-entry/src/traffic/headers.rs
@@ -1,7 +1,7 @@
-//! Headers that a request or an answer takes along, and those that end here.
+//! Selects the headers that are forwarded with requests and responses.
 //!
-//! `actix-web` and `hyper` build on two versions of the `http` crate, so
-//! headers are carried over by their bytes.
+//! `actix-web` and `hyper` use different versions of the `http` crate, so headers
+//! are converted through their bytes.
 
 use actix_web::http::header::HeaderMap as CallerHeaders;
 use hoisthitch_core::OUTCOME_HEADER;
@@ -11,8 +11,8 @@
     HeaderValue, //
 };
 
-/// Headers that hold for one connection only (RFC 9110, section 7.6.1), and
-/// those that the HTTP libraries write anew.
+/// Headers that are not forwarded: those of a single connection (RFC 9110,
+/// section 7.6.1) and those that the HTTP libraries set themselves.
 const CONNECTION_HEADERS: [&str; 10] = [
     "connection",
     "content-length",
@@ -26,7 +26,7 @@
     "upgrade",
 ];
 
-/// Headers of a caller's request that go on to the runner.
+/// Headers of a caller's request that are forwarded to the runner.
 pub fn request_headers(headers: &CallerHeaders) -> RunnerHeaders {
     let named = connection_names(headers.get_all("connection").map(|value| value.as_bytes()));
     let mut kept = RunnerHeaders::with_capacity(headers.len());
@@ -44,7 +44,7 @@
     kept
 }
 
-/// Headers of a runner's answer that go on to the caller.
+/// Headers of a runner's response that are forwarded to the caller.
 pub fn answer_headers(headers: &RunnerHeaders) -> impl Iterator<Item = (&str, &[u8])> {
     let values = headers.get_all("connection").iter();
     let named = connection_names(values.map(|value| value.as_bytes()));
@@ -54,7 +54,7 @@
         .filter(move |(name, _)| !is_dropped(name, &named) && *name != OUTCOME_HEADER)
 }
 
-/// Names that a `Connection` header lists.
+/// Header names listed in `Connection` headers.
 fn connection_names<'a>(values: impl Iterator<Item = &'a [u8]>) -> Vec<String> {
     values
         .filter_map(|value| std::str::from_utf8(value).ok())
--- a/crates/hoisthitch-entry/src/traffic/hop.rs
+++ b/crates/hoisthitch-entry/src/traffic/hop.rs
@@ -1,12 +1,13 @@
-//! The hop to a runner: one connection carries one exchange at a time.
+//! HTTP/1.1 connections to runners; each carries a single exchange.
 //!
-//! `hyper`'s connection API is used here, not `awc`: it reports bodies that are
-//! cut short, and hands a request back that was not sent (see
-//! `docs/design/upstream-hop.md`). A connection is used for a single exchange:
-//! in HTTP/1.1 nothing tells a late second answer from the answer to the next
-//! request, so a connection that is used again could hand a caller the answer
-//! to another's request. So that no request waits for its connection, the next
-//! one is opened ahead.
+//! `hyper`'s connection API is used instead of `awc`, since it reports truncated
+//! bodies and returns a request that was not sent (see
+//! `docs/design/upstream-hop.md`).
+//!
+//! Connections are not reused. In HTTP/1.1 nothing distinguishes a late second
+//! response from the response to the next request, so a reused connection could
+//! give a caller the response to another caller's request. To save requests the
+//! wait for a connection, the next one is opened in advance.
 
 use std::{
     cell::RefCell,
@@ -30,20 +31,20 @@
 
 use crate::traffic::body::RequestBody;
 
-/// Longest time that connecting to a runner may take.
+/// Timeout of connecting to a runner.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
-/// Connections of one thread to one runner that are opened ahead.
+/// Spare connections that each thread keeps to each runner.
 const SPARE_LIMIT: usize = 1;
 
-/// Age at which a spare connection is no longer used: well below the time after
-/// which servers give up on a silent connection.
+/// Age at which a spare connection is no longer used; well below the idle timeouts
+/// of servers.
 const SPARE_AGE: Duration = Duration::from_secs(2);
 
-/// Longest head of an answer, and most that is read ahead of a body.
+/// Longest head of a response, and longest part of a body that is buffered.
 const BUFFER_LIMIT: usize = 64 << 10;
 
-/// Most headers of an answer.
+/// Most headers of a response.
 const HEADER_LIMIT: usize = 128;
 
 /// Why an exchange with a runner failed.
@@ -52,18 +53,20 @@
     /// No byte of the request was sent.
     #[error("not sent: {0}")]
     Unsent(String),
-    /// The request was sent, or part of it, and no answer head came back.
+    /// The request was sent, at least in part, and no response head was received.
     #[error("sent, no answer: {0}")]
     Sent(String),
 }
 
-/// Sends one request on a connection of its own and waits for the answer's
-/// head, however long that takes; `deadline` is for connecting only. It sends if `may_send` still allows it
-/// once the connection is there.
+/// Sends one request on a connection of its own and waits for the response head.
+///
+/// `deadline` limits only the time to connect; the wait for the response has no
+/// limit. The request is sent only if `may_send` returns true after connecting.
 ///
 /// # Errors
 ///
-/// Tells whether any byte of the request may have reached the runner.
+/// The error distinguishes whether any byte of the request may have reached the
+/// runner.
 pub async fn send_request(
     address: SocketAddr,
     request: Request<RequestBody>,
@@ -92,7 +95,7 @@
     })
 }
 
-/// A connection that was opened ahead and has carried nothing.
+/// A connection that was opened in advance and is still unused.
 struct SpareConnection {
     sender: http1::SendRequest<RequestBody>,
     opened: Instant,
@@ -102,7 +105,7 @@
     static SPARES: RefCell<HashMap<SocketAddr, Vec<SpareConnection>>> = RefCell::default();
 }
 
-/// Takes a connection that was opened ahead.
+/// Takes a spare connection, if there is a usable one.
 fn take_spare(address: SocketAddr) -> Option<http1::SendRequest<RequestBody>> {
     SPARES.with_borrow_mut(|spares| {
         let waiting = spares.get_mut(&address)?;
@@ -116,7 +119,7 @@
     })
 }
 
-/// Opens a connection ahead for the next request, if few are there.
+/// Opens a spare connection for the next request, unless there are enough.
 fn open_spare(address: SocketAddr) {
     let waiting = SPARES.with_borrow(|spares| spares.get(&address).map_or(0, Vec::len));
     if waiting >= SPARE_LIMIT {
@@ -159,7 +162,8 @@
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|err| HopError::Unsent(err.to_string()))?;
-    // A fault of the connection reaches the exchange that it carries.
+    // The result is ignored here: the sender reports a connection error to the
+    // exchange.
     actix_web::rt::spawn(async move { drop(connection.await) });
     Ok(sender)
 }
--- a/crates/hoisthitch-entry/src/traffic/mod.rs
+++ b/crates/hoisthitch-entry/src/traffic/mod.rs
@@ -1,7 +1,12 @@
-//! Traffic of the entry: callers' requests on their way to runners and back.
+//! Forwards callers' requests to runners, and the responses to the callers.
 //!
-//! `serve` takes a request; `ask` and `upload` read it, [`PoolDispatcher`] gives it a slot, `exchange` owns the
-//! send in a task of its own, and `hop` holds the connection to the runner; `download` passes the answer on.
+//! [`serve_request`] handles one request. `ask` and `upload` read its headers and
+//! body, `claim` claims its idempotency key, and [`PoolDispatcher`] grants it a
+//! slot on a runner. `exchange` sends it in a task of its own, over a connection
+//! from `hop`. `download` forwards the response, and `answer` builds the error
+//! responses of the entry itself.
+//!
+//! Every response carries the outcome of the request: not run, ran, or unknown.
 
 mod answer;
 mod ask;
--- a/crates/hoisthitch-entry/src/traffic/result.rs
+++ b/crates/hoisthitch-entry/src/traffic/result.rs
@@ -1,28 +1,28 @@
-//! How an exchange ended: a runner's answer, or why there is none.
+//! Result of an exchange: a runner's response, or the reason why there is none.
 
 use bytes::Bytes;
 use hoisthitch_core::RequestOutcome;
 use hyper::http::response::Parts;
 use tokio::sync::mpsc;
 
-/// How an exchange ended.
+/// Result of an exchange.
 pub enum ExchangeResult {
-    /// A runner answered.
+    /// A runner responded.
     Answer(Box<RunnerAnswer>),
-    /// No runner answered.
+    /// There is no response to forward.
     Failure(ExchangeFailure),
 }
 
-/// Why no answer can be passed on.
+/// Why there is no response to forward.
 #[derive(Clone, Debug)]
 pub struct ExchangeFailure {
-    /// What is known about the request.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
-    /// What happened.
+    /// Description of the failure.
     pub fault: String,
 }
 
-/// A runner's answer.
+/// A runner's response.
 pub struct RunnerAnswer {
     /// Status and headers.
     pub head: Parts,
@@ -30,25 +30,25 @@
     pub body: AnswerBody,
 }
 
-/// Body of an answer.
+/// Body of a runner's response.
 pub enum AnswerBody {
-    /// The whole body.
+    /// The whole body, in memory.
     Whole(Bytes),
-    /// No body: the answer to a HEAD.
+    /// No body: the response to a HEAD request.
     Head {
-        /// Length that the body would have, where the runner named it.
+        /// Content length in bytes, if the runner sent one.
         length: Option<u64>,
     },
-    /// A long body that is passed on as it comes.
+    /// A long body, streamed to the caller.
     Stream {
-        /// Length, where the runner named it.
+        /// Content length in bytes, if the runner sent one.
         length: Option<u64>,
-        /// The body; an error when it was cut short.
+        /// Chunks of the body; an error if it was truncated.
         pieces: mpsc::Receiver<Result<Bytes, AnswerCut>>,
     },
 }
 
-/// A runner's answer ended before its end.
+/// A runner's response was truncated.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the runner's answer was cut short")]
 pub struct AnswerCut;
--- a/crates/hoisthitch-entry/src/traffic/serve.rs
+++ b/crates/hoisthitch-entry/src/traffic/serve.rs
@@ -1,4 +1,5 @@
-//! Serving a caller's request: route it, wait for a slot, exchange, answer.
+//! Serves a caller's request: routes it, claims its key, waits for a slot, runs the
+//! exchange and responds.
 
 use std::sync::Arc;
 
@@ -51,7 +52,7 @@
     }, //
 };
 
-/// Serves one request.
+/// Serves one request. While the entry stops, the connection is closed afterwards.
 pub async fn serve_request(
     shared: web::Data<SharedState>,
     request: HttpRequest,
@@ -126,7 +127,7 @@
     }
 }
 
-/// Claims the key of a request that may not be repeated.
+/// Claims the key of a request that must not be repeated.
 async fn claim(
     shared: &SharedState,
     request: &HttpRequest,
@@ -144,7 +145,7 @@
     claim_key(shared, request, body, scope).await
 }
 
-/// Waits for a slot and logs the decision.
+/// Waits for a slot, and logs whether it was granted or refused.
 async fn acquire(
     shared: &Arc<SharedState>,
     ask: &RequestAsk,
--- a/crates/hoisthitch-entry/src/traffic/upload.rs
+++ b/crates/hoisthitch-entry/src/traffic/upload.rs
@@ -1,4 +1,4 @@
-//! Reading of a caller's body: a short one whole, a long one as it comes.
+//! Reads a caller's body: a short one whole, a long one as a stream.
 
 use actix_web::{
     HttpRequest,
@@ -37,18 +37,19 @@
     }, //
 };
 
-/// A body up to this length is read whole before the request waits for a slot,
-/// so that a slow caller holds no slot.
+/// Longest body that is read whole, before the request waits for a slot, so that a
+/// slow caller does not occupy a slot.
 const WHOLE_LIMIT: usize = 64 << 10;
 
-/// Pieces of a long body that may wait for the runner.
+/// Chunks of a streamed body that may wait for the runner.
 const STREAM_PIECES: usize = 4;
 
-/// Reads the body whole, or as far as it is read before it is streamed.
+/// Reads a body whole, or the first part of a body that will be streamed.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a body that is cut short or too long.
+/// Fails with the response for a body that is truncated, too long, or not read by
+/// the deadline.
 pub async fn read_body(
     shared: &SharedState,
     request: &HttpRequest,
@@ -84,7 +85,7 @@
     }))
 }
 
-/// Passes the rest of a long body on, as fast as it is taken.
+/// Streams the rest of a body, as fast as the receiver takes it.
 async fn stream_body(
     mut payload: web::Payload,
     mut left: usize,
