--- a/crates/hoisthitch-entry/src/traffic/body.rs
+++ b/crates/hoisthitch-entry/src/traffic/body.rs
@@ -20,7 +20,7 @@
 /// The caller's body was truncated.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the caller's body was cut short")]
-pub struct BodyCut;
+pub struct BodyTruncated;
 
 /// Body of a request.
 #[derive(Debug)]
@@ -40,12 +40,12 @@
     pub first: Option<Bytes>,
     /// The rest. The channel is bounded, so that a slow runner slows the caller
     /// down (back pressure).
-    pub rest: mpsc::Receiver<Result<Bytes, BodyCut>>,
+    pub rest: mpsc::Receiver<Result<Bytes, BodyTruncated>>,
 }
 
 impl RequestBody {
     /// Copies the body for another attempt; none for a streamed body.
-    pub fn again(&self) -> Option<Self> {
+    pub fn try_clone(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
             Self::Stream(_) => None,
@@ -55,12 +55,12 @@
 
 impl Body for RequestBody {
     type Data = Bytes;
-    type Error = BodyCut;
+    type Error = BodyTruncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
         match self.get_mut() {
             Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
@@ -86,7 +86,7 @@
     fn poll_frame(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
--- a/crates/hoisthitch-entry/src/traffic/claim.rs
+++ b/crates/hoisthitch-entry/src/traffic/claim.rs
@@ -32,8 +32,8 @@
 use crate::{
     state::SharedState,
     traffic::{
-        answer::ProblemAnswer,
-        body::RequestBody, //
+        body::RequestBody,
+        problem::ProblemResponse, //
     }, //
 };
 
@@ -44,10 +44,10 @@
 const REPLAY_HEADER: &str = "hoisthitch-replayed";
 
 /// Longest idempotency key.
-const KEY_LIMIT: usize = 128;
+const KEY_MAX_BYTES: usize = 128;
 
 /// Timeout of a claim.
-const CLAIM_WAIT: Duration = Duration::from_millis(500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// `Retry-After` of a request whose key could not be claimed.
 const CLAIM_RETRY: Duration = Duration::from_secs(1);
@@ -97,7 +97,7 @@
     /// Send the request, with the claim if it has a key.
     Send(Option<ClaimGuard>),
     /// Return this stored response.
-    Answer(HttpResponse),
+    Response(HttpResponse),
 }
 
 /// Claims the key of a request, if it has one.
@@ -110,7 +110,7 @@
     request: &HttpRequest,
     body: &RequestBody,
     scope: ClaimScope<'_>,
-) -> Result<ClaimResult, Box<ProblemAnswer>> {
+) -> Result<ClaimResult, Box<ProblemResponse>> {
     let Some(key) = read_key(request)? else {
         return Ok(ClaimResult::Send(None));
     };
@@ -121,33 +121,38 @@
         fingerprint: fingerprint(request, body),
         answer: None,
     };
-    let deadline = scope.deadline.min(Instant::now() + CLAIM_WAIT);
+    let deadline = scope.deadline.min(Instant::now() + CLAIM_TIMEOUT);
     let key = keys.claim(scope.pool, scope.team, &key);
     let outcome = shared.claims.claim(key, record, deadline).await;
-    log_verdict(&scope, &outcome);
-    judge(&shared.claims, outcome)
+    log_outcome(&scope, &outcome);
+    resolve_outcome(&shared.claims, outcome)
 }
 
-fn judge(client: &ClaimClient, outcome: ClaimOutcome) -> Result<ClaimResult, Box<ProblemAnswer>> {
+fn resolve_outcome(
+    client: &ClaimClient,
+    outcome: ClaimOutcome,
+) -> Result<ClaimResult, Box<ProblemResponse>> {
     let problem = match outcome {
         ClaimOutcome::Granted(ticket) => {
             return Ok(ClaimResult::Send(Some(ClaimGuard::new(client, ticket))));
         }
-        ClaimOutcome::Answered(answer) => return Ok(ClaimResult::Answer(replay(answer))),
-        ClaimOutcome::InProgress => ProblemAnswer::new(
+        ClaimOutcome::Answered(answer) => {
+            return Ok(ClaimResult::Response(stored_response(answer)));
+        }
+        ClaimOutcome::InProgress => ProblemResponse::new(
             StatusCode::CONFLICT,
             RequestOutcome::Unknown,
             "in-progress",
             "another try under this key was sent and has no answer yet",
         )
         .retry_after(CLAIM_RETRY),
-        ClaimOutcome::Mismatch => ProblemAnswer::new(
+        ClaimOutcome::Mismatch => ProblemResponse::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             RequestOutcome::NotRun,
             "key-reused",
             "the key was used for another request",
         ),
-        ClaimOutcome::Unavailable => ProblemAnswer::unavailable(
+        ClaimOutcome::Unavailable => ProblemResponse::unavailable(
             "no-claim",
             "the key can't be claimed while the platform's store fails",
             CLAIM_RETRY,
@@ -157,9 +162,9 @@
 }
 
 /// Builds the response that the attempt which ran has stored.
-fn replay(answer: ClaimAnswer) -> HttpResponse {
+fn stored_response(answer: ClaimAnswer) -> HttpResponse {
     let Some(body) = answer.body else {
-        let problem = ProblemAnswer::new(
+        let problem = ProblemResponse::new(
             StatusCode::CONFLICT,
             RequestOutcome::Ran,
             "answer-not-kept",
@@ -177,20 +182,20 @@
     builder.body(body.bytes)
 }
 
-fn read_key(request: &HttpRequest) -> Result<Option<String>, Box<ProblemAnswer>> {
+fn read_key(request: &HttpRequest) -> Result<Option<String>, Box<ProblemResponse>> {
     let Some(value) = request.headers().get(KEY_HEADER) else {
         return Ok(None);
     };
     let plain = |byte: &u8| byte.is_ascii_graphic() && *byte != b'/';
     let bytes = value.as_bytes();
-    let fits = !bytes.is_empty() && bytes.len() <= KEY_LIMIT;
+    let fits = !bytes.is_empty() && bytes.len() <= KEY_MAX_BYTES;
     match value.to_str() {
         Ok(text) if fits && bytes.iter().all(plain) => Ok(Some(text.to_owned())),
-        _ => Err(Box::new(ProblemAnswer::new(
+        _ => Err(Box::new(ProblemResponse::new(
             StatusCode::BAD_REQUEST,
             RequestOutcome::NotRun,
             "bad-header",
-            format!("header {KEY_HEADER}: use 1 to {KEY_LIMIT} visible characters without '/'"),
+            format!("header {KEY_HEADER}: use 1 to {KEY_MAX_BYTES} visible characters without '/'"),
         ))),
     }
 }
@@ -206,7 +211,7 @@
     hash_bytes(&bytes)
 }
 
-fn log_verdict(scope: &ClaimScope<'_>, outcome: &ClaimOutcome) {
+fn log_outcome(scope: &ClaimScope<'_>, outcome: &ClaimOutcome) {
     let outcome = match outcome {
         ClaimOutcome::Granted(_) => "granted",
         ClaimOutcome::InProgress => "in-progress",
--- a/crates/hoisthitch-entry/src/traffic/dispatcher.rs
+++ b/crates/hoisthitch-entry/src/traffic/dispatcher.rs
@@ -60,7 +60,7 @@
 
 /// Parameters of a request for a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// Priority that the request is served at.
     pub priority: PaidPriority,
     /// Team that pays for it.
@@ -87,7 +87,7 @@
 }
 
 /// A request's part of its team's in-flight quota; released when dropped.
-pub struct TeamHold {
+pub struct TeamPermit {
     dispatcher: Arc<PoolDispatcher>,
     team: TeamKey,
 }
@@ -129,27 +129,27 @@
     /// from the queue, or if no slot is granted by the deadline.
     pub async fn acquire(
         self: &Arc<Self>,
-        ask: SlotAsk,
-    ) -> Result<(SlotPermit, TeamHold), WorkRefusal> {
+        request: SlotRequest,
+    ) -> Result<(SlotPermit, TeamPermit), WorkRefusal> {
         let (sender, receiver) = oneshot::channel();
         let unit = WorkUnit {
             item: sender,
-            priority: ask.priority,
-            team: ask.team,
-            weight: ask.weight,
-            deadline: ask.deadline.into_std(),
+            priority: request.priority,
+            team: request.team,
+            weight: request.weight,
+            deadline: request.deadline.into_std(),
         };
         let admission = self.admit(unit)?;
-        let hold = TeamHold {
+        let team_permit = TeamPermit {
             dispatcher: self.clone(),
-            team: ask.team,
+            team: request.team,
         };
         let runner = match admission {
             WorkAdmission::Granted(runner) => runner,
             WorkAdmission::Queued { ticket, .. } => {
                 let mut place = QueuePlace {
                     dispatcher: self,
-                    ask,
+                    request,
                     ticket,
                     receiver,
                     settled: false,
@@ -157,31 +157,35 @@
                 place.wait().await?
             }
         };
-        Ok((self.permit(runner, ask.priority), hold))
+        Ok((self.permit(runner, request.priority), team_permit))
     }
 
     /// Selects the runners in turn, without limits, queue or counts, as a plain
     /// proxy would do. Used to measure the cost of scheduling.
-    pub fn bypass(self: &Arc<Self>, ask: SlotAsk) -> Option<(SlotPermit, TeamHold)> {
+    pub fn bypass(self: &Arc<Self>, request: SlotRequest) -> Option<(SlotPermit, TeamPermit)> {
         let turn = self.peak_demand.fetch_add(1, Ordering::Relaxed) as usize;
         let runner = self.inspect(|scheduler| {
             let keys: Vec<RunnerKey> = scheduler.ledger().keys().collect();
             (!keys.is_empty()).then(|| keys[turn % keys.len()])
         })?;
-        let mut permit = self.permit(runner, ask.priority);
+        let mut permit = self.permit(runner, request.priority);
         permit.counted = false;
-        let hold = TeamHold {
+        let team_permit = TeamPermit {
             dispatcher: self.clone(),
-            team: ask.team,
+            team: request.team,
         };
-        Some((permit, hold))
+        Some((permit, team_permit))
     }
 
     /// Takes a slot on another runner, after the attempt on `failed` got no
     /// response.
     ///
     /// This uses retry budget only if the request was sent.
-    pub fn another(self: &Arc<Self>, failed: &SlotPermit, was_sent: bool) -> Option<SlotPermit> {
+    pub fn acquire_other(
+        self: &Arc<Self>,
+        failed: &SlotPermit,
+        was_sent: bool,
+    ) -> Option<SlotPermit> {
         let now = Instant::now().into_std();
         let priority = failed.priority;
         let mut scheduler = self.lock();
@@ -302,7 +306,7 @@
 /// A request's place in the queue; cancelled when dropped.
 struct QueuePlace<'a> {
     dispatcher: &'a Arc<PoolDispatcher>,
-    ask: SlotAsk,
+    request: SlotRequest,
     ticket: WorkTicket,
     receiver: oneshot::Receiver<WorkNotice>,
     settled: bool,
@@ -310,7 +314,7 @@
 
 impl QueuePlace<'_> {
     async fn wait(&mut self) -> Result<RunnerKey, WorkRefusal> {
-        let notice = tokio::time::timeout_at(self.ask.deadline, &mut self.receiver).await;
+        let notice = tokio::time::timeout_at(self.request.deadline, &mut self.receiver).await;
         match notice {
             Ok(Ok(WorkNotice::Granted(runner))) => {
                 self.settled = true;
@@ -328,7 +332,7 @@
     }
 
     fn expected_wait(&self) -> Duration {
-        let priority = self.ask.priority;
+        let priority = self.request.priority;
         self.dispatcher
             .inspect(|scheduler| scheduler.expected_wait(priority))
     }
@@ -339,14 +343,14 @@
         if self.settled {
             return;
         }
-        let ask = self.ask;
-        let deadline = ask.deadline.into_std();
+        let request = self.request;
+        let deadline = request.deadline.into_std();
         self.dispatcher
             .lock()
-            .cancel(self.ticket, ask.priority, ask.team, deadline);
+            .cancel(self.ticket, request.priority, request.team, deadline);
         // The slot may have been granted just before the cancellation.
         if let Ok(WorkNotice::Granted(runner)) = self.receiver.try_recv() {
-            self.dispatcher.finish(unused(runner, ask.priority));
+            self.dispatcher.finish(unused(runner, request.priority));
         }
     }
 }
@@ -372,7 +376,7 @@
     }
 }
 
-impl Drop for TeamHold {
+impl Drop for TeamPermit {
     fn drop(&mut self) {
         self.dispatcher.lock().finish_admitted(self.team);
     }
--- a/crates/hoisthitch-entry/src/traffic/exchange.rs
+++ b/crates/hoisthitch-entry/src/traffic/exchange.rs
@@ -55,36 +55,36 @@
         dispatcher::{
             PoolDispatcher,
             SlotPermit,
-            TeamHold, //
+            TeamPermit, //
         },
         hop::{
             HopError,
             send_request, //
         },
         result::{
-            AnswerBody,
-            AnswerCut,
             ExchangeFailure,
             ExchangeResult,
-            RunnerAnswer, //
+            ResponseBody,
+            ResponseTruncated,
+            RunnerResponse, //
         }, //
     }, //
 };
 
 /// Longest response body that is read whole before it is forwarded.
-const WHOLE_LIMIT: usize = 64 << 10;
+const WHOLE_BODY_MAX_BYTES: usize = 64 << 10;
 
 /// Longest response body that is stored with the claim of its request.
-const KEPT_LIMIT: usize = 2 << 10;
+const STORED_BODY_MAX_BYTES: usize = 2 << 10;
 
 /// Chunks of a streamed response that may wait for the caller.
-const STREAM_PIECES: usize = 4;
+const STREAM_CHUNKS: usize = 4;
 
 /// How long after the request's deadline the runner's response is still awaited.
 const ABANDON_LIMIT: Duration = Duration::from_secs(60);
 
 /// How often a request that was not sent is reassigned to another runner.
-const REASSIGN_LIMIT: usize = 3;
+const MAX_REASSIGNMENTS: usize = 3;
 
 /// A request that has a slot, with all that is needed to send it.
 pub struct RequestExchange {
@@ -105,7 +105,7 @@
     /// Time at which the caller gets an error response.
     pub deadline: Instant,
     /// The request's part of its team's quota, held until the exchange ends.
-    pub hold: TeamHold,
+    pub team_permit: TeamPermit,
     /// Claim of the request's idempotency key.
     pub claim: Option<ClaimTicket>,
 }
@@ -115,7 +115,7 @@
     Hop(HopError),
     /// The head was received, and the body was truncated before any of it was
     /// forwarded.
-    Cut {
+    Truncated {
         status: u16,
         fault: String,
     },
@@ -132,9 +132,9 @@
         let mut permit = permit;
         let mut reassigned = 0;
         loop {
-            let again = self.body.again();
-            let err = match self.attempt_until_late(&mut permit, &mut reply).await {
-                Ok(answer) => return self.pass_on(answer, permit, reply).await,
+            let copy = self.body.try_clone();
+            let err = match self.attempt_until_deadline(&mut permit, &mut reply).await {
+                Ok(response) => return self.forward(response, permit, reply).await,
                 Err(err) => err,
             };
             permit.set_healthy(false);
@@ -143,17 +143,17 @@
                 self.repeatable
             } else {
                 reassigned += 1;
-                reassigned <= REASSIGN_LIMIT
+                reassigned <= MAX_REASSIGNMENTS
             };
-            let next = match again {
+            let next = match copy {
                 Some(body) if allowed && Instant::now() < self.deadline => {
                     self.body = body;
-                    self.dispatcher.another(&permit, was_sent)
+                    self.dispatcher.acquire_other(&permit, was_sent)
                 }
                 _ => None,
             };
             let Some(next) = next else {
-                self.end_unanswered(&err);
+                self.end_claim_unanswered(&err);
                 reply.send(ExchangeResult::Failure(err.into_failure()));
                 return;
             };
@@ -163,27 +163,28 @@
     }
 
     /// Makes one attempt; replies with a failure if the deadline passes meanwhile.
-    async fn attempt_until_late(
+    async fn attempt_until_deadline(
         &mut self,
         permit: &mut SlotPermit,
         reply: &mut ReplySlot,
-    ) -> Result<(Parts, Received), AttemptError> {
+    ) -> Result<(Parts, ReceivedBody), AttemptError> {
         let deadline = self.deadline;
         let limit = deadline.max(Instant::now()) + ABANDON_LIMIT;
         let mut attempt = std::pin::pin!(self.attempt(permit));
         if let Ok(result) = tokio::time::timeout_at(deadline, &mut attempt).await {
             return result;
         }
-        let late = || AttemptError::Hop(HopError::Sent("the deadline passed".to_owned()));
-        reply.send(ExchangeResult::Failure(late().into_failure()));
+        let deadline_passed =
+            || AttemptError::Hop(HopError::Sent("the deadline passed".to_owned()));
+        reply.send(ExchangeResult::Failure(deadline_passed().into_failure()));
         let rest = tokio::time::timeout_at(limit, attempt).await;
-        rest.unwrap_or_else(|_| Err(late()))
+        rest.unwrap_or_else(|_| Err(deadline_passed()))
     }
 
     async fn attempt(
         &mut self,
         permit: &mut SlotPermit,
-    ) -> Result<(Parts, Received), AttemptError> {
+    ) -> Result<(Parts, ReceivedBody), AttemptError> {
         let body = std::mem::replace(&mut self.body, RequestBody::Whole(Bytes::new()));
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -204,15 +205,15 @@
     async fn receive(
         &self,
         response: Response<Incoming>,
-    ) -> Result<(Parts, Received), AttemptError> {
+    ) -> Result<(Parts, ReceivedBody), AttemptError> {
         let (head, mut body) = response.into_parts();
         if self.method == Method::HEAD {
-            let length = named_length(&head);
-            return Ok((head, Received::Head { length }));
+            let length = content_length(&head);
+            return Ok((head, ReceivedBody::Head { length }));
         }
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > WHOLE_LIMIT as u64) {
-            let received = Received::Part {
+        if length.is_some_and(|length| length > WHOLE_BODY_MAX_BYTES as u64) {
+            let received = ReceivedBody::Part {
                 length,
                 first: Bytes::new(),
                 rest: body,
@@ -220,10 +221,10 @@
             return Ok((head, received));
         }
         let mut whole = BytesMut::new();
-        while whole.len() <= WHOLE_LIMIT {
+        while whole.len() <= WHOLE_BODY_MAX_BYTES {
             match body.frame().await {
-                None => return Ok((head, Received::Whole(whole.freeze()))),
-                Some(Err(err)) => return Err(cut(&head, &err.to_string())),
+                None => return Ok((head, ReceivedBody::Whole(whole.freeze()))),
+                Some(Err(err)) => return Err(truncated(&head, &err.to_string())),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         whole.extend_from_slice(&data);
@@ -231,7 +232,7 @@
                 }
             }
         }
-        let received = Received::Part {
+        let received = ReceivedBody::Part {
             length,
             first: whole.freeze(),
             rest: body,
@@ -239,45 +240,45 @@
         Ok((head, received))
     }
 
-    async fn pass_on(
+    async fn forward(
         mut self,
-        (head, received): (Parts, Received),
+        (head, received): (Parts, ReceivedBody),
         permit: SlotPermit,
         mut reply: ReplySlot,
     ) {
-        self.end_answered(&head, &received);
+        self.end_claim_answered(&head, &received);
         let (body, rest) = match received {
-            Received::Whole(bytes) => (AnswerBody::Whole(bytes), None),
-            Received::Head { length } => (AnswerBody::Head { length }, None),
-            Received::Part {
+            ReceivedBody::Whole(bytes) => (ResponseBody::Whole(bytes), None),
+            ReceivedBody::Head { length } => (ResponseBody::Head { length }, None),
+            ReceivedBody::Part {
                 length,
                 first,
                 rest,
             } => {
-                let (sender, pieces) = mpsc::channel(STREAM_PIECES);
+                let (sender, chunks) = mpsc::channel(STREAM_CHUNKS);
                 (
-                    AnswerBody::Stream { length, pieces },
+                    ResponseBody::Stream { length, chunks },
                     Some((first, rest, sender)),
                 )
             }
         };
-        let answer = RunnerAnswer { head, body };
-        let taken = reply.send(ExchangeResult::Answer(Box::new(answer)));
-        if let (true, Some((first, rest, sender))) = (taken, rest) {
+        let response = RunnerResponse { head, body };
+        let sent = reply.send(ExchangeResult::Response(Box::new(response)));
+        if let (true, Some((first, rest, sender))) = (sent, rest) {
             stream_body(first, rest, sender).await;
         }
         drop(permit);
-        drop(self.hold);
+        drop(self.team_permit);
     }
 
     /// Resolves the claim of a request without a response to forward.
     ///
     /// If the outcome is unknown, the key stays claimed until its lease expires.
-    fn end_unanswered(&mut self, err: &AttemptError) {
+    fn end_claim_unanswered(&mut self, err: &AttemptError) {
         let end = match err {
             AttemptError::Hop(HopError::Sent(_)) => return,
             AttemptError::Hop(HopError::Unsent(_)) => ClaimResolution::NotRun,
-            AttemptError::Cut { status, .. } => ClaimResolution::Ran(ClaimAnswer {
+            AttemptError::Truncated { status, .. } => ClaimResolution::Ran(ClaimAnswer {
                 status: *status,
                 content_type: String::new(),
                 body: None,
@@ -289,14 +290,14 @@
     }
 
     /// Resolves the claim of a request that ran, and stores a short response with it.
-    fn end_answered(&mut self, head: &Parts, body: &Received) {
+    fn end_claim_answered(&mut self, head: &Parts, body: &ReceivedBody) {
         let Some(ticket) = self.claim.take() else {
             return;
         };
         let content_type = head.headers.get(CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
         let body = match body {
-            Received::Whole(bytes) if bytes.len() <= KEPT_LIMIT => Some(ClaimBody {
+            ReceivedBody::Whole(bytes) if bytes.len() <= STORED_BODY_MAX_BYTES => Some(ClaimBody {
                 bytes: bytes.to_vec(),
             }),
             _ => None,
@@ -335,7 +336,7 @@
 }
 
 /// Body of a response, as far as it was read.
-enum Received {
+enum ReceivedBody {
     Whole(Bytes),
     Head {
         length: Option<u64>,
@@ -347,14 +348,14 @@
     },
 }
 
-fn cut(head: &Parts, fault: &str) -> AttemptError {
-    AttemptError::Cut {
+fn truncated(head: &Parts, fault: &str) -> AttemptError {
+    AttemptError::Truncated {
         status: head.status.as_u16(),
         fault: fault.to_owned(),
     }
 }
 
-fn named_length(head: &Parts) -> Option<u64> {
+fn content_length(head: &Parts) -> Option<u64> {
     head.headers
         .get(CONTENT_LENGTH)?
         .to_str()
@@ -367,21 +368,21 @@
 async fn stream_body(
     first: Bytes,
     mut rest: Incoming,
-    sender: mpsc::Sender<Result<Bytes, AnswerCut>>,
+    sender: mpsc::Sender<Result<Bytes, ResponseTruncated>>,
 ) {
     if !first.is_empty() && sender.send(Ok(first)).await.is_err() {
         return;
     }
     while let Some(frame) = rest.frame().await {
-        let piece = match frame {
+        let chunk = match frame {
             Ok(frame) => frame.into_data().ok(),
             Err(_) => {
-                let _ = sender.send(Err(AnswerCut)).await;
+                let _ = sender.send(Err(ResponseTruncated)).await;
                 return;
             }
         };
-        if let Some(piece) = piece
-            && sender.send(Ok(piece)).await.is_err()
+        if let Some(chunk) = chunk
+            && sender.send(Ok(chunk)).await.is_err()
         {
             return;
         }
@@ -399,7 +400,7 @@
                 outcome: RequestOutcome::Unknown,
                 fault,
             },
-            Self::Cut { fault, .. } => ExchangeFailure {
+            Self::Truncated { fault, .. } => ExchangeFailure {
                 outcome: RequestOutcome::Ran,
                 fault: format!("the answer was cut short: {fault}"),
             },
--- a/crates/hoisthitch-entry/src/traffic/headers.rs
+++ b/crates/hoisthitch-entry/src/traffic/headers.rs
@@ -45,7 +45,7 @@
 }
 
 /// Headers of a runner's response that are forwarded to the caller.
-pub fn answer_headers(headers: &RunnerHeaders) -> impl Iterator<Item = (&str, &[u8])> {
+pub fn response_headers(headers: &RunnerHeaders) -> impl Iterator<Item = (&str, &[u8])> {
     let values = headers.get_all("connection").iter();
     let named = connection_names(values.map(|value| value.as_bytes()));
     headers
--- a/crates/hoisthitch-entry/src/traffic/hop.rs
+++ b/crates/hoisthitch-entry/src/traffic/hop.rs
@@ -32,20 +32,20 @@
 use crate::traffic::body::RequestBody;
 
 /// Timeout of connecting to a runner.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Spare connections that each thread keeps to each runner.
-const SPARE_LIMIT: usize = 1;
+const SPARE_CONNECTIONS: usize = 1;
 
 /// Age at which a spare connection is no longer used; well below the idle timeouts
 /// of servers.
-const SPARE_AGE: Duration = Duration::from_secs(2);
+const SPARE_MAX_AGE: Duration = Duration::from_secs(2);
 
 /// Longest head of a response, and longest part of a body that is buffered.
-const BUFFER_LIMIT: usize = 64 << 10;
+const BUFFER_MAX_BYTES: usize = 64 << 10;
 
 /// Most headers of a response.
-const HEADER_LIMIT: usize = 128;
+const MAX_HEADERS: usize = 128;
 
 /// Why an exchange with a runner failed.
 #[derive(Debug, Error)]
@@ -122,12 +122,12 @@
 /// Opens a spare connection for the next request, unless there are enough.
 fn open_spare(address: SocketAddr) {
     let waiting = SPARES.with_borrow(|spares| spares.get(&address).map_or(0, Vec::len));
-    if waiting >= SPARE_LIMIT {
+    if waiting >= SPARE_CONNECTIONS {
         return;
     }
     actix_web::rt::spawn(async move {
         let opened = Instant::now();
-        let Ok(sender) = connect(address, opened + CONNECT_LIMIT).await else {
+        let Ok(sender) = connect(address, opened + CONNECT_TIMEOUT).await else {
             return;
         };
         SPARES.with_borrow_mut(|spares| {
@@ -140,7 +140,7 @@
 
 impl SpareConnection {
     fn is_usable(&self) -> bool {
-        !self.sender.is_closed() && self.opened.elapsed() < SPARE_AGE
+        !self.sender.is_closed() && self.opened.elapsed() < SPARE_MAX_AGE
     }
 }
 
@@ -148,7 +148,7 @@
     address: SocketAddr,
     deadline: Instant,
 ) -> Result<http1::SendRequest<RequestBody>, HopError> {
-    let limit = deadline.min(Instant::now() + CONNECT_LIMIT);
+    let limit = deadline.min(Instant::now() + CONNECT_TIMEOUT);
     let stream = tokio::time::timeout_at(limit, TcpStream::connect(address))
         .await
         .map_err(|_| HopError::Unsent("connecting took too long".to_owned()))?
@@ -157,8 +157,8 @@
         .set_nodelay(true)
         .map_err(|err| HopError::Unsent(err.to_string()))?;
     let (sender, connection) = http1::Builder::new()
-        .max_buf_size(BUFFER_LIMIT)
-        .max_headers(HEADER_LIMIT)
+        .max_buf_size(BUFFER_MAX_BYTES)
+        .max_headers(MAX_HEADERS)
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|err| HopError::Unsent(err.to_string()))?;
--- a/crates/hoisthitch-entry/src/traffic/answer.rs
+++ b/crates/hoisthitch-entry/src/traffic/problem.rs
@@ -22,14 +22,14 @@
 const PROBLEM_TYPE: &str = "application/problem+json";
 
 /// Default `Retry-After` of an entry that can't send requests at the moment.
-pub const VIEW_RETRY: Duration = Duration::from_secs(1);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Error response for a request, boxed to keep `Result`s small.
-pub type Refused = Box<ProblemAnswer>;
+pub type BoxedProblem = Box<ProblemResponse>;
 
 /// Problem details of a response.
 #[derive(Clone, Debug, Serialize)]
-pub struct ProblemAnswer {
+pub struct ProblemResponse {
     /// Type of the problem: a URI reference, relative to the documentation.
     #[serde(rename = "type")]
     kind: String,
@@ -42,7 +42,7 @@
     retry_after: Option<Duration>,
 }
 
-impl ProblemAnswer {
+impl ProblemResponse {
     /// Creates a problem of the type `/problems/{code}`.
     pub fn new(
         status: StatusCode,
@@ -88,7 +88,7 @@
         Self::unavailable(
             "stale-view",
             "this entry is not on the roster, or has not heard from the platform or another entry",
-            VIEW_RETRY,
+            DEFAULT_RETRY_AFTER,
         )
     }
 
--- a/crates/hoisthitch-entry/src/traffic/ask.rs
+++ b/crates/hoisthitch-entry/src/traffic/request.rs
@@ -34,14 +34,14 @@
     },
     state::SharedState,
     traffic::{
-        answer::{
-            ProblemAnswer,
-            Refused,
-            VIEW_RETRY, //
-        },
         dispatcher::{
             PoolDispatcher,
-            SlotAsk, //
+            SlotRequest, //
+        },
+        problem::{
+            BoxedProblem,
+            DEFAULT_RETRY_AFTER,
+            ProblemResponse, //
         }, //
     }, //
 };
@@ -56,16 +56,16 @@
 const DEADLINE_HEADER: &str = "hoisthitch-deadline-ms";
 
 /// Longest timeout that a caller may set.
-const DEADLINE_LIMIT: Duration = Duration::from_secs(86_400);
+const MAX_TIMEOUT: Duration = Duration::from_secs(86_400);
 
 /// A request's pool, team, priority and deadline.
-pub struct RequestAsk {
+pub struct RoutedRequest {
     /// Dispatcher of the pool that serves the path.
     pub dispatcher: Arc<PoolDispatcher>,
     /// Name of the team.
     pub team_name: String,
     /// What the dispatcher needs in order to grant a slot.
-    pub slot: SlotAsk,
+    pub slot: SlotRequest,
     /// Whether the request may be sent again after a failure.
     pub repeatable: bool,
 }
@@ -75,21 +75,24 @@
 /// # Errors
 ///
 /// Fails with the response for a request that can't be routed.
-pub fn read_ask(shared: &SharedState, request: &HttpRequest) -> Result<RequestAsk, Refused> {
+pub fn route_request(
+    shared: &SharedState,
+    request: &HttpRequest,
+) -> Result<RoutedRequest, BoxedProblem> {
     let routes = shared.routes.load();
     if routes.revision == 0 {
-        return Err(Box::new(ProblemAnswer::unavailable(
+        return Err(Box::new(ProblemResponse::unavailable(
             "no-table",
             "this entry has not read the table yet",
-            VIEW_RETRY,
+            DEFAULT_RETRY_AFTER,
         )));
     }
     if !shared.may_send() {
-        return Err(Box::new(ProblemAnswer::stale_view()));
+        return Err(Box::new(ProblemResponse::stale_view()));
     }
     let path = request.path();
     let dispatcher = routes.dispatcher(path).ok_or_else(|| {
-        Box::new(ProblemAnswer::new(
+        Box::new(ProblemResponse::new(
             StatusCode::NOT_FOUND,
             RequestOutcome::NotRun,
             "no-pool",
@@ -104,11 +107,11 @@
         (row.deadline_ms(priority), row.repeat)
     });
     let allowed = read_deadline(headers)?.unwrap_or(Duration::from_millis(u64::from(default_ms)));
-    Ok(RequestAsk {
+    Ok(RoutedRequest {
         dispatcher: dispatcher.clone(),
         team_name,
         repeatable: repeat.allows(request.method().as_str()),
-        slot: SlotAsk {
+        slot: SlotRequest {
             priority,
             team: team.key,
             weight: team.weight,
@@ -117,10 +120,13 @@
     })
 }
 
-fn read_team(routes: &RouteTable, headers: &HeaderMap) -> Result<(String, TeamRoute), Refused> {
+fn read_team(
+    routes: &RouteTable,
+    headers: &HeaderMap,
+) -> Result<(String, TeamRoute), BoxedProblem> {
     let name = text_header(headers, TEAM_HEADER)?.unwrap_or(DEFAULT_TEAM);
     let team = routes.team(name).ok_or_else(|| {
-        Box::new(ProblemAnswer::new(
+        Box::new(ProblemResponse::new(
             StatusCode::FORBIDDEN,
             RequestOutcome::NotRun,
             "no-team",
@@ -130,7 +136,7 @@
     Ok((name.to_owned(), team))
 }
 
-fn read_priority(headers: &HeaderMap) -> Result<Option<PaidPriority>, Refused> {
+fn read_priority(headers: &HeaderMap) -> Result<Option<PaidPriority>, BoxedProblem> {
     match text_header(headers, PRIORITY_HEADER)? {
         None => Ok(None),
         Some("urgent") => Ok(Some(PaidPriority::Urgent)),
@@ -139,18 +145,18 @@
     }
 }
 
-fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, Refused> {
+fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, BoxedProblem> {
     let Some(text) = text_header(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
     let allowed = text.parse().map(Duration::from_millis).ok();
     match allowed {
-        Some(allowed) if allowed <= DEADLINE_LIMIT => Ok(Some(allowed)),
+        Some(allowed) if allowed <= MAX_TIMEOUT => Ok(Some(allowed)),
         _ => Err(bad_header(DEADLINE_HEADER, "use 0 to 86400000")),
     }
 }
 
-fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refused> {
+fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, BoxedProblem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -160,8 +166,8 @@
     }
 }
 
-fn bad_header(name: &str, help: &str) -> Refused {
-    Box::new(ProblemAnswer::new(
+fn bad_header(name: &str, help: &str) -> BoxedProblem {
+    Box::new(ProblemResponse::new(
         StatusCode::BAD_REQUEST,
         RequestOutcome::NotRun,
         "bad-header",
@@ -174,7 +180,7 @@
 /// # Errors
 ///
 /// Fails with the response for a request that can't be forwarded.
-pub fn read_method(request: &HttpRequest) -> Result<Method, Refused> {
+pub fn read_method(request: &HttpRequest) -> Result<Method, BoxedProblem> {
     Method::from_bytes(request.method().as_str().as_bytes()).map_err(|_| bad_target())
 }
 
@@ -183,13 +189,13 @@
 /// # Errors
 ///
 /// Fails with the response for a request that can't be forwarded.
-pub fn read_uri(request: &HttpRequest) -> Result<Uri, Refused> {
+pub fn read_uri(request: &HttpRequest) -> Result<Uri, BoxedProblem> {
     let target = request.uri().path_and_query().ok_or_else(bad_target)?;
     target.as_str().parse().map_err(|_| bad_target())
 }
 
-fn bad_target() -> Refused {
-    Box::new(ProblemAnswer::new(
+fn bad_target() -> BoxedProblem {
+    Box::new(ProblemResponse::new(
         StatusCode::BAD_REQUEST,
         RequestOutcome::NotRun,
         "bad-target",
--- a/crates/hoisthitch-entry/src/traffic/download.rs
+++ b/crates/hoisthitch-entry/src/traffic/response.rs
@@ -24,47 +24,47 @@
 use tokio::sync::mpsc;
 
 use crate::traffic::{
-    headers::answer_headers,
+    headers::response_headers,
     result::{
-        AnswerBody,
-        AnswerCut,
-        RunnerAnswer, //
+        ResponseBody,
+        ResponseTruncated,
+        RunnerResponse, //
     }, //
 };
 
 /// Converts a runner's response into the caller's.
-pub fn pass_answer(answer: RunnerAnswer) -> HttpResponse {
-    let RunnerAnswer { head, body } = answer;
+pub fn forward_response(response: RunnerResponse) -> HttpResponse {
+    let RunnerResponse { head, body } = response;
     let status = StatusCode::from_u16(head.status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = HttpResponse::build(status);
-    for (name, value) in answer_headers(&head.headers) {
+    for (name, value) in response_headers(&head.headers) {
         builder.append_header((name, value));
     }
     builder.insert_header((OUTCOME_HEADER, RequestOutcome::Ran.as_str()));
     match body {
-        AnswerBody::Whole(bytes) => builder.body(bytes),
-        AnswerBody::Head { length } => builder.body(StreamedAnswer::without_body(length)),
-        AnswerBody::Stream { length, pieces } => builder.body(StreamedAnswer { length, pieces }),
+        ResponseBody::Whole(bytes) => builder.body(bytes),
+        ResponseBody::Head { length } => builder.body(StreamedBody::without_body(length)),
+        ResponseBody::Stream { length, chunks } => builder.body(StreamedBody { length, chunks }),
     }
 }
 
 /// Body of a streamed response.
-struct StreamedAnswer {
+struct StreamedBody {
     length: Option<u64>,
-    pieces: mpsc::Receiver<Result<Bytes, AnswerCut>>,
+    chunks: mpsc::Receiver<Result<Bytes, ResponseTruncated>>,
 }
 
-impl StreamedAnswer {
+impl StreamedBody {
     /// Body of the response to a HEAD request: no bytes, but a content length if
     /// the runner sent one.
     fn without_body(length: Option<u64>) -> Self {
-        let (_, pieces) = mpsc::channel(1);
-        Self { length, pieces }
+        let (_, chunks) = mpsc::channel(1);
+        Self { length, chunks }
     }
 }
 
-impl MessageBody for StreamedAnswer {
-    type Error = AnswerCut;
+impl MessageBody for StreamedBody {
+    type Error = ResponseTruncated;
 
     fn size(&self) -> BodySize {
         self.length.map_or(BodySize::Stream, BodySize::Sized)
@@ -73,7 +73,7 @@
     fn poll_next(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, AnswerCut>>> {
-        self.get_mut().pieces.poll_recv(context)
+    ) -> Poll<Option<Result<Bytes, ResponseTruncated>>> {
+        self.get_mut().chunks.poll_recv(context)
     }
 }
--- a/crates/hoisthitch-entry/src/traffic/result.rs
+++ b/crates/hoisthitch-entry/src/traffic/result.rs
@@ -8,7 +8,7 @@
 /// Result of an exchange.
 pub enum ExchangeResult {
     /// A runner responded.
-    Answer(Box<RunnerAnswer>),
+    Response(Box<RunnerResponse>),
     /// There is no response to forward.
     Failure(ExchangeFailure),
 }
@@ -23,15 +23,15 @@
 }
 
 /// A runner's response.
-pub struct RunnerAnswer {
+pub struct RunnerResponse {
     /// Status and headers.
     pub head: Parts,
     /// Body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 /// Body of a runner's response.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// The whole body, in memory.
     Whole(Bytes),
     /// No body: the response to a HEAD request.
@@ -44,11 +44,11 @@
         /// Content length in bytes, if the runner sent one.
         length: Option<u64>,
         /// Chunks of the body; an error if it was truncated.
-        pieces: mpsc::Receiver<Result<Bytes, AnswerCut>>,
+        chunks: mpsc::Receiver<Result<Bytes, ResponseTruncated>>,
     },
 }
 
 /// A runner's response was truncated.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the runner's answer was cut short")]
-pub struct AnswerCut;
+pub struct ResponseTruncated;
--- a/crates/hoisthitch-entry/src/traffic/serve.rs
+++ b/crates/hoisthitch-entry/src/traffic/serve.rs
@@ -19,17 +19,6 @@
 use crate::{
     state::SharedState,
     traffic::{
-        answer::{
-            ProblemAnswer,
-            Refused,
-            VIEW_RETRY, //
-        },
-        ask::{
-            RequestAsk,
-            read_ask,
-            read_method,
-            read_uri, //
-        },
         body::RequestBody,
         claim::{
             ClaimGuard,
@@ -39,11 +28,22 @@
         },
         dispatcher::{
             SlotPermit,
-            TeamHold, //
+            TeamPermit, //
         },
-        download::pass_answer,
         exchange::RequestExchange,
         headers::request_headers,
+        problem::{
+            BoxedProblem,
+            DEFAULT_RETRY_AFTER,
+            ProblemResponse, //
+        },
+        request::{
+            RoutedRequest,
+            read_method,
+            read_uri,
+            route_request, //
+        },
+        response::forward_response,
         result::{
             ExchangeFailure,
             ExchangeResult, //
@@ -76,40 +76,40 @@
     shared: &Arc<SharedState>,
     request: &HttpRequest,
     payload: web::Payload,
-) -> Result<HttpResponse, Refused> {
-    let ask = read_ask(shared, request)?;
+) -> Result<HttpResponse, BoxedProblem> {
+    let routed = route_request(shared, request)?;
     let method = read_method(request)?;
     let uri = read_uri(request)?;
-    let body = read_body(shared, request, payload, ask.slot.deadline).await?;
-    let claim = match claim(shared, request, &body, &ask).await? {
+    let body = read_body(shared, request, payload, routed.slot.deadline).await?;
+    let claim = match claim(shared, request, &body, &routed).await? {
         ClaimResult::Send(claim) => claim,
-        ClaimResult::Answer(response) => return Ok(response),
+        ClaimResult::Response(response) => return Ok(response),
     };
-    let (permit, hold) = acquire(shared, &ask).await?;
+    let (permit, team_permit) = acquire(shared, &routed).await?;
     let (reply, result) = oneshot::channel();
     let exchange = RequestExchange {
         shared: shared.clone(),
-        dispatcher: ask.dispatcher.clone(),
+        dispatcher: routed.dispatcher.clone(),
         method,
         uri,
         headers: request_headers(request.headers()),
         body,
-        repeatable: ask.repeatable,
-        deadline: ask.slot.deadline,
-        hold,
+        repeatable: routed.repeatable,
+        deadline: routed.slot.deadline,
+        team_permit,
         claim: claim.and_then(ClaimGuard::into_ticket),
     };
     actix_web::rt::spawn(exchange.run(permit, reply));
-    let priority = ask.slot.priority;
+    let priority = routed.slot.priority;
     let count = |outcome| {
         shared
             .metrics
-            .count_request(ask.dispatcher.name(), priority, outcome);
+            .count_request(routed.dispatcher.name(), priority, outcome);
     };
     match result.await {
-        Ok(ExchangeResult::Answer(answer)) => {
+        Ok(ExchangeResult::Response(response)) => {
             count(RequestOutcome::Ran);
-            Ok(pass_answer(*answer))
+            Ok(forward_response(*response))
         }
         Ok(ExchangeResult::Failure(failure)) => {
             count(failure.outcome);
@@ -117,7 +117,7 @@
         }
         Err(_) => {
             count(RequestOutcome::Unknown);
-            Err(Box::new(ProblemAnswer::new(
+            Err(Box::new(ProblemResponse::new(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 RequestOutcome::Unknown,
                 "internal",
@@ -132,15 +132,15 @@
     shared: &SharedState,
     request: &HttpRequest,
     body: &RequestBody,
-    ask: &RequestAsk,
-) -> Result<ClaimResult, Refused> {
-    if ask.repeatable {
+    routed: &RoutedRequest,
+) -> Result<ClaimResult, BoxedProblem> {
+    if routed.repeatable {
         return Ok(ClaimResult::Send(None));
     }
     let scope = ClaimScope {
-        pool: ask.dispatcher.name(),
-        team: &ask.team_name,
-        deadline: ask.slot.deadline,
+        pool: routed.dispatcher.name(),
+        team: &routed.team_name,
+        deadline: routed.slot.deadline,
     };
     claim_key(shared, request, body, scope).await
 }
@@ -148,33 +148,33 @@
 /// Waits for a slot, and logs whether it was granted or refused.
 async fn acquire(
     shared: &Arc<SharedState>,
-    ask: &RequestAsk,
-) -> Result<(SlotPermit, TeamHold), Refused> {
+    routed: &RoutedRequest,
+) -> Result<(SlotPermit, TeamPermit), BoxedProblem> {
     if shared.settings.callers.bypass {
-        let taken = ask.dispatcher.bypass(ask.slot);
-        return taken.ok_or_else(|| Box::new(ProblemAnswer::stale_view()));
+        let taken = routed.dispatcher.bypass(routed.slot);
+        return taken.ok_or_else(|| Box::new(ProblemResponse::stale_view()));
     }
     let started = Instant::now();
-    let acquired = ask.dispatcher.acquire(ask.slot).await;
+    let acquired = routed.dispatcher.acquire(routed.slot).await;
     let waited = started.elapsed();
-    let pool = ask.dispatcher.name();
-    let priority = ask.slot.priority;
+    let pool = routed.dispatcher.name();
+    let priority = routed.slot.priority;
     shared.metrics.observe_wait(pool, priority, waited);
     match acquired {
-        Ok((permit, hold)) => {
+        Ok((permit, team_permit)) => {
             if !shared.may_send() {
-                return Err(Box::new(ProblemAnswer::stale_view()));
+                return Err(Box::new(ProblemResponse::stale_view()));
             }
             event!(
                 Info,
                 "route",
                 pool = pool,
-                team = ask.team_name,
+                team = routed.team_name,
                 priority = priority.as_str(),
                 vm = permit.vm,
                 waited_us = waited.as_micros(),
             );
-            Ok((permit, hold))
+            Ok((permit, team_permit))
         }
         Err(refusal) => {
             shared
@@ -184,25 +184,27 @@
                 Info,
                 "refuse",
                 pool = pool,
-                team = ask.team_name,
+                team = routed.team_name,
                 priority = priority.as_str(),
                 reason = refusal.reason,
                 retry_after_ms = refusal.retry_after.as_millis(),
             );
-            Err(Box::new(ProblemAnswer::refused(refusal)))
+            Err(Box::new(ProblemResponse::refused(refusal)))
         }
     }
 }
 
-fn failed(failure: ExchangeFailure) -> ProblemAnswer {
+fn failed(failure: ExchangeFailure) -> ProblemResponse {
     let ExchangeFailure { outcome, fault } = failure;
     match outcome {
-        RequestOutcome::NotRun => ProblemAnswer::unavailable("no-runner", &fault, VIEW_RETRY),
+        RequestOutcome::NotRun => {
+            ProblemResponse::unavailable("no-runner", &fault, DEFAULT_RETRY_AFTER)
+        }
         RequestOutcome::Unknown => {
-            ProblemAnswer::new(StatusCode::GATEWAY_TIMEOUT, outcome, "no-answer", fault)
+            ProblemResponse::new(StatusCode::GATEWAY_TIMEOUT, outcome, "no-answer", fault)
         }
         RequestOutcome::Ran => {
-            ProblemAnswer::new(StatusCode::BAD_GATEWAY, outcome, "answer-cut", fault)
+            ProblemResponse::new(StatusCode::BAD_GATEWAY, outcome, "answer-cut", fault)
         }
     }
 }
--- a/crates/hoisthitch-entry/src/traffic/upload.rs
+++ b/crates/hoisthitch-entry/src/traffic/upload.rs
@@ -25,24 +25,24 @@
 use crate::{
     state::SharedState,
     traffic::{
-        answer::{
-            ProblemAnswer,
-            Refused, //
-        },
         body::{
-            BodyCut,
             BodyStream,
+            BodyTruncated,
             RequestBody, //
+        },
+        problem::{
+            BoxedProblem,
+            ProblemResponse, //
         }, //
     }, //
 };
 
 /// Longest body that is read whole, before the request waits for a slot, so that a
 /// slow caller does not occupy a slot.
-const WHOLE_LIMIT: usize = 64 << 10;
+const WHOLE_BODY_MAX_BYTES: usize = 64 << 10;
 
 /// Chunks of a streamed body that may wait for the runner.
-const STREAM_PIECES: usize = 4;
+const STREAM_CHUNKS: usize = 4;
 
 /// Reads a body whole, or the first part of a body that will be streamed.
 ///
@@ -55,28 +55,28 @@
     request: &HttpRequest,
     mut payload: web::Payload,
     deadline: Instant,
-) -> Result<RequestBody, Refused> {
+) -> Result<RequestBody, BoxedProblem> {
     let limit = shared.settings.callers.body_limit;
-    let length = named_length(request.headers());
+    let length = content_length(request.headers());
     if length.is_some_and(|length| length > limit as u64) {
         return Err(too_large(limit));
     }
     let mut first = BytesMut::new();
-    while first.len() <= WHOLE_LIMIT {
-        let piece = tokio::time::timeout_at(deadline, payload.next())
+    while first.len() <= WHOLE_BODY_MAX_BYTES {
+        let chunk = tokio::time::timeout_at(deadline, payload.next())
             .await
-            .map_err(|_| cut_body("it did not come before the deadline"))?;
-        match piece {
+            .map_err(|_| truncated_body("it did not come before the deadline"))?;
+        match chunk {
             None => return Ok(RequestBody::Whole(first.freeze())),
-            Some(Ok(piece)) => first.extend_from_slice(&piece),
-            Some(Err(err)) => return Err(cut_body(&err.to_string())),
+            Some(Ok(chunk)) => first.extend_from_slice(&chunk),
+            Some(Err(err)) => return Err(truncated_body(&err.to_string())),
         }
         if first.len() > limit {
             return Err(too_large(limit));
         }
     }
     let left = limit - first.len();
-    let (sender, rest) = mpsc::channel(STREAM_PIECES);
+    let (sender, rest) = mpsc::channel(STREAM_CHUNKS);
     actix_web::rt::spawn(stream_body(payload, left, sender));
     Ok(RequestBody::Stream(BodyStream {
         length,
@@ -89,24 +89,24 @@
 async fn stream_body(
     mut payload: web::Payload,
     mut left: usize,
-    sender: mpsc::Sender<Result<Bytes, BodyCut>>,
+    sender: mpsc::Sender<Result<Bytes, BodyTruncated>>,
 ) {
-    while let Some(piece) = payload.next().await {
-        let piece = match piece {
-            Ok(piece) if piece.len() <= left => piece,
+    while let Some(chunk) = payload.next().await {
+        let chunk = match chunk {
+            Ok(chunk) if chunk.len() <= left => chunk,
             _ => {
-                let _ = sender.send(Err(BodyCut)).await;
+                let _ = sender.send(Err(BodyTruncated)).await;
                 return;
             }
         };
-        left -= piece.len();
-        if sender.send(Ok(piece)).await.is_err() {
+        left -= chunk.len();
+        if sender.send(Ok(chunk)).await.is_err() {
             return;
         }
     }
 }
 
-fn named_length(headers: &HeaderMap) -> Option<u64> {
+fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers
         .get(header::CONTENT_LENGTH)?
         .to_str()
@@ -115,8 +115,8 @@
         .ok()
 }
 
-fn too_large(limit: usize) -> Refused {
-    Box::new(ProblemAnswer::new(
+fn too_large(limit: usize) -> BoxedProblem {
+    Box::new(ProblemResponse::new(
         StatusCode::PAYLOAD_TOO_LARGE,
         RequestOutcome::NotRun,
         "body-too-large",
@@ -124,8 +124,8 @@
     ))
 }
 
-fn cut_body(fault: &str) -> Refused {
-    Box::new(ProblemAnswer::new(
+fn truncated_body(fault: &str) -> BoxedProblem {
+    Box::new(ProblemResponse::new(
         StatusCode::BAD_REQUEST,
         RequestOutcome::NotRun,
         "body-cut",
