--- a/crates/hoisthitch-entry/src/control/follow.rs
+++ b/crates/hoisthitch-entry/src/control/follow.rs
@@ -1,4 +1,8 @@
-//! Following the platform: the store's records and the list of VMs.
+//! Follows the platform: the store's records and the list of VMs.
+//!
+//! Changes of the store are watched, and its revisions are read at intervals as
+//! well, since a watch can fail without an error. Everything that is read goes to
+//! the [`ViewKeeper`].
 
 use std::{
     cell::RefCell,
@@ -46,17 +50,17 @@
     state::SharedState, //
 };
 
-/// First wait after the store could not be followed.
+/// Shortest wait before the store is followed again after a failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 
-/// Longest wait after the store could not be followed.
+/// Longest wait before the store is followed again after a failure.
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Time between two readings of the table beside the watch, which may be dead
-/// without a sign.
+/// Time between two readings of the store's revisions beside the watch, which may
+/// fail without an error.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the store's records for ever.
+/// Follows the store's records; never returns.
 pub async fn follow_store<S: StoreClient>(
     store: S,
     keys: KeySpace,
@@ -84,7 +88,7 @@
     }
 }
 
-/// Follows the list of VMs for ever.
+/// Reads the list of VMs at intervals; never returns.
 pub async fn follow_vms(
     lister: VmLister,
     interval: Duration,
@@ -108,7 +112,7 @@
 }
 
 struct StoreFollower<S> {
-    /// Records as last read or heard of.
+    /// Records as last read or watched.
     known: RefCell<FollowedRecords>,
     store: S,
     keys: KeySpace,
@@ -117,7 +121,7 @@
 }
 
 impl<S: StoreClient> StoreFollower<S> {
-    /// Reads all records, then follows their changes until the watch fails.
+    /// Reads the records, then applies their changes until the watch ends.
     async fn follow(&self) -> Result<(), StoreError> {
         let highest = self.read_all().await?;
         let from = StoreRevision(highest.0 + 1);
@@ -137,14 +141,14 @@
         }
     }
 
-    /// Waits until a reading is due, in turn or out of it.
+    /// Waits until the next regular reading or a requested one.
     async fn reading_due(&self, check: Instant) {
-        // Either end of the wait asks for the same reading.
+        // Both a timeout and a notification lead to the same reading.
         let _ = tokio::time::timeout_at(check, self.shared.reread.notified()).await;
     }
 
-    /// Reads the records that changed, applies them, and has the store compared
-    /// with what is in force; answers with the highest revision read.
+    /// Reads and applies the records if any of them changed, and has the keeper
+    /// compare the store with what is in effect. Returns the highest revision.
     async fn read_all(&self) -> Result<StoreRevision, StoreError> {
         let asked = self.shared.freshness.now();
         let root = self.keys.records();
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Applies a record and notes what it holds.
+    /// Applies a record and remembers its content.
     fn apply(&self, stored: &StoredValue) {
         let content = self.apply_content(stored);
         self.known.borrow_mut().put(stored, content);
--- a/crates/hoisthitch-entry/src/control/followed.rs
+++ b/crates/hoisthitch-entry/src/control/followed.rs
@@ -1,4 +1,4 @@
-//! What the store held when it was last read or heard of.
+//! Revisions and contents of the store's records, as last read or watched.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 };
 use hoisthitch_wire::HallVersion;
 
-/// What a record holds, as far as it is compared with what is in force.
+/// Content of a record, as far as it is compared with what is in effect.
 pub enum FollowedContent {
     /// Revision of the table.
     Table(u64),
@@ -18,7 +18,7 @@
     Hall(HallVersion),
     /// Entries of a roster.
     Roster(Vec<RosterEntry>),
-    /// Another record, or one that can't be read.
+    /// Another kind of record, or a malformed one.
     Other,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl FollowedRecords {
-    /// Whether these are exactly the records with the revisions.
+    /// Whether the known records have exactly these keys and revisions.
     pub fn holds(&self, revisions: &[KeyRevision]) -> bool {
         let same = |key: &KeyRevision| {
             let known = self.records.get(&key.key);
@@ -43,25 +43,25 @@
         revisions.len() == self.records.len() && revisions.iter().all(same)
     }
 
-    /// Notes a record.
+    /// Adds or replaces a record.
     pub fn put(&mut self, stored: &StoredValue, content: FollowedContent) {
         let revision = stored.revision;
         let record = FollowedRecord { revision, content };
         self.records.insert(stored.key.clone(), record);
     }
 
-    /// Forgets all records.
+    /// Removes all records.
     pub fn clear(&mut self) {
         self.records.clear();
     }
 
-    /// Highest revision of a record.
+    /// Highest revision of all records.
     pub fn highest(&self) -> StoreRevision {
         let revisions = self.records.values().map(|record| record.revision);
         revisions.max().unwrap_or_default()
     }
 
-    /// Revision of the table; zero where there is none.
+    /// Revision of the operators' table; zero if there is none.
     pub fn table(&self) -> u64 {
         let tables = self
             .records
--- a/crates/hoisthitch-entry/src/control/keeper.rs
+++ b/crates/hoisthitch-entry/src/control/keeper.rs
@@ -1,4 +1,10 @@
-//! The view keeper: what this entry knows of the table and the fleet.
+//! View keeper: the actor that holds this entry's view of the table and the fleet.
+//!
+//! It receives records from the store, from operators' changes and from other
+//! entries, and the list of VMs from the platform. A record replaces the known one
+//! only if it is newer. The change is then sent to the other entries, and a new
+//! route table is built. If the store holds an older table or hall record than this
+//! entry, the table writer writes the newer one to it.
 
 use std::{
     collections::{
@@ -82,14 +88,14 @@
 /// Time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two heartbeats while what this entry asks for rises.
+/// Time between two heartbeats while this entry's demand rises.
 const RISING_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that another entry's word on a leaving VM holds against a list that
-/// still shows the VM as live.
+/// Time for which another entry's notice that a VM is draining overrides a list
+/// that still shows the VM as live.
 const TOLD_LIMIT: Duration = Duration::from_secs(300);
 
-/// Keeps the view and puts route tables in force.
+/// Holds the view and replaces the route table when the view changes.
 pub struct ViewKeeper {
     shared: Arc<SharedState>,
     builder: RouteBuilder,
@@ -97,9 +103,10 @@
     halls: BTreeMap<String, HallRecord>,
     rosters: BTreeMap<String, RosterRecord>,
     listed: Vec<ListedVm>,
-    /// VMs that other entries called leaving, and when.
+    /// VMs that are draining according to the list or another entry, and since when
+    /// this is known.
     told: BTreeMap<String, Instant>,
-    /// Moment on their clock of the last heartbeat of each other entry.
+    /// Send time of the last heartbeat of each other entry, on that entry's clock.
     heard: BTreeMap<String, u64>,
     shares: SlotShares,
     last_beat: Instant,
@@ -141,7 +148,7 @@
         self.shared.routes.store(Arc::new(routes));
     }
 
-    /// VMs that the list or another entry calls leaving.
+    /// VMs that are draining according to the list or another entry.
     fn leaving(&self) -> BTreeSet<String> {
         let told = self.told.keys().cloned();
         let listed = leaving_names(&self.listed);
@@ -194,7 +201,7 @@
         }));
     }
 
-    /// Lets the list of VMs overrule old words of other entries.
+    /// Removes old notices of draining VMs, so that the list of VMs decides.
     fn forget_told(&mut self) {
         let before = self.told.len();
         self.told.retain(|_, since| since.elapsed() < TOLD_LIMIT);
@@ -203,7 +210,7 @@
         }
     }
 
-    /// Slots that this entry asks for.
+    /// This entry's demand in each pool, in slots.
     fn demands(&self) -> Vec<PoolDemand> {
         let routes = self.shared.routes.load();
         let demand = |dispatcher: &Arc<crate::traffic::PoolDispatcher>| PoolDemand {
@@ -214,9 +221,10 @@
         demands.filter(|demand| demand.slots > 0).collect()
     }
 
-    /// Takes in what another entry holds, and asks for what is newer.
+    /// Compares another entry's versions with this entry's and requests what is
+    /// newer.
     ///
-    /// The view counts as confirmed only by an entry that holds nothing newer.
+    /// The view is confirmed only if the other entry has nothing newer.
     fn hear_heartbeat(&mut self, node: &str, heartbeat: Heartbeat) {
         let mut newer = false;
         if heartbeat.table > self.table.revision {
@@ -392,7 +400,7 @@
                 let report = self.drain_report(vm, &hall);
                 self.send_to(node, MeshFrame::Drained(report));
             }
-            // Reports go to stewards, who ask for them.
+            // Drain reports are sent only to stewards, which request them.
             MeshFrame::Drained(_) => {}
         }
     }
@@ -453,10 +461,10 @@
 }
 
 impl ViewKeeper {
-    /// Whether the list shows this entry's VM.
+    /// Whether the list of VMs contains this entry's VM, or the entry has no mesh.
     ///
-    /// Only then does the list alone keep the view fresh: an entry that is not
-    /// listed may have been taken off the roster without knowing.
+    /// Only then does the list confirm the view: an entry that is not listed may
+    /// have been removed from the roster without knowing it.
     fn lists_self(&self) -> bool {
         let own = &self.shared.settings.name;
         let listed = self.listed.iter().any(|listed| listed.vm == *own);
--- a/crates/hoisthitch-entry/src/control/mesh.rs
+++ b/crates/hoisthitch-entry/src/control/mesh.rs
@@ -1,8 +1,8 @@
-//! The mesh hub: connections to other entries.
+//! Mesh hub: the actor that holds the connections to other entries.
 //!
-//! An entry connects to a fixed number of others, chosen by rank, and takes
-//! connections from any. A connection that can't keep up is closed; what it
-//! missed is asked for after the next heartbeat.
+//! An entry connects to a fixed number of neighbours, selected by rank, and accepts
+//! connections from all entries. A frame that does not fit into a connection's
+//! queue is dropped; the peer requests what it missed after the next heartbeat.
 
 use std::{
     collections::BTreeMap,
@@ -41,13 +41,13 @@
     state::SharedState, //
 };
 
-/// Entries that an entry connects to.
+/// Number of entries that an entry connects to.
 const DEGREE: usize = 4;
 
-/// Time between two looks for entries to connect to.
+/// Time between two checks for missing connections.
 const DIAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Frames that may wait for one entry.
+/// Length of the queue of frames to one entry.
 const QUEUE_FRAMES: usize = 256;
 
 /// Connections of the mesh.
@@ -61,7 +61,7 @@
     dialing: BTreeMap<String, SocketAddr>,
 }
 
-/// Names a connection.
+/// Identifies a connection.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct LinkId(u64);
 
@@ -73,11 +73,11 @@
     frames: mpsc::Sender<MeshFrame>,
 }
 
-/// Entries there are.
+/// Sets the members of the mesh.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SetMembers {
-    /// The entries, this one among them.
+    /// All entries, including this one.
     pub members: Vec<RosterEntry>,
 }
 
@@ -99,7 +99,7 @@
     pub frame: MeshFrame,
 }
 
-/// A connection came up.
+/// A connection was established.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct LinkUp {
@@ -114,7 +114,7 @@
     node: String,
 }
 
-/// A connection went down.
+/// A connection ended.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct LinkDown {
@@ -123,7 +123,8 @@
 }
 
 impl MeshHub {
-    /// Starts without connections.
+    /// Creates the hub without connections; the first members are the seeds of the
+    /// settings.
     pub fn new(shared: Arc<SharedState>, endpoint: MeshEndpoint, keeper: Addr<ViewKeeper>) -> Self {
         Self {
             members: seeds(&shared),
@@ -217,8 +218,8 @@
 
     fn handle(&mut self, message: SendAll, _: &mut Context<Self>) {
         let mut told: Vec<&str> = Vec::new();
-        // The newest connection goes first: an older one may be to a process
-        // that is gone.
+        // The newest connection is used: an older one may lead to a process that has
+        // ended.
         for link in self.links.values().rev() {
             if !told.contains(&link.node.as_str()) {
                 told.push(&link.node);
@@ -248,7 +249,7 @@
         if dialed {
             self.dialing.remove(&peer.node);
         }
-        // Dropping the superseded link's queue closes its connection.
+        // Dropping the queue of the replaced link closes its connection.
         self.links
             .retain(|_, link| link.node != peer.node || link.dialed != dialed);
         let id = LinkId(self.next_link);
@@ -308,13 +309,13 @@
     }
 }
 
-/// Entries to start with, before a roster is known.
+/// Members of the mesh until a roster is known.
 fn seeds(shared: &SharedState) -> Vec<RosterEntry> {
     let mesh = shared.settings.mesh.as_ref();
     mesh.map_or_else(Vec::new, |mesh| mesh.seeds.clone())
 }
 
-/// Hands frames to the keeper until the connection ends; tells the cause.
+/// Passes frames to the keeper until the connection ends; returns the cause.
 async fn read_frames(
     node: &str,
     mut reader: FrameReader,
--- a/crates/hoisthitch-entry/src/control/messages.rs
+++ b/crates/hoisthitch-entry/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that the view keeper takes.
+//! Messages to the view keeper.
 
 use std::collections::BTreeMap;
 
@@ -23,27 +23,27 @@
     writer::TableWriter, //
 };
 
-/// Names the actors that the keeper tells of changes.
+/// Connects the keeper with the actors that it sends changes to.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Connect {
-    /// The mesh; none for an entry that stands alone.
+    /// The mesh; none for an entry without other entries.
     pub mesh: Option<Addr<MeshHub>>,
     /// The table writer.
     pub writer: Addr<TableWriter>,
 }
 
-/// A table was heard of.
+/// Applies a table, if it is newer.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ApplyTable {
     /// The table.
     pub table: PolicyTable,
-    /// Where it came from.
+    /// Source of the table, for the log.
     pub source: &'static str,
 }
 
-/// A hall record was heard of.
+/// Applies a hall record, if it is newer.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ApplyHall {
@@ -51,7 +51,7 @@
     pub record: HallRecord,
 }
 
-/// A roster was heard of.
+/// Applies a roster, if it is newer.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ApplyRoster {
@@ -59,31 +59,31 @@
     pub record: RosterRecord,
 }
 
-/// The platform's list of VMs was read.
+/// Applies the platform's list of VMs.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ApplyListing {
-    /// The list; none where it is as it was.
+    /// The list; none if it has not changed.
     pub vms: Option<Vec<ListedVm>>,
-    /// When it was asked for.
+    /// When it was requested.
     pub asked: ViewTime,
 }
 
-/// The store was read: what it holds, to be compared with what is in force.
+/// Compares the store's versions, as read, with those in effect.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct CompareStore {
-    /// Revision of the table in the store; zero where there is none.
+    /// Revision of the table in the store; zero if there is none.
     pub table: u64,
     /// Versions of the hall records in the store.
     pub halls: Vec<HallVersion>,
     /// Whether this entry was on the roster.
     pub registered: bool,
-    /// When it was read.
+    /// When the reading was requested.
     pub asked: ViewTime,
 }
 
-/// A frame came from another entry.
+/// Applies a frame from another entry.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct PeerFrame {
@@ -93,15 +93,15 @@
     pub frame: MeshFrame,
 }
 
-/// Asks for the view.
+/// Requests a copy of the view.
 #[derive(Message)]
 #[rtype(result = "ViewSummary")]
 pub struct ReadView;
 
-/// The view at one moment.
+/// Copy of the view.
 #[derive(Clone, Debug)]
 pub struct ViewSummary {
-    /// The table in force.
+    /// The table in effect.
     pub table: PolicyTable,
     /// Hall records by data hall.
     pub halls: BTreeMap<String, HallRecord>,
--- a/crates/hoisthitch-entry/src/control/mod.rs
+++ b/crates/hoisthitch-entry/src/control/mod.rs
@@ -1,8 +1,10 @@
 //! Control state of the entry: actors of the control thread.
 //!
-//! [`ViewKeeper`] holds the table, the hall records and the VM list as last
-//! heard of and builds the route table from them. `follow` feeds it from the
-//! platform, [`TableWriter`] writes operators' edits.
+//! [`ViewKeeper`] holds the operators' table, the hall records, the rosters and the
+//! VM list, as last received, and builds the route table from them. `follow` reads
+//! them from the platform and [`MeshHub`] receives them from other entries.
+//! [`TableWriter`] writes operators' changes to the store, and [`RosterKeeper`]
+//! registers the entry.
 
 mod follow;
 mod followed;
--- a/crates/hoisthitch-entry/src/control/register.rs
+++ b/crates/hoisthitch-entry/src/control/register.rs
@@ -1,4 +1,7 @@
-//! Registration: an entry is on the roster before it routes.
+//! Registers the entry on the roster of its data hall.
+//!
+//! An entry must be on the roster before it routes requests, since stewards ask
+//! only the entries on the rosters whether they are done with a VM.
 
 use std::{
     sync::Arc,
@@ -26,10 +29,10 @@
     state::SharedState, //
 };
 
-/// Time between two looks whether the entry is on the roster.
+/// Time between two checks whether the entry is on the roster.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Puts an entry on the roster and takes it off.
+/// Adds an entry to the roster and removes it.
 pub struct RosterKeeper<S> {
     records: RecordWriter<S>,
     key: String,
@@ -39,7 +42,7 @@
 }
 
 impl<S: StoreClient> RosterKeeper<S> {
-    /// Registers `entry` in the settings' data hall.
+    /// Prepares to register `entry` in the data hall of the settings.
     pub fn new(
         shared: &SharedState,
         store: S,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Takes the entry off the roster.
+    /// Removes the entry from the roster.
     pub async fn unregister(&self) {
         if let Err(err) = self.write(false).await {
             event!(Warn, "not_unregistered", error = err);
@@ -102,9 +105,9 @@
 
 /// Why the roster was not written.
 enum RosterError {
-    /// It holds the entry already.
+    /// It contains the entry already.
     Unchanged,
-    /// The store failed.
+    /// The write failed.
     Write(WriteError),
 }
 
--- a/crates/hoisthitch-entry/src/control/routes.rs
+++ b/crates/hoisthitch-entry/src/control/routes.rs
@@ -1,8 +1,9 @@
-//! The route table: what the traffic threads route by.
+//! Route table: maps paths to the pools' dispatchers, and names to teams.
 //!
-//! The table is built whole, then put in force whole. The dispatchers in it outlive
-//! it, so that requests keep their slots and places in the queue while the
-//! table changes around them.
+//! [`RouteBuilder`] builds it from the operators' table, the hall records, the
+//! draining VMs and the shares. The traffic threads use one table until it is
+//! replaced as a whole. The dispatchers are kept from table to table, so that
+//! requests keep their slots and queue places.
 
 use std::{
     collections::{
@@ -39,26 +40,27 @@
     traffic::PoolDispatcher, //
 };
 
-/// Name of the team that requests without a team belong to.
+/// Name of the team of requests that name no team.
 pub const DEFAULT_TEAM: &str = "default";
 
-/// Weight of the default team where the table has no row for it.
+/// Weight of the default team if the table has no row for it.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// Rate and in-flight limit of the default team without a row.
+/// Rate limit and in-flight limit of the default team if the table has no row for
+/// it.
 const DEFAULT_LIMIT: u32 = 1_000_000;
 
-/// Routes in force.
+/// Routes in effect.
 #[derive(Clone, Default)]
 pub struct RouteTable {
-    /// Revision of the operators' table; zero before the first.
+    /// Revision of the operators' table; zero before the first table.
     pub revision: u64,
     dispatchers: SlotMap<PoolKey, Arc<PoolDispatcher>>,
     paths: HashMap<String, PoolKey>,
     teams: HashMap<String, TeamRoute>,
 }
 
-/// What a request needs to know of its team.
+/// Properties of a team that routing uses.
 #[derive(Clone, Copy, Debug)]
 pub struct TeamRoute {
     /// Key of the team.
@@ -88,28 +90,28 @@
     }
 }
 
-/// Builds route tables and keeps the arenas they share.
+/// Builds route tables, and keeps the dispatchers and teams between them.
 pub struct RouteBuilder {
     dispatchers: SlotMap<PoolKey, Arc<PoolDispatcher>>,
     teams: SlotMap<TeamKey, TeamRow>,
-    /// Shares that the dispatchers' limits were set by.
+    /// Shares by which the dispatchers' limits were last set.
     shares: SecondaryMap<PoolKey, EntryShare>,
 }
 
-/// What a route table is built from.
+/// Inputs of a route table.
 pub struct RouteInputs<'a> {
     /// The operators' table.
     pub table: &'a PolicyTable,
     /// Hall records by data hall.
     pub halls: &'a BTreeMap<String, HallRecord>,
-    /// VMs that the platform or another entry calls leaving.
+    /// VMs that are draining according to the platform or another entry.
     pub leaving: &'a BTreeSet<String>,
     /// Shares of the pools' slots that this entry may use.
     pub shares: &'a SlotShares,
 }
 
 impl RouteBuilder {
-    /// Starts with empty arenas.
+    /// Creates a builder without dispatchers and teams.
     pub fn new() -> Self {
         Self {
             dispatchers: SlotMap::with_key(),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Puts changed shares in force, without building anew.
+    /// Applies changed shares to the dispatchers, without building a new table.
     pub fn apply_shares(&mut self, shares: &SlotShares) {
         for (key, dispatcher) in &self.dispatchers {
             let slots = dispatcher.inspect(pool_slots);
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Builds the route table for the inputs.
+    /// Updates the dispatchers and teams, and builds the route table.
     pub fn build(&mut self, inputs: &RouteInputs<'_>) -> RouteTable {
         self.update_teams(inputs.table);
         self.update_dispatchers(inputs);
@@ -249,7 +251,7 @@
     }
 }
 
-/// Slots of all runners of a pool.
+/// Total number of slots of a pool's runners.
 fn pool_slots<T>(scheduler: &PoolScheduler<T>) -> u32 {
     let runners = scheduler.ledger().iter().count();
     // CAST: a pool has far fewer runners than a `u32` holds.
--- a/crates/hoisthitch-entry/src/control/shares.rs
+++ b/crates/hoisthitch-entry/src/control/shares.rs
@@ -1,4 +1,6 @@
 //! Shares of the pools' slots that this entry may use.
+//!
+//! The shares follow from the demands of all entries, received with heartbeats.
 
 use std::{
     collections::BTreeMap,
@@ -13,10 +15,10 @@
 use hoisthitch_wire::PoolDemand;
 use tokio::time::Instant;
 
-/// Silence after which an entry no longer counts in the shares.
+/// Time without a heartbeat after which an entry no longer gets a share.
 const SILENCE_LIMIT: Duration = Duration::from_secs(3);
 
-/// What entries ask for, and this entry's shares.
+/// Demands of the entries, and this entry's shares.
 pub struct SlotShares {
     policy: SharePolicy,
     own: String,
@@ -30,7 +32,7 @@
 }
 
 impl SlotShares {
-    /// Starts without other entries.
+    /// Creates the shares without other entries.
     pub fn new(own: &str, policy: SharePolicy) -> Self {
         Self {
             policy,
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Notes what another entry asks for; answers whether that changed.
+    /// Records another entry's demands; returns whether they changed.
     pub fn hear(&mut self, node: &str, demands: Vec<PoolDemand>) -> bool {
         let heard = Instant::now();
         let known = self.peers.get(node);
@@ -50,28 +52,28 @@
         changed
     }
 
-    /// Notes what this entry asks for.
+    /// Records this entry's demands.
     pub fn set_own(&mut self, demands: Vec<PoolDemand>) {
         self.own_demands = demands;
     }
 
-    /// What this entry asked for when it last told the others.
+    /// This entry's demands, as last sent to the other entries.
     pub fn own(&self) -> &[PoolDemand] {
         &self.own_demands
     }
 
-    /// Forgets silent entries.
+    /// Removes entries without a recent heartbeat.
     pub fn forget_silent(&mut self) {
         self.peers
             .retain(|_, peer| peer.heard.elapsed() < SILENCE_LIMIT);
     }
 
-    /// Whether another entry was heard from lately.
+    /// Whether another entry counts in the shares.
     pub fn hears(&self, node: &str) -> bool {
         self.peers.contains_key(node)
     }
 
-    /// Share of the slots of a pool that has `slots` in all.
+    /// This entry's share of a pool with `slots` slots in total.
     pub fn of(&self, pool: &str, slots: u32) -> EntryShare {
         let before = self.peers.range(..self.own.clone()).count();
         match self.policy {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// What the entries ask for, in the order of their names.
+    /// Demands of all entries in a pool, in the order of the entries' names.
     fn demands(&self, pool: &str) -> Vec<u32> {
         let key = pool_key(pool);
         let mut demands: BTreeMap<&str, u32> = self
@@ -96,7 +98,7 @@
 
 /// Key of a pool in heartbeats.
 pub fn pool_key(pool: &str) -> u32 {
-    // CAST: the low half of the hash serves as the key.
+    // CAST: the low half of the hash is the key.
     hash_name(pool) as u32
 }
 
@@ -105,7 +107,8 @@
     found.map_or(0, |demand| demand.slots)
 }
 
-/// Whether demands rose so much that the others should know at once.
+/// Whether a demand rose by more than a quarter plus one slot, so that the other
+/// entries should receive it soon.
 pub fn rose(old: &[PoolDemand], new: &[PoolDemand]) -> bool {
     new.iter()
         .any(|demand| demand.slots > demand_of(old, demand.pool) * 5 / 4 + 1)
--- a/crates/hoisthitch-entry/src/control/writer.rs
+++ b/crates/hoisthitch-entry/src/control/writer.rs
@@ -1,4 +1,7 @@
-//! The table writer: operators' changes, written by compare-and-swap.
+//! Table writer: the actor that writes operators' changes to the store.
+//!
+//! Changes are made by compare-and-swap. It also writes the table and the hall
+//! records in effect to a store that holds older ones.
 
 use std::{
     rc::Rc,
@@ -61,7 +64,7 @@
     keeper: Addr<ViewKeeper>,
 }
 
-/// Applies edits to the table; answers with the table in force.
+/// Applies edits to the table; returns the new table.
 #[derive(Message)]
 #[rtype(result = "Result<PolicyTable, OperatorError>")]
 pub struct EditTable {
@@ -69,13 +72,13 @@
     pub edits: Vec<RowEdit>,
 }
 
-/// Asks for a VM to be moved to another pool.
+/// Requests that a VM is moved to another pool.
 #[derive(Message)]
 #[rtype(result = "Result<HallRecord, OperatorError>")]
 pub struct MoveVm {
     /// Name of the VM.
     pub vm: String,
-    /// Pool that gets it.
+    /// Pool that the VM is moved to.
     pub to: String,
 }
 
@@ -87,7 +90,7 @@
     Start {
         /// Name of the wave.
         name: String,
-        /// Pools that it goes through.
+        /// Pools that it covers; empty for all pools.
         pools: Vec<String>,
     },
     /// Changes the state.
@@ -104,7 +107,7 @@
 #[rtype(result = "Result<Vec<WaveRecord>, OperatorError>")]
 pub struct ReadWaves;
 
-/// Writes what is in force to a store that came back older.
+/// Writes the table and hall records in effect to a store that holds older ones.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Reinstall {
@@ -114,11 +117,11 @@
     pub halls: Vec<HallRecord>,
 }
 
-/// Why a record was not written anew.
+/// Why a record was not reinstalled.
 enum ReinstallError {
-    /// The store holds it, or something newer.
+    /// The store holds the same version or a newer one.
     Newer,
-    /// The store failed.
+    /// The write failed.
     Write(WriteError),
 }
 
@@ -134,7 +137,7 @@
 pub struct AssignVm {
     /// Name of the VM, as the platform lists it.
     pub vm: String,
-    /// Pool to hold the VM.
+    /// Pool that the VM is assigned to.
     pub pool: String,
 }
 
@@ -144,19 +147,19 @@
     /// The edit can't be applied.
     #[error(transparent)]
     Edit(#[from] EditError),
-    /// The hall record does not take the change.
+    /// The hall record refuses the change.
     #[error(transparent)]
     Hall(#[from] HallError),
-    /// There is a wave of that name.
+    /// A wave of that name exists.
     #[error("wave {0} exists; give the new wave another name")]
     WaveExists(String),
-    /// There is no wave of that name.
+    /// No wave of that name exists.
     #[error("wave {0} does not exist; 'hoisthitch wave status' lists the waves")]
     UnknownWave(String),
     /// The wave was cancelled.
     #[error("wave {0} was cancelled; start another one")]
     WaveCancelled(String),
-    /// The VM is not in a state to be moved.
+    /// The VM is not serving, so it can't be moved.
     #[error("VM {vm} leaves for something else already; wait until it serves")]
     Busy {
         /// Name of the VM.
@@ -168,16 +171,16 @@
     /// The table has no such pool.
     #[error("pool {0} is not in the table; 'hoisthitch table show' lists the pools")]
     UnknownPool(String),
-    /// The store could not be written, or not surely.
+    /// The write to the store failed, or its outcome is unknown.
     #[error(transparent)]
     Write(#[from] WriteError),
-    /// The control thread is gone.
+    /// The control thread has ended.
     #[error("the entry is stopping; ask another one")]
     Stopping,
 }
 
 impl TableWriter {
-    /// Writes to the settings' store.
+    /// Creates a writer with the timeouts and key prefix of the settings.
     pub fn new(shared: &Arc<SharedState>, store: EtcdClient, keeper: Addr<ViewKeeper>) -> Self {
         let settings = &shared.settings;
         let patience = settings.platform.timeout * 3;
@@ -258,7 +261,7 @@
     async fn edit_table(&self, edits: &[RowEdit]) -> Result<PolicyTable, OperatorError> {
         let key = self.keys.table();
         let known = self.view().await?.table;
-        // The store may have come back older than what is in force.
+        // The store may have been restored with a table older than the one in effect.
         let newest = |stored: Option<PolicyTable>| {
             let stored = stored.unwrap_or_default();
             if stored.revision < known.revision {
@@ -285,7 +288,7 @@
         Ok(table)
     }
 
-    /// Notes in the hall record that a VM is to be moved; a steward does it.
+    /// Records in the hall record that a VM is to be moved; a steward moves it.
     async fn ask_move(&self, vm: &str, to: &str) -> Result<HallRecord, OperatorError> {
         let view = self.view().await?;
         if view.table.pool(to).is_none() {
@@ -360,7 +363,7 @@
         Ok(waves.collect())
     }
 
-    /// Writes what is in force where the store holds something older.
+    /// Writes the records in effect where the store holds older ones.
     async fn reinstall(&self, message: Reinstall) {
         let table = message.table;
         let written = self
