--- a/crates/hoisthitch-entry/src/control/follow.rs
+++ b/crates/hoisthitch-entry/src/control/follow.rs
@@ -58,7 +58,7 @@
 
 /// Time between two readings of the store's revisions beside the watch, which may
 /// fail without an error.
-const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+const READ_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Follows the store's records; never returns.
 pub async fn follow_store<S: StoreClient>(
@@ -97,13 +97,16 @@
 ) {
     let mut known = String::new();
     loop {
-        let asked = shared.freshness.now();
+        let requested_at = shared.freshness.now();
         match lister.list_changes(&known).await {
-            Ok(VmListing::Unchanged) => keeper.do_send(ApplyListing { vms: None, asked }),
+            Ok(VmListing::Unchanged) => keeper.do_send(ApplyListing {
+                vms: None,
+                requested_at,
+            }),
             Ok(VmListing::Changed { vms, tag }) => {
                 known = tag;
                 let vms = Some(vms);
-                keeper.do_send(ApplyListing { vms, asked });
+                keeper.do_send(ApplyListing { vms, requested_at });
             }
             Err(err) => event!(Warn, "vms_not_listed", error = err),
         }
@@ -126,34 +129,34 @@
         let highest = self.read_all().await?;
         let from = StoreRevision(highest.0 + 1);
         let mut watch = self.store.watch(&self.keys.records(), from).await?;
-        let mut check = Instant::now() + CHECK_INTERVAL;
+        let mut next_reading = Instant::now() + READ_INTERVAL;
         loop {
             tokio::select! {
                 change = watch.next() => match change {
                     Some(change) => self.apply_change(change?),
                     None => return Ok(()),
                 },
-                () = self.reading_due(check) => {
+                () = self.wait_for_reading(next_reading) => {
                     self.read_all().await?;
-                    check = Instant::now() + CHECK_INTERVAL;
+                    next_reading = Instant::now() + READ_INTERVAL;
                 }
             }
         }
     }
 
     /// Waits until the next regular reading or a requested one.
-    async fn reading_due(&self, check: Instant) {
+    async fn wait_for_reading(&self, next_reading: Instant) {
         // Both a timeout and a notification lead to the same reading.
-        let _ = tokio::time::timeout_at(check, self.shared.reread.notified()).await;
+        let _ = tokio::time::timeout_at(next_reading, self.shared.reread.notified()).await;
     }
 
     /// Reads and applies the records if any of them changed, and has the keeper
     /// compare the store with what is in effect. Returns the highest revision.
     async fn read_all(&self) -> Result<StoreRevision, StoreError> {
-        let asked = self.shared.freshness.now();
+        let requested_at = self.shared.freshness.now();
         let root = self.keys.records();
         let revisions = self.store.read_revisions(&root).await?;
-        if !self.known.borrow().holds(&revisions) {
+        if !self.known.borrow().has_exactly(&revisions) {
             let stored = self.store.read_prefix(&root).await?;
             self.known.borrow_mut().clear();
             for stored in &stored {
@@ -165,7 +168,7 @@
             table: known.table(),
             halls: known.halls(),
             registered: self.shared.is_member(&known.entries()),
-            asked,
+            requested_at,
         });
         Ok(known.highest())
     }
--- a/crates/hoisthitch-entry/src/control/followed.rs
+++ b/crates/hoisthitch-entry/src/control/followed.rs
@@ -35,7 +35,7 @@
 
 impl FollowedRecords {
     /// Whether the known records have exactly these keys and revisions.
-    pub fn holds(&self, revisions: &[KeyRevision]) -> bool {
+    pub fn has_exactly(&self, revisions: &[KeyRevision]) -> bool {
         let same = |key: &KeyRevision| {
             let known = self.records.get(&key.key);
             known.is_some_and(|known| known.revision == key.revision)
--- a/crates/hoisthitch-entry/src/control/freshness.rs
+++ b/crates/hoisthitch-entry/src/control/freshness.rs
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 
 /// Age above which the view is stale.
-pub const VIEW_LIMIT: Duration = Duration::from_millis(2_500);
+pub const VIEW_MAX_AGE: Duration = Duration::from_millis(2_500);
 
 /// Time in milliseconds since the process started.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -50,16 +50,16 @@
         ViewTime(u64::try_from(elapsed).unwrap_or(u64::MAX).max(1))
     }
 
-    /// Records that the response to a request sent at `asked` was received and is
-    /// in effect.
-    pub fn confirm(&self, asked: ViewTime) {
-        self.confirmed.fetch_max(asked.0, Ordering::Relaxed);
+    /// Records that the response to a request sent at `requested_at` was received
+    /// and is in effect.
+    pub fn confirm(&self, requested_at: ViewTime) {
+        self.confirmed.fetch_max(requested_at.0, Ordering::Relaxed);
     }
 
     /// Whether the view is fresh enough to send requests by it.
     pub fn is_fresh(&self) -> bool {
         let confirmed = self.confirmed.load(Ordering::Relaxed);
         let age = Duration::from_millis(self.now().0.saturating_sub(confirmed));
-        confirmed > 0 && age <= VIEW_LIMIT
+        confirmed > 0 && age <= VIEW_MAX_AGE
     }
 }
--- a/crates/hoisthitch-entry/src/control/keeper.rs
+++ b/crates/hoisthitch-entry/src/control/keeper.rs
@@ -74,8 +74,8 @@
         },
         shares::{
             SlotShares,
-            pool_key,
-            rose, //
+            demand_rose,
+            pool_key, //
         },
         writer::{
             Reinstall,
@@ -89,11 +89,11 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between two heartbeats while this entry's demand rises.
-const RISING_INTERVAL: Duration = Duration::from_millis(250);
+const RISING_DEMAND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time for which another entry's notice that a VM is draining overrides a list
 /// that still shows the VM as live.
-const TOLD_LIMIT: Duration = Duration::from_secs(300);
+const LEAVING_NOTICE_MAX_AGE: Duration = Duration::from_secs(300);
 
 /// Holds the view and replaces the route table when the view changes.
 pub struct ViewKeeper {
@@ -105,11 +105,11 @@
     listed: Vec<ListedVm>,
     /// VMs that are draining according to the list or another entry, and since when
     /// this is known.
-    told: BTreeMap<String, Instant>,
+    leaving_notices: BTreeMap<String, Instant>,
     /// Send time of the last heartbeat of each other entry, on that entry's clock.
-    heard: BTreeMap<String, u64>,
+    peer_sent_ms: BTreeMap<String, u64>,
     shares: SlotShares,
-    last_beat: Instant,
+    last_heartbeat: Instant,
     mesh: Option<Addr<MeshHub>>,
     writer: Option<Addr<TableWriter>>,
 }
@@ -124,10 +124,10 @@
             halls: BTreeMap::new(),
             rosters: BTreeMap::new(),
             listed: Vec::new(),
-            told: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            leaving_notices: BTreeMap::new(),
+            peer_sent_ms: BTreeMap::new(),
             shares: SlotShares::new(&settings.name, settings.share),
-            last_beat: Instant::now(),
+            last_heartbeat: Instant::now(),
             mesh: None,
             writer: None,
             shared,
@@ -150,9 +150,9 @@
 
     /// VMs that are draining according to the list or another entry.
     fn leaving(&self) -> BTreeSet<String> {
-        let told = self.told.keys().cloned();
+        let noticed = self.leaving_notices.keys().cloned();
         let listed = leaving_names(&self.listed);
-        told.chain(listed.map(str::to_owned)).collect()
+        noticed.chain(listed.map(str::to_owned)).collect()
     }
 
     fn send_all(&self, frame: MeshFrame) {
@@ -169,21 +169,22 @@
     }
 
     /// Sends a heartbeat if one is due.
-    fn beat_if_due(&mut self) {
-        let since = self.last_beat.elapsed();
+    fn send_heartbeat_if_due(&mut self) {
+        let since = self.last_heartbeat.elapsed();
         let demands = self.demands();
-        let rises = rose(self.shares.own(), &demands);
-        if since >= HEARTBEAT_INTERVAL || (rises && since >= RISING_INTERVAL) {
-            self.last_beat = Instant::now();
-            self.beat(demands);
+        let is_rising = demand_rose(self.shares.own_demands(), &demands);
+        if since >= HEARTBEAT_INTERVAL || (is_rising && since >= RISING_DEMAND_INTERVAL) {
+            self.last_heartbeat = Instant::now();
+            self.send_heartbeat(demands);
         }
     }
 
-    fn beat(&mut self, demands: Vec<PoolDemand>) {
-        self.shares.set_own(demands.clone());
-        self.shares.forget_silent();
-        self.heard.retain(|node, _| self.shares.hears(node));
-        self.forget_told();
+    fn send_heartbeat(&mut self, demands: Vec<PoolDemand>) {
+        self.shares.set_own_demands(demands.clone());
+        self.shares.remove_silent();
+        self.peer_sent_ms
+            .retain(|node, _| self.shares.has_peer(node));
+        self.expire_leaving_notices();
         self.builder.apply_shares(&self.shares);
         let halls = self.halls.values();
         let rosters = self.rosters.values();
@@ -197,15 +198,16 @@
                 .collect(),
             demands,
             sent_ms: self.shared.freshness.now().0,
-            echoes: self.heard.iter().map(to_echo).collect(),
+            echoes: self.peer_sent_ms.iter().map(to_echo).collect(),
         }));
     }
 
     /// Removes old notices of draining VMs, so that the list of VMs decides.
-    fn forget_told(&mut self) {
-        let before = self.told.len();
-        self.told.retain(|_, since| since.elapsed() < TOLD_LIMIT);
-        if self.told.len() < before {
+    fn expire_leaving_notices(&mut self) {
+        let before = self.leaving_notices.len();
+        self.leaving_notices
+            .retain(|_, since| since.elapsed() < LEAVING_NOTICE_MAX_AGE);
+        if self.leaving_notices.len() < before {
             self.rebuild();
         }
     }
@@ -225,7 +227,7 @@
     /// newer.
     ///
     /// The view is confirmed only if the other entry has nothing newer.
-    fn hear_heartbeat(&mut self, node: &str, heartbeat: Heartbeat) {
+    fn apply_heartbeat(&mut self, node: &str, heartbeat: Heartbeat) {
         let mut newer = false;
         if heartbeat.table > self.table.revision {
             newer = true;
@@ -243,10 +245,10 @@
                 self.send_to(node, MeshFrame::AskRoster(theirs.hall));
             }
         }
-        if self.shares.hear(node, heartbeat.demands) {
+        if self.shares.record_demands(node, heartbeat.demands) {
             self.builder.apply_shares(&self.shares);
         }
-        self.heard.insert(node.to_owned(), heartbeat.sent_ms);
+        self.peer_sent_ms.insert(node.to_owned(), heartbeat.sent_ms);
         let own = hash_node(&self.shared.settings.name);
         let echo = heartbeat.echoes.iter().find(|echo| echo.node == own);
         if let Some(echo) = echo
@@ -264,7 +266,7 @@
         self.rosters.get(hall).map_or(0, |record| record.version)
     }
 
-    fn put_table(&mut self, table: PolicyTable, source: &'static str) {
+    fn apply_table(&mut self, table: PolicyTable, source: &'static str) {
         if table.revision <= self.table.revision {
             return;
         }
@@ -291,7 +293,7 @@
         self.send_all(MeshFrame::Delta(Box::new(delta)));
     }
 
-    fn put_hall(&mut self, record: HallRecord) {
+    fn apply_hall(&mut self, record: HallRecord) {
         if record.version <= self.hall_version(&record.hall) {
             return;
         }
@@ -309,7 +311,7 @@
         self.rebuild();
     }
 
-    fn put_roster(&mut self, record: RosterRecord) {
+    fn apply_roster(&mut self, record: RosterRecord) {
         if record.version <= self.roster_version(&record.hall) {
             return;
         }
@@ -335,12 +337,13 @@
         }
     }
 
-    fn put_leaving(&mut self, notice: LeavingNotice, source: &str) {
-        if self.told.contains_key(&notice.vm) {
+    fn apply_leaving(&mut self, notice: LeavingNotice, source: &str) {
+        if self.leaving_notices.contains_key(&notice.vm) {
             return;
         }
         event!(Info, "vm_leaving", vm = notice.vm, source = source);
-        self.told.insert(notice.vm.clone(), Instant::now());
+        self.leaving_notices
+            .insert(notice.vm.clone(), Instant::now());
         self.send_all(MeshFrame::Leaving(notice));
         self.rebuild();
     }
@@ -358,12 +361,12 @@
         }
     }
 
-    fn hear(&mut self, node: &str, frame: MeshFrame) {
+    fn apply_frame(&mut self, node: &str, frame: MeshFrame) {
         match frame {
             MeshFrame::Hello { .. } => {}
-            MeshFrame::Heartbeat(heartbeat) => self.hear_heartbeat(node, heartbeat),
+            MeshFrame::Heartbeat(heartbeat) => self.apply_heartbeat(node, heartbeat),
             MeshFrame::Delta(delta) => match delta.applied(&self.table) {
-                Some(table) => self.put_table(table, "peer"),
+                Some(table) => self.apply_table(table, "peer"),
                 None if delta.revision > self.table.revision => {
                     self.send_to(node, MeshFrame::AskTable);
                 }
@@ -372,7 +375,7 @@
             MeshFrame::AskTable => {
                 self.send_to(node, MeshFrame::Table(Box::new(self.table.clone())));
             }
-            MeshFrame::Table(table) => self.put_table(*table, "peer"),
+            MeshFrame::Table(table) => self.apply_table(*table, "peer"),
             MeshFrame::AskHall(hall) => {
                 if let Some(record) = self.halls.get(&hall) {
                     self.send_to(node, MeshFrame::Hall(Box::new(record.clone())));
@@ -381,21 +384,21 @@
             MeshFrame::HallDelta(delta) => {
                 let known = self.halls.get(&delta.hall);
                 match known.and_then(|known| delta.applied(known)) {
-                    Some(record) => self.put_hall(record),
+                    Some(record) => self.apply_hall(record),
                     None if delta.version > self.hall_version(&delta.hall) => {
                         self.send_to(node, MeshFrame::AskHall(delta.hall));
                     }
                     None => {}
                 }
             }
-            MeshFrame::Hall(record) => self.put_hall(*record),
+            MeshFrame::Hall(record) => self.apply_hall(*record),
             MeshFrame::AskRoster(hall) => {
                 if let Some(record) = self.rosters.get(&hall) {
                     self.send_to(node, MeshFrame::Roster(Box::new(record.clone())));
                 }
             }
-            MeshFrame::Roster(record) => self.put_roster(*record),
-            MeshFrame::Leaving(notice) => self.put_leaving(notice, "peer"),
+            MeshFrame::Roster(record) => self.apply_roster(*record),
+            MeshFrame::Leaving(notice) => self.apply_leaving(notice, "peer"),
             MeshFrame::AskDrained { vm, hall } => {
                 let report = self.drain_report(vm, &hall);
                 self.send_to(node, MeshFrame::Drained(report));
@@ -410,7 +413,9 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Context<Self>) {
-        context.run_interval(RISING_INTERVAL, |keeper, _| keeper.beat_if_due());
+        context.run_interval(RISING_DEMAND_INTERVAL, |keeper, _| {
+            keeper.send_heartbeat_if_due();
+        });
     }
 }
 
@@ -427,7 +432,7 @@
     type Result = ();
 
     fn handle(&mut self, message: ApplyTable, _: &mut Context<Self>) {
-        self.put_table(message.table, message.source);
+        self.apply_table(message.table, message.source);
     }
 }
 
@@ -435,7 +440,7 @@
     type Result = ();
 
     fn handle(&mut self, message: ApplyHall, _: &mut Context<Self>) {
-        self.put_hall(message.record);
+        self.apply_hall(message.record);
     }
 }
 
@@ -443,7 +448,7 @@
     type Result = ();
 
     fn handle(&mut self, message: ApplyRoster, _: &mut Context<Self>) {
-        self.put_roster(message.record);
+        self.apply_roster(message.record);
     }
 }
 
@@ -452,10 +457,10 @@
 
     fn handle(&mut self, message: ApplyListing, _: &mut Context<Self>) {
         if let Some(vms) = message.vms {
-            self.put_listing(vms);
+            self.apply_listing(vms);
         }
-        if self.lists_self() {
-            self.shared.freshness.confirm(message.asked);
+        if self.is_listed() {
+            self.shared.freshness.confirm(message.requested_at);
         }
     }
 }
@@ -465,13 +470,13 @@
     ///
     /// Only then does the list confirm the view: an entry that is not listed may
     /// have been removed from the roster without knowing it.
-    fn lists_self(&self) -> bool {
+    fn is_listed(&self) -> bool {
         let own = &self.shared.settings.name;
         let listed = self.listed.iter().any(|listed| listed.vm == *own);
         listed || self.shared.settings.mesh.is_none()
     }
 
-    fn put_listing(&mut self, vms: Vec<ListedVm>) {
+    fn apply_listing(&mut self, vms: Vec<ListedVm>) {
         let old: BTreeSet<&str> = leaving_names(&self.listed).collect();
         let new = leaving_names(&vms);
         let fresh: Vec<String> = new
@@ -480,7 +485,7 @@
             .collect();
         self.listed = vms;
         for vm in fresh {
-            self.put_leaving(LeavingNotice { vm }, "list");
+            self.apply_leaving(LeavingNotice { vm }, "list");
         }
         self.rebuild();
     }
@@ -510,7 +515,7 @@
         if message.registered {
             self.shared.set_registered(true);
         }
-        self.shared.freshness.confirm(message.asked);
+        self.shared.freshness.confirm(message.requested_at);
     }
 }
 
@@ -518,7 +523,7 @@
     type Result = ();
 
     fn handle(&mut self, message: PeerFrame, _: &mut Context<Self>) {
-        self.hear(&message.node, message.frame);
+        self.apply_frame(&message.node, message.frame);
     }
 }
 
--- a/crates/hoisthitch-entry/src/control/mesh.rs
+++ b/crates/hoisthitch-entry/src/control/mesh.rs
@@ -42,7 +42,7 @@
 };
 
 /// Number of entries that an entry connects to.
-const DEGREE: usize = 4;
+const NEIGHBOURS: usize = 4;
 
 /// Time between two checks for missing connections.
 const DIAL_INTERVAL: Duration = Duration::from_millis(500);
@@ -145,7 +145,7 @@
             .iter()
             .map(|member| member.name.as_str())
             .collect();
-        let wanted: Vec<RosterEntry> = mesh_neighbours(&own, &names, DEGREE)
+        let wanted: Vec<RosterEntry> = mesh_neighbours(&own, &names, NEIGHBOURS)
             .into_iter()
             .filter(|name| !self.is_linked(name) && !self.dialing.contains_key(*name))
             .filter_map(|name| self.members.iter().find(|member| member.name == name))
@@ -217,12 +217,12 @@
     type Result = ();
 
     fn handle(&mut self, message: SendAll, _: &mut Context<Self>) {
-        let mut told: Vec<&str> = Vec::new();
+        let mut reached: Vec<&str> = Vec::new();
         // The newest connection is used: an older one may lead to a process that has
         // ended.
         for link in self.links.values().rev() {
-            if !told.contains(&link.node.as_str()) {
-                told.push(&link.node);
+            if !reached.contains(&link.node.as_str()) {
+                reached.push(&link.node);
                 self.send(link, message.frame.clone());
             }
         }
--- a/crates/hoisthitch-entry/src/control/messages.rs
+++ b/crates/hoisthitch-entry/src/control/messages.rs
@@ -66,7 +66,7 @@
     /// The list; none if it has not changed.
     pub vms: Option<Vec<ListedVm>>,
     /// When it was requested.
-    pub asked: ViewTime,
+    pub requested_at: ViewTime,
 }
 
 /// Compares the store's versions, as read, with those in effect.
@@ -80,7 +80,7 @@
     /// Whether this entry was on the roster.
     pub registered: bool,
     /// When the reading was requested.
-    pub asked: ViewTime,
+    pub requested_at: ViewTime,
 }
 
 /// Applies a frame from another entry.
--- a/crates/hoisthitch-entry/src/control/register.rs
+++ b/crates/hoisthitch-entry/src/control/register.rs
@@ -50,9 +50,9 @@
         keeper: Addr<ViewKeeper>,
     ) -> Self {
         let settings = &shared.settings;
-        let patience = settings.platform.timeout * 3;
+        let resolve_timeout = settings.platform.timeout * 3;
         Self {
-            records: RecordWriter::new(store, &settings.name, patience),
+            records: RecordWriter::new(store, &settings.name, resolve_timeout),
             key: KeySpace::new(&settings.platform.root).roster(&settings.hall),
             hall: settings.hall.clone(),
             entry,
--- a/crates/hoisthitch-entry/src/control/routes.rs
+++ b/crates/hoisthitch-entry/src/control/routes.rs
@@ -124,7 +124,7 @@
     pub fn apply_shares(&mut self, shares: &SlotShares) {
         for (key, dispatcher) in &self.dispatchers {
             let slots = dispatcher.inspect(pool_slots);
-            let share = shares.of(dispatcher.name(), slots);
+            let share = shares.share_of(dispatcher.name(), slots);
             if self.shares.get(key) == Some(&share) {
                 continue;
             }
@@ -199,13 +199,13 @@
         inputs: &RouteInputs<'_>,
     ) {
         let now = Instant::now().into_std();
-        let held: Vec<&VmAssignment> = inputs
+        let assigned: Vec<&VmAssignment> = inputs
             .halls
             .values()
             .flat_map(|hall| &hall.vms)
             .filter(|assignment| assignment.pool == row.name)
             .collect();
-        let known: BTreeSet<(&str, SocketAddr)> = held
+        let known: BTreeSet<(&str, SocketAddr)> = assigned
             .iter()
             .map(|assignment| (assignment.vm.as_str(), assignment.address))
             .collect();
@@ -215,10 +215,10 @@
                 scheduler.set_team(key, team, now);
             }
             // CAST: a pool has far fewer runners than a `u32` holds.
-            let slots = row.slots_per_runner * held.len() as u32;
-            let share = inputs.shares.of(&row.name, slots);
+            let slots = row.slots_per_runner * assigned.len() as u32;
+            let share = inputs.shares.share_of(&row.name, slots);
             let ledger = scheduler.ledger_mut();
-            for assignment in &held {
+            for assignment in &assigned {
                 let leaving = assignment.state == AssignmentState::Leaving
                     || inputs.leaving.contains(&assignment.vm);
                 let limit = share.slots_of(&assignment.vm, row.slots_per_runner);
--- a/crates/hoisthitch-entry/src/control/shares.rs
+++ b/crates/hoisthitch-entry/src/control/shares.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 /// Time without a heartbeat after which an entry no longer gets a share.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Demands of the entries, and this entry's shares.
 pub struct SlotShares {
@@ -27,7 +27,7 @@
 }
 
 struct PeerDemands {
-    heard: Instant,
+    received_at: Instant,
     demands: Vec<PoolDemand>,
 }
 
@@ -43,38 +43,43 @@
     }
 
     /// Records another entry's demands; returns whether they changed.
-    pub fn hear(&mut self, node: &str, demands: Vec<PoolDemand>) -> bool {
-        let heard = Instant::now();
+    pub fn record_demands(&mut self, node: &str, demands: Vec<PoolDemand>) -> bool {
+        let received_at = Instant::now();
         let known = self.peers.get(node);
         let changed = known.is_none_or(|known| known.demands != demands);
-        self.peers
-            .insert(node.to_owned(), PeerDemands { heard, demands });
+        self.peers.insert(
+            node.to_owned(),
+            PeerDemands {
+                received_at,
+                demands,
+            },
+        );
         changed
     }
 
     /// Records this entry's demands.
-    pub fn set_own(&mut self, demands: Vec<PoolDemand>) {
+    pub fn set_own_demands(&mut self, demands: Vec<PoolDemand>) {
         self.own_demands = demands;
     }
 
     /// This entry's demands, as last sent to the other entries.
-    pub fn own(&self) -> &[PoolDemand] {
+    pub fn own_demands(&self) -> &[PoolDemand] {
         &self.own_demands
     }
 
     /// Removes entries without a recent heartbeat.
-    pub fn forget_silent(&mut self) {
+    pub fn remove_silent(&mut self) {
         self.peers
-            .retain(|_, peer| peer.heard.elapsed() < SILENCE_LIMIT);
+            .retain(|_, peer| peer.received_at.elapsed() < HEARTBEAT_TIMEOUT);
     }
 
     /// Whether another entry counts in the shares.
-    pub fn hears(&self, node: &str) -> bool {
+    pub fn has_peer(&self, node: &str) -> bool {
         self.peers.contains_key(node)
     }
 
     /// This entry's share of a pool with `slots` slots in total.
-    pub fn of(&self, pool: &str, slots: u32) -> EntryShare {
+    pub fn share_of(&self, pool: &str, slots: u32) -> EntryShare {
         let before = self.peers.range(..self.own.clone()).count();
         match self.policy {
             SharePolicy::Local => EntryShare::WHOLE,
@@ -109,7 +114,7 @@
 
 /// Whether a demand rose by more than a quarter plus one slot, so that the other
 /// entries should receive it soon.
-pub fn rose(old: &[PoolDemand], new: &[PoolDemand]) -> bool {
+pub fn demand_rose(old: &[PoolDemand], new: &[PoolDemand]) -> bool {
     new.iter()
         .any(|demand| demand.slots > demand_of(old, demand.pool) * 5 / 4 + 1)
 }
--- a/crates/hoisthitch-entry/src/control/writer.rs
+++ b/crates/hoisthitch-entry/src/control/writer.rs
@@ -55,7 +55,7 @@
 
 /// Writes operators' changes.
 pub struct TableWriter {
-    inner: Rc<WriterParts>,
+    parts: Rc<WriterParts>,
 }
 
 struct WriterParts {
@@ -183,10 +183,10 @@
     /// Creates a writer with the timeouts and key prefix of the settings.
     pub fn new(shared: &Arc<SharedState>, store: EtcdClient, keeper: Addr<ViewKeeper>) -> Self {
         let settings = &shared.settings;
-        let patience = settings.platform.timeout * 3;
+        let resolve_timeout = settings.platform.timeout * 3;
         Self {
-            inner: Rc::new(WriterParts {
-                records: RecordWriter::new(store, &settings.name, patience),
+            parts: Rc::new(WriterParts {
+                records: RecordWriter::new(store, &settings.name, resolve_timeout),
                 keys: KeySpace::new(&settings.platform.root),
                 keeper,
             }),
@@ -202,7 +202,7 @@
     type Result = ResponseFuture<Result<PolicyTable, OperatorError>>;
 
     fn handle(&mut self, message: EditTable, _: &mut Context<Self>) -> Self::Result {
-        let parts = self.inner.clone();
+        let parts = self.parts.clone();
         Box::pin(async move { parts.edit_table(&message.edits).await })
     }
 }
@@ -211,8 +211,8 @@
     type Result = ResponseFuture<Result<HallRecord, OperatorError>>;
 
     fn handle(&mut self, message: MoveVm, _: &mut Context<Self>) -> Self::Result {
-        let parts = self.inner.clone();
-        Box::pin(async move { parts.ask_move(&message.vm, &message.to).await })
+        let parts = self.parts.clone();
+        Box::pin(async move { parts.request_move(&message.vm, &message.to).await })
     }
 }
 
@@ -220,7 +220,7 @@
     type Result = ResponseFuture<Result<WaveRecord, OperatorError>>;
 
     fn handle(&mut self, message: ChangeWave, _: &mut Context<Self>) -> Self::Result {
-        let parts = self.inner.clone();
+        let parts = self.parts.clone();
         Box::pin(async move {
             match message {
                 ChangeWave::Start { name, pools } => parts.start_wave(&name, &pools).await,
@@ -234,7 +234,7 @@
     type Result = ResponseFuture<Result<Vec<WaveRecord>, OperatorError>>;
 
     fn handle(&mut self, _: ReadWaves, _: &mut Context<Self>) -> Self::Result {
-        let parts = self.inner.clone();
+        let parts = self.parts.clone();
         Box::pin(async move { parts.read_waves().await })
     }
 }
@@ -243,7 +243,7 @@
     type Result = ResponseFuture<()>;
 
     fn handle(&mut self, message: Reinstall, _: &mut Context<Self>) -> Self::Result {
-        let parts = self.inner.clone();
+        let parts = self.parts.clone();
         Box::pin(async move { parts.reinstall(message).await })
     }
 }
@@ -252,7 +252,7 @@
     type Result = ResponseFuture<Result<HallRecord, OperatorError>>;
 
     fn handle(&mut self, message: AssignVm, _: &mut Context<Self>) -> Self::Result {
-        let parts = self.inner.clone();
+        let parts = self.parts.clone();
         Box::pin(async move { parts.assign(&message.vm, &message.pool).await })
     }
 }
@@ -289,7 +289,7 @@
     }
 
     /// Records in the hall record that a VM is to be moved; a steward moves it.
-    async fn ask_move(&self, vm: &str, to: &str) -> Result<HallRecord, OperatorError> {
+    async fn request_move(&self, vm: &str, to: &str) -> Result<HallRecord, OperatorError> {
         let view = self.view().await?;
         if view.table.pool(to).is_none() {
             return Err(OperatorError::UnknownPool(to.to_owned()));
