--- a/crates/hoisthitch-entry/src/lib.rs
+++ b/crates/hoisthitch-entry/src/lib.rs
@@ -1,8 +1,9 @@
-//! The entry: takes callers' requests and routes them to runners.
+//! The entry: receives callers' requests and forwards them to runners.
 //!
-//! One thread holds the control state (actors of the `control` module); the
-//! HTTP workers carry the traffic. Between them stand [`SharedState`] and the
-//! route table in it, which is replaced whole.
+//! One thread holds the control state (the actors of `control`). The HTTP workers
+//! serve the callers (`traffic`). They share only [`SharedState`], with a route
+//! table that the control thread replaces as a whole. Operators have an HTTP API
+//! of their own (`operators`).
 
 mod control;
 mod metrics;
--- a/crates/hoisthitch-entry/src/main.rs
+++ b/crates/hoisthitch-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! Binary of the entry.
+//! Binary of the entry: reads the settings, starts the log and runs the entry.
 
 use std::path::PathBuf;
 
--- a/crates/hoisthitch-entry/src/metrics.rs
+++ b/crates/hoisthitch-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry.
+//! Prometheus metrics of an entry.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 /// Bounds of the wait histogram, in seconds.
 const WAIT_BUCKETS: [f64; 10] = [0.0005, 0.002, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 2.8, 10.0];
 
-/// Metrics of an entry, counted by all its threads.
+/// Metrics of an entry, shared by all its threads.
 pub struct EntryMetrics {
-    /// Registry that holds them.
+    /// Registry of the metrics.
     pub registry: Registry,
     requests: IntCounterVec,
     retries: IntCounterVec,
@@ -32,11 +32,11 @@
 }
 
 impl EntryMetrics {
-    /// Registers the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// Fails when the library refuses a name.
+    /// Fails if the library rejects a metric.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let requests = IntCounterVec::new(
@@ -84,14 +84,14 @@
         })
     }
 
-    /// Counts an answered request.
+    /// Counts a request by its outcome.
     pub fn count_request(&self, pool: &str, priority: PaidPriority, outcome: RequestOutcome) {
         self.requests
             .with_label_values(&[pool, priority.as_str(), outcome.as_str()])
             .inc();
     }
 
-    /// Notes how many mesh connections there are.
+    /// Sets the number of mesh connections.
     pub fn set_mesh_links(&self, links: usize) {
         self.mesh_links
             .set(i64::try_from(links).unwrap_or(i64::MAX));
@@ -111,7 +111,7 @@
             .inc_by(bytes);
     }
 
-    /// Brings the counts of store calls up to date.
+    /// Raises the counters of store calls to `counts`.
     pub fn set_store_calls(&self, counts: CallCounts) {
         let kinds = [
             ("read", counts.reads),
@@ -129,7 +129,7 @@
         self.retries.with_label_values(&[pool]).inc();
     }
 
-    /// Notes how long a request waited.
+    /// Records how long a request waited for a slot.
     pub fn observe_wait(&self, pool: &str, priority: PaidPriority, wait: Duration) {
         self.wait
             .with_label_values(&[pool, priority.as_str()])
--- a/crates/hoisthitch-entry/src/operators/api.rs
+++ b/crates/hoisthitch-entry/src/operators/api.rs
@@ -1,4 +1,4 @@
-//! Operators' calls.
+//! Handlers of the operators' calls.
 
 use actix::Addr;
 use actix_web::{
@@ -52,10 +52,10 @@
     state::SharedState, //
 };
 
-/// Header with the revision of the table in force.
+/// Header with the revision of the table in effect.
 const REVISION_HEADER: &str = "hoisthitch-revision";
 
-/// Adds the handlers.
+/// Adds the handlers to the server.
 pub fn configure(config: &mut web::ServiceConfig) {
     config
         .route("/ready", web::get().to(get_ready))
--- a/crates/hoisthitch-entry/src/operators/mod.rs
+++ b/crates/hoisthitch-entry/src/operators/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' side of the entry: table, assignments, status and metrics.
+//! Operators' HTTP API of the entry: table, assignments, moves, waves, status and
+//! metrics.
 //!
-//! It listens on an address of its own, which callers don't reach, and each
-//! call but the probes carries the operators' token.
+//! It listens on an address of its own, which callers can't reach. Each call except
+//! readiness and metrics needs the operators' token.
 
 mod api;
 mod token;
--- a/crates/hoisthitch-entry/src/operators/token.rs
+++ b/crates/hoisthitch-entry/src/operators/token.rs
@@ -1,4 +1,4 @@
-//! The token that operators' calls carry.
+//! Checks the bearer token of operators' calls.
 
 use actix_web::{
     Error,
@@ -20,14 +20,14 @@
 
 use crate::state::SharedState;
 
-/// Paths that the balancer and the metrics collector read without a token.
+/// Paths that the load balancer and the metrics collector read without a token.
 const OPEN_PATHS: [&str; 2] = ["/ready", "/metrics"];
 
-/// Lets calls pass that carry the token.
+/// Refuses calls without the token.
 ///
 /// # Errors
 ///
-/// Fails as the handlers behind it do.
+/// Fails if the next handler fails.
 pub async fn require_token<B: MessageBody + 'static>(
     request: ServiceRequest,
     next: Next<B>,
@@ -52,7 +52,7 @@
     same_bytes(value.as_bytes(), wanted.as_bytes())
 }
 
-/// Compares in a time that does not depend on where the bytes differ.
+/// Compares in constant time for inputs of the same length.
 fn same_bytes(left: &[u8], right: &[u8]) -> bool {
     let differing = left
         .iter()
--- a/crates/hoisthitch-entry/src/process.rs
+++ b/crates/hoisthitch-entry/src/process.rs
@@ -1,4 +1,7 @@
-//! The entry's process: starts its parts and stops them in order.
+//! Process of the entry: starts its actors and servers, and stops them in order.
+//!
+//! On a stop signal the entry first becomes unready, then refuses new connections
+//! and finishes the requests in flight, and last removes itself from the roster.
 
 use std::{
     rc::Rc,
@@ -62,26 +65,26 @@
     traffic::serve_request, //
 };
 
-/// Time between two looks for slots that have come free by themselves.
+/// Time between two checks for slots that became free without an event.
 const GRANT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When a caller that a stopping entry refuses may come back.
+/// `Retry-After` of requests that a stopping entry refuses.
 const STOP_RETRY: Duration = Duration::from_secs(1);
 
-/// Time that an idle connection of a caller is kept.
+/// Idle timeout of callers' connections.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// Time that a caller has for a request's head.
+/// Timeout of reading a request's head.
 const HEAD_LIMIT: Duration = Duration::from_secs(10);
 
-/// Most connections of callers to one traffic thread.
+/// Most connections of callers for each traffic thread.
 const CONNECTION_LIMIT: usize = 25_000;
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until a stop signal.
 ///
 /// # Errors
 ///
-/// Fails when an address can't be listened on.
+/// Fails if an address can't be listened on, or the mesh keys can't be used.
 pub async fn run_entry(settings: EntrySettings) -> Result<()> {
     let platform = &settings.platform;
     let store = EtcdClient::new(&platform.store, platform.timeout);
@@ -112,7 +115,7 @@
     Ok(())
 }
 
-/// Actors of the control thread.
+/// Actors of the control thread, and the registration on the roster.
 struct ControlParts {
     keeper: Addr<ViewKeeper>,
     writer: Addr<TableWriter>,
@@ -173,8 +176,8 @@
     Some(roster)
 }
 
-/// Grants slots that come free by themselves, such as those of runners whose
-/// ejection has lapsed.
+/// Grants slots that become free without an event, such as those of runners whose
+/// ejection has ended.
 async fn grant_free_slots(shared: Arc<SharedState>) {
     loop {
         tokio::time::sleep(GRANT_INTERVAL).await;
@@ -224,10 +227,11 @@
     Ok(server.run())
 }
 
-/// Waits for the signal to stop, then lets requests end.
+/// Waits for a stop signal, then stops the servers gracefully.
 ///
-/// Readiness goes first, so that the balancer sends new requests elsewhere. A
-/// second signal cuts the notice short and refuses what is still queued.
+/// The entry becomes unready at once, but listens on for the notice period, so that
+/// the load balancer sends new requests elsewhere. A second signal ends the notice
+/// period and refuses all queued requests.
 async fn stop_on_signal(shared: &Arc<SharedState>, handles: &[ServerHandle]) -> Result<()> {
     let mut stop = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/hoisthitch-entry/src/settings.rs
+++ b/crates/hoisthitch-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the entry.
+//! Settings of the entry, read from an INI file.
 
 use std::{
     net::{
@@ -23,10 +23,10 @@
     SettingsReader, //
 };
 
-/// Shortest token that operators' calls may be guarded by.
+/// Shortest operators' token.
 const TOKEN_MIN: usize = 16;
 
-/// How seeds are written.
+/// Example of `seeds`, for error messages.
 const SEEDS_EXAMPLE: &str = "entry-2@10.0.0.2:7000, entry-3@10.0.0.3:7000";
 
 /// Settings of one entry process.
@@ -36,17 +36,17 @@
     pub name: String,
     /// Data hall that the entry's VM is in.
     pub hall: String,
-    /// Least level that is logged.
+    /// Lowest level that is logged.
     pub log_level: String,
-    /// Callers' side.
+    /// Callers' side of the entry.
     pub callers: CallerSettings,
-    /// Operators' side.
+    /// Operators' side of the entry.
     pub operators: OperatorSettings,
-    /// The platform.
+    /// The platform's services.
     pub platform: PlatformSettings,
     /// How the entries share the runners' slots.
     pub share: SharePolicy,
-    /// The mesh of entries; none for an entry that stands alone.
+    /// The mesh; none for an entry without other entries.
     pub mesh: Option<MeshSettings>,
 }
 
@@ -55,17 +55,17 @@
 pub struct CallerSettings {
     /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Threads that carry traffic.
+    /// Number of threads that serve callers.
     pub threads: usize,
     /// Largest request body, in bytes.
     pub body_limit: usize,
-    /// Time that a stopping entry keeps listening, for the balancer to notice.
+    /// Time for which a stopping entry listens on, until the load balancer notices.
     pub stop_notice: Duration,
-    /// Longest time that a stopping entry waits for requests under way.
+    /// Longest time that a stopping entry waits for requests in flight.
     pub stop_limit: Duration,
-    /// Time that the claim of an idempotency key is kept.
+    /// Time for which the claim of an idempotency key is kept.
     pub claim_retention: Duration,
-    /// Whether requests skip the queue and limits, to measure their cost.
+    /// Whether requests bypass the queue and the limits, to measure their cost.
     pub bypass: bool,
 }
 
@@ -74,7 +74,7 @@
 pub struct OperatorSettings {
     /// Address that operators connect to.
     pub listen: SocketAddr,
-    /// Token that operators' calls carry.
+    /// Bearer token of operators' calls.
     pub token: String,
 }
 
@@ -85,7 +85,7 @@
     pub store: String,
     /// URL of the VM list.
     pub vms: String,
-    /// Longest time that a call may take.
+    /// Timeout of a call.
     pub timeout: Duration,
     /// Time between two readings of the VM list.
     pub vms_interval: Duration,
@@ -98,13 +98,14 @@
 pub struct MeshSettings {
     /// Address that other entries connect to.
     pub listen: SocketAddr,
-    /// Address that is put on the roster; the one listened on, if not set.
+    /// Address on the roster; by default the address listened on.
     pub advertise: SocketAddr,
-    /// Entries to ask for the table while the store is out.
+    /// Entries to connect to before a roster is known, such as while the store is
+    /// unavailable.
     pub seeds: Vec<RosterEntry>,
     /// Certificate of this entry.
     pub certificate: PathBuf,
-    /// Key of this entry.
+    /// Private key of this entry.
     pub key: PathBuf,
     /// Certificate of the authority that signs the entries' certificates.
     pub authority: PathBuf,
--- a/crates/hoisthitch-entry/src/state.rs
+++ b/crates/hoisthitch-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! State that the control thread and the traffic threads share.
+//! State shared by the control thread and the traffic threads.
 
 use std::sync::{
     Arc,
@@ -25,13 +25,13 @@
     settings::EntrySettings, //
 };
 
-/// State that all threads of an entry share.
+/// State shared by all threads of an entry.
 pub struct SharedState {
     /// Settings of the process.
     pub settings: EntrySettings,
-    /// Routes in force; replaced whole by the control thread.
+    /// Routes in effect; the control thread replaces the whole table.
     pub routes: ArcSwap<RouteTable>,
-    /// Whether the view of the fleet is fresh enough to send work by.
+    /// When the view of the fleet was last confirmed.
     pub freshness: ViewFreshness,
     /// Claims of idempotency keys.
     pub claims: ClaimClient,
@@ -41,12 +41,12 @@
     pub metrics: EntryMetrics,
     stopping: AtomicBool,
     registered: AtomicBool,
-    /// Wakes the follower of the store for a reading out of turn.
+    /// Makes the follower of the store read it at once.
     pub reread: Notify,
 }
 
 impl SharedState {
-    /// Starts without routes.
+    /// Creates the state without routes.
     ///
     /// # Errors
     ///
@@ -79,12 +79,12 @@
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the entry is on the roster, which one without a mesh needn't be.
+    /// Whether the entry is on the roster; always true without a mesh.
     pub fn is_registered(&self) -> bool {
         self.settings.mesh.is_none() || self.registered.load(Ordering::Relaxed)
     }
 
-    /// Whether this entry is among the members of the rosters.
+    /// Whether `members` contains this entry; always true without a mesh.
     pub fn is_member(&self, members: &[RosterEntry]) -> bool {
         let own = self.settings.mesh.as_ref().map(|mesh| RosterEntry {
             name: self.settings.name.clone(),
@@ -93,23 +93,23 @@
         own.is_none_or(|own| members.contains(&own))
     }
 
-    /// Notes whether the entry is on the roster.
+    /// Records whether the entry is on the roster.
     ///
-    /// It counts as registered only by a reading of the store that shows it on
-    /// the roster, once the hall records of the same reading are in force: a
-    /// steward that does not know of the entry has then made no move that the
-    /// entry does not know of.
+    /// It may be set only after a reading of the store showed the entry on the
+    /// roster and the hall records of the same reading are in effect. A steward
+    /// that has not seen the entry on the roster can then have made no move that
+    /// the entry has not applied.
     pub fn set_registered(&self, registered: bool) {
         self.registered.store(registered, Ordering::Relaxed);
     }
 
-    /// Whether work may be sent: the entry is on the roster and its view of the
+    /// Whether requests may be sent: the entry is on the roster and its view of the
     /// fleet is fresh.
     pub fn may_send(&self) -> bool {
         self.is_registered() && self.freshness.is_fresh()
     }
 
-    /// Whether the balancer should send requests here.
+    /// Whether the load balancer should send requests to this entry.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.routes.load().revision > 0 && self.may_send()
     }
