--- a/crates/hoisthitch-entry/src/operators/api.rs
+++ b/crates/hoisthitch-entry/src/operators/api.rs
@@ -87,7 +87,7 @@
     shared.metrics.set_store_calls(shared.store_calls.counts());
     match render_metrics(&shared.metrics.registry) {
         Ok(text) => HttpResponse::Ok().content_type("text/plain").body(text),
-        Err(err) => fault(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
+        Err(err) => error_response(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
     }
 }
 
@@ -124,7 +124,7 @@
 async fn get_table(keeper: web::Data<Addr<ViewKeeper>>) -> HttpResponse {
     match keeper.send(ReadView).await {
         Ok(view) => HttpResponse::Ok().json(view.table),
-        Err(_) => failed(&OperatorError::Stopping),
+        Err(_) => operator_error(&OperatorError::Stopping),
     }
 }
 
@@ -134,7 +134,7 @@
             let halls: Vec<_> = view.halls.into_values().collect();
             HttpResponse::Ok().json(halls)
         }
-        Err(_) => failed(&OperatorError::Stopping),
+        Err(_) => operator_error(&OperatorError::Stopping),
     }
 }
 
@@ -145,18 +145,18 @@
 ) -> HttpResponse {
     let EditCall { edits, dry_run } = call.into_inner();
     let result = if dry_run {
-        try_edits(&keeper, &edits).await
+        dry_run_edits(&keeper, &edits).await
     } else {
         let sent = writer.send(EditTable { edits }).await;
         sent.unwrap_or(Err(OperatorError::Stopping))
     };
     match result {
         Ok(table) => HttpResponse::Ok().json(table),
-        Err(err) => failed(&err),
+        Err(err) => operator_error(&err),
     }
 }
 
-async fn try_edits(
+async fn dry_run_edits(
     keeper: &Addr<ViewKeeper>,
     edits: &[RowEdit],
 ) -> Result<PolicyTable, OperatorError> {
@@ -174,7 +174,7 @@
     let sent = writer.send(AssignVm { vm, pool }).await;
     match sent.unwrap_or(Err(OperatorError::Stopping)) {
         Ok(record) => HttpResponse::Ok().json(record),
-        Err(err) => failed(&err),
+        Err(err) => operator_error(&err),
     }
 }
 
@@ -186,7 +186,7 @@
     let sent = writer.send(MoveVm { vm, to }).await;
     match sent.unwrap_or(Err(OperatorError::Stopping)) {
         Ok(record) => HttpResponse::Ok().json(record),
-        Err(err) => failed(&err),
+        Err(err) => operator_error(&err),
     }
 }
 
@@ -198,7 +198,7 @@
     let sent = writer.send(ChangeWave::Start { name, pools }).await;
     match sent.unwrap_or(Err(OperatorError::Stopping)) {
         Ok(record) => HttpResponse::Ok().json(record),
-        Err(err) => failed(&err),
+        Err(err) => operator_error(&err),
     }
 }
 
@@ -210,7 +210,7 @@
     let sent = writer.send(ChangeWave::State { name, state }).await;
     match sent.unwrap_or(Err(OperatorError::Stopping)) {
         Ok(record) => HttpResponse::Ok().json(record),
-        Err(err) => failed(&err),
+        Err(err) => operator_error(&err),
     }
 }
 
@@ -219,7 +219,7 @@
     writer: web::Data<Addr<TableWriter>>,
 ) -> HttpResponse {
     let Ok(view) = keeper.send(ReadView).await else {
-        return failed(&OperatorError::Stopping);
+        return operator_error(&OperatorError::Stopping);
     };
     let sent = writer.send(ReadWaves).await;
     match sent.unwrap_or(Err(OperatorError::Stopping)) {
@@ -228,7 +228,7 @@
             let answers: Vec<WaveAnswer> = answers.collect();
             HttpResponse::Ok().json(answers)
         }
-        Err(err) => failed(&err),
+        Err(err) => operator_error(&err),
     }
 }
 
@@ -244,7 +244,7 @@
     }
 }
 
-fn failed(err: &OperatorError) -> HttpResponse {
+fn operator_error(err: &OperatorError) -> HttpResponse {
     let status = match err {
         OperatorError::Edit(EditError::Conflict { .. })
         | OperatorError::Hall(_)
@@ -264,10 +264,10 @@
             StatusCode::SERVICE_UNAVAILABLE
         }
     };
-    fault(status, &err.to_string())
+    error_response(status, &err.to_string())
 }
 
-fn fault(status: StatusCode, error: &str) -> HttpResponse {
+fn error_response(status: StatusCode, error: &str) -> HttpResponse {
     HttpResponse::build(status).json(FaultAnswer {
         error: error.to_owned(),
     })
--- a/crates/hoisthitch-entry/src/operators/token.rs
+++ b/crates/hoisthitch-entry/src/operators/token.rs
@@ -32,7 +32,7 @@
     request: ServiceRequest,
     next: Next<B>,
 ) -> Result<ServiceResponse<EitherBody<B, BoxBody>>, Error> {
-    if OPEN_PATHS.contains(&request.path()) || carries_token(&request) {
+    if OPEN_PATHS.contains(&request.path()) || has_token(&request) {
         let response = next.call(request).await?;
         return Ok(response.map_into_left_body());
     }
@@ -41,19 +41,19 @@
     Ok(request.into_response(response).map_into_right_body())
 }
 
-fn carries_token(request: &ServiceRequest) -> bool {
+fn has_token(request: &ServiceRequest) -> bool {
     let Some(shared) = request.app_data::<web::Data<SharedState>>() else {
         return false;
     };
     let Some(value) = request.headers().get(header::AUTHORIZATION) else {
         return false;
     };
-    let wanted = format!("Bearer {}", shared.settings.operators.token);
-    same_bytes(value.as_bytes(), wanted.as_bytes())
+    let expected = format!("Bearer {}", shared.settings.operators.token);
+    equal_in_constant_time(value.as_bytes(), expected.as_bytes())
 }
 
 /// Compares in constant time for inputs of the same length.
-fn same_bytes(left: &[u8], right: &[u8]) -> bool {
+fn equal_in_constant_time(left: &[u8], right: &[u8]) -> bool {
     let differing = left
         .iter()
         .zip(right)
--- a/crates/hoisthitch-entry/src/process.rs
+++ b/crates/hoisthitch-entry/src/process.rs
@@ -69,16 +69,16 @@
 const GRANT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// `Retry-After` of requests that a stopping entry refuses.
-const STOP_RETRY: Duration = Duration::from_secs(1);
+const STOP_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Idle timeout of callers' connections.
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Timeout of reading a request's head.
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Most connections of callers for each traffic thread.
-const CONNECTION_LIMIT: usize = 25_000;
+const MAX_CONNECTIONS_PER_THREAD: usize = 25_000;
 
 /// Runs an entry until a stop signal.
 ///
@@ -170,9 +170,9 @@
     };
     let roster = RosterKeeper::new(shared, store.clone(), entry, keeper.clone());
     let roster = Rc::new(roster);
-    let kept = roster.clone();
+    let task_roster = roster.clone();
     let shared = shared.clone();
-    actix_web::rt::spawn(async move { kept.keep_registered(&shared).await });
+    actix_web::rt::spawn(async move { task_roster.keep_registered(&shared).await });
     Some(roster)
 }
 
@@ -196,9 +196,9 @@
             .default_service(web::route().to(serve_request))
     })
     .workers(callers.threads)
-    .keep_alive(KEEP_ALIVE)
-    .client_request_timeout(HEAD_LIMIT)
-    .max_connections(CONNECTION_LIMIT)
+    .keep_alive(IDLE_TIMEOUT)
+    .client_request_timeout(REQUEST_HEAD_TIMEOUT)
+    .max_connections(MAX_CONNECTIONS_PER_THREAD)
     .shutdown_timeout(callers.stop_limit.as_secs())
     .disable_signals()
     .bind(callers.listen)
@@ -235,20 +235,20 @@
 async fn stop_on_signal(shared: &Arc<SharedState>, handles: &[ServerHandle]) -> Result<()> {
     let mut stop = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    wait_for(&mut stop, &mut interrupt).await;
+    wait_for_signal(&mut stop, &mut interrupt).await;
     shared.begin_stop();
     let notice = shared.settings.callers.stop_notice;
     event!(Info, "stopping", notice_ms = notice.as_millis());
-    let hurried = tokio::select! {
+    let interrupted = tokio::select! {
         () = tokio::time::sleep(notice) => false,
-        () = wait_for(&mut stop, &mut interrupt) => true,
+        () = wait_for_signal(&mut stop, &mut interrupt) => true,
     };
-    if hurried {
+    if interrupted {
         refuse_queued(shared);
     }
     let shared = shared.clone();
     actix_web::rt::spawn(async move {
-        wait_for(&mut stop, &mut interrupt).await;
+        wait_for_signal(&mut stop, &mut interrupt).await;
         refuse_queued(&shared);
     });
     for handle in handles {
@@ -257,7 +257,7 @@
     Ok(())
 }
 
-async fn wait_for(stop: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(stop: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = stop.recv() => {}
         _ = interrupt.recv() => {}
@@ -269,7 +269,7 @@
     for dispatcher in shared.routes.load().dispatchers() {
         dispatcher.refuse_all(WorkRefusal {
             reason: RefusalReason::Stopping,
-            retry_after: STOP_RETRY,
+            retry_after: STOP_RETRY_AFTER,
         });
     }
 }
--- a/crates/hoisthitch-entry/src/settings.rs
+++ b/crates/hoisthitch-entry/src/settings.rs
@@ -24,7 +24,7 @@
 };
 
 /// Shortest operators' token.
-const TOKEN_MIN: usize = 16;
+const MIN_TOKEN_BYTES: usize = 16;
 
 /// Example of `seeds`, for error messages.
 const SEEDS_EXAMPLE: &str = "entry-2@10.0.0.2:7000, entry-3@10.0.0.3:7000";
@@ -179,8 +179,8 @@
 fn read_operators(reader: &SettingsReader<'_>) -> OperatorSettings {
     const SECTION: &str = "operators";
     let token = text(reader, SECTION, "token", "a-long-random-secret");
-    if !token.is_empty() && token.len() < TOKEN_MIN {
-        let help = format!("use at least {TOKEN_MIN} characters");
+    if !token.is_empty() && token.len() < MIN_TOKEN_BYTES {
+        let help = format!("use at least {MIN_TOKEN_BYTES} characters");
         reader.fault(SECTION, "token", "is too short", &help);
     }
     OperatorSettings {
