--- a/crates/hoisthitch-steward/src/act.rs
+++ b/crates/hoisthitch-steward/src/act.rs
@@ -1,10 +1,10 @@
-//! Carrying out of planned actions, each by compare-and-swap on what it was
+//! Carries out planned actions, each by compare-and-swap on the state that it was
 //! planned on.
 //!
-//! The order of writes is what keeps a crash harmless: a permit is taken before
-//! the VM leaves and returned after the VM is back. A permit that its taker lost
-//! sight of is only returned after the VM's fence was raised, so that a taker
-//! which wakes up later finds its plan void.
+//! The order of the writes makes crashes harmless: a permit is taken before its VM
+//! is drained and released after the VM serves again. An unused permit is released
+//! only after the VM's fence was raised. If the steward that took the permit was
+//! frozen, its plan is then outdated when it continues.
 
 use std::{
     collections::BTreeSet,
@@ -59,13 +59,13 @@
     }, //
 };
 
-/// Age at which a view is no longer acted on.
+/// Age above which a view is no longer acted on.
 pub const VIEW_LIMIT: Duration = Duration::from_secs(3);
 
-/// Longest time that a VM's service may take to accept a connection.
+/// Timeout of connecting to the service of a rebooted VM.
 const PROBE_LIMIT: Duration = Duration::from_millis(500);
 
-/// Carries out actions.
+/// Carries out planned actions.
 pub struct FleetActor<S> {
     records: RecordWriter<S>,
     lister: VmLister,
@@ -73,11 +73,11 @@
     keys: KeySpace,
 }
 
-/// What a permit is asked for on.
+/// Conditions under which a permit may be taken.
 struct PermitAsk<'a> {
-    /// VMs of the pool that are absent without being planned.
+    /// VMs of the pool that are absent without a plan.
     lost: &'a BTreeSet<String>,
-    /// Most that may be absent.
+    /// Most VMs of the pool that may be absent.
     budget: usize,
     /// When the fleet was read.
     read: Instant,
@@ -86,28 +86,28 @@
 /// Why an action was not carried out.
 #[derive(Debug, Error)]
 pub enum ActionError {
-    /// Someone else acted first.
+    /// The state has changed since the action was planned, or is not ready for it.
     #[error("the plan is void: {0}")]
     Void(&'static str),
-    /// The VM is not as planned.
+    /// The VM's assignment is not in the planned state.
     #[error(transparent)]
     Transition(#[from] TransitionError),
-    /// The budget does not allow it.
+    /// The pool's availability budget does not allow the absence.
     #[error(transparent)]
     Permit(#[from] PermitError),
-    /// The VM is not where it was.
+    /// The VM is no longer in the hall record.
     #[error(transparent)]
     Hall(#[from] HallError),
-    /// The store failed.
+    /// A write to the store failed.
     #[error(transparent)]
     Write(#[from] WriteError),
-    /// The platform failed.
+    /// A read from the store or a call to the platform failed.
     #[error(transparent)]
     Platform(#[from] StoreError),
 }
 
 impl<S: StoreClient> FleetActor<S> {
-    /// Acts by these means.
+    /// Creates an actor that writes through `records` and reboots through `lister`.
     pub fn new(
         records: RecordWriter<S>,
         lister: VmLister,
@@ -126,7 +126,8 @@
     ///
     /// # Errors
     ///
-    /// An action that fails is planned anew.
+    /// Fails as described by [`ActionError`]. A failed action is planned again from
+    /// the next view.
     pub async fn act(&self, view: &FleetView, action: FleetAction) -> Result<(), ActionError> {
         match action {
             FleetAction::WithdrawPermit { pool, target } => {
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Returns a permit without use: first the fence, then the permit.
+    /// Releases an unused permit: first raises the VM's fence, then releases the
+    /// permit.
     async fn withdraw(
         &self,
         view: &FleetView,
@@ -170,7 +172,7 @@
         Ok(())
     }
 
-    /// Takes a permit, then has the VM's requests end.
+    /// Takes a permit, then starts to drain the VM.
     async fn begin_drain(
         &self,
         view: &FleetView,
@@ -247,7 +249,7 @@
         Ok(())
     }
 
-    /// Returns a VM to its pool once its service accepts connections.
+    /// Returns a rebooted VM to its pool once its service accepts connections.
     async fn end_maintenance(
         &self,
         view: &FleetView,
@@ -276,7 +278,7 @@
         self.release_permit(view, pool, &target.vm).await
     }
 
-    /// Has a VM serve its pool again without having gone anywhere.
+    /// Cancels a drain: the VM serves its pool again.
     async fn cancel_drain(
         &self,
         view: &FleetView,
@@ -296,7 +298,7 @@
         self.release_permit(view, pool, &target.vm).await
     }
 
-    /// Passes when no entry has requests at the VM or will send any.
+    /// Succeeds if no entry has requests at the VM or will send any.
     async fn pass_barrier(&self, view: &FleetView, target: &VmTarget) -> Result<(), ActionError> {
         let version = view
             .halls
@@ -316,7 +318,7 @@
         }
     }
 
-    /// Takes an entry off the roster whose VM is gone.
+    /// Removes an entry from the roster whose VM the platform no longer lists.
     async fn deregister(&self, rostered: &RosteredEntry) -> Result<(), ActionError> {
         let key = self.keys.roster(&rostered.hall);
         let change = |stored: Option<RosterRecord>, stamp| {
@@ -376,7 +378,7 @@
         Ok(())
     }
 
-    /// Returns the permit that the plan was based on, and no later one.
+    /// Releases the permit that the plan was based on, but no later one.
     async fn release_permit(
         &self,
         view: &FleetView,
@@ -401,7 +403,7 @@
         }
     }
 
-    /// Changes one VM's assignment by a transition.
+    /// Applies a transition to one VM's assignment.
     async fn change_vm(
         &self,
         target: &VmTarget,
--- a/crates/hoisthitch-steward/src/barrier.rs
+++ b/crates/hoisthitch-steward/src/barrier.rs
@@ -1,8 +1,9 @@
-//! The barrier: no entry has requests at a VM, and none will send any.
+//! Drain barrier: checks that no entry has requests at a VM and that none will send
+//! any.
 //!
-//! Every entry on the rosters is asked. An entry that is silent delays the move;
-//! only one whose VM the platform no longer lists is taken off the roster, after
-//! which it may not route before it has registered again.
+//! Every entry on the rosters is queried over the mesh. An unresponsive entry delays
+//! the move or reboot. Only an entry whose VM the platform no longer lists is removed
+//! from the roster; it must not route requests before it has registered again.
 
 use std::time::Duration;
 
@@ -21,32 +22,32 @@
     RosteredEntry, //
 };
 
-/// Longest time that an entry may take to answer.
+/// Timeout of connecting to an entry and receiving its report.
 const ANSWER_LIMIT: Duration = Duration::from_secs(1);
 
-/// Asks entries whether they are done with a VM.
+/// Queries the entries whether they are done with a VM.
 pub struct DrainBarrier {
     endpoint: MeshEndpoint,
 }
 
-/// What the entries said.
+/// Result of querying all entries.
 pub enum BarrierOutcome {
     /// All entries are done with the VM.
     Passed,
-    /// An entry is not, or does not answer.
+    /// An entry is not done with the VM, or does not respond.
     Waits,
-    /// An entry does not answer and its VM is no longer listed.
+    /// An entry does not respond, and the platform no longer lists its VM.
     Gone(RosteredEntry),
 }
 
 impl DrainBarrier {
-    /// Asks through `endpoint`.
+    /// Creates a barrier that connects to the entries through `endpoint`.
     pub fn new(endpoint: MeshEndpoint) -> Self {
         Self { endpoint }
     }
 
-    /// Asks all entries whether they route by `version` of the hall's record or
-    /// a later one, and have nothing at the VM.
+    /// Checks that all entries route by `version` of the hall record or a later one,
+    /// and have no requests in flight at the VM.
     pub async fn ask(
         &self,
         view: &FleetView,
--- a/crates/hoisthitch-steward/src/lib.rs
+++ b/crates/hoisthitch-steward/src/lib.rs
@@ -1,8 +1,10 @@
-//! The steward: which pool holds which VM, and maintenance waves.
+//! The steward: moves VMs between pools and reboots them in maintenance waves.
 //!
-//! A steward runs on every entry VM and none is special. The pools are divided
-//! by rank among the stewards that are alive; that only saves double work. What
-//! keeps two stewards apart is compare-and-swap on what each has read.
+//! A steward runs on every entry VM, and all stewards are equal. At intervals it
+//! reads the fleet from the store and the platform (`view`), plans actions for its
+//! pools and carries them out (`act`). The pools are divided by rank among the
+//! stewards that are alive, but only to avoid duplicate work. Compare-and-swap on
+//! the records that a steward has read keeps two stewards from conflicting changes.
 
 mod act;
 mod barrier;
--- a/crates/hoisthitch-steward/src/main.rs
+++ b/crates/hoisthitch-steward/src/main.rs
@@ -1,4 +1,4 @@
-//! Binary of the steward.
+//! Binary of the steward: reads the settings, starts the log and runs the steward.
 
 use std::path::PathBuf;
 
--- a/crates/hoisthitch-steward/src/process.rs
+++ b/crates/hoisthitch-steward/src/process.rs
@@ -1,5 +1,5 @@
-//! The steward's process: looks at the fleet at intervals and acts for the
-//! pools that are its own by rank.
+//! Process of the steward: at intervals, reads the fleet, plans actions for the
+//! pools that it ranks first for, and carries them out.
 
 use std::time::Duration;
 
@@ -46,17 +46,17 @@
     }, //
 };
 
-/// Time that a steward counts as alive without a sign.
+/// Time to live of the lease that shows that a steward is alive.
 const LEASE_TTL: Duration = Duration::from_secs(6);
 
-/// Time between two signs of life.
+/// Time between two renewals of the lease.
 const LEASE_RENEWAL: Duration = Duration::from_secs(2);
 
-/// Runs a steward until it is told to stop.
+/// Runs a steward until a stop signal.
 ///
 /// # Errors
 ///
-/// Fails when the mesh address or the keys can't be used.
+/// Fails if the mesh address or the keys can't be used.
 pub async fn run_steward(settings: StewardSettings) -> Result<()> {
     let mut steward = FleetSteward::new(settings)?;
     let mut stop = signal(SignalKind::terminate())?;
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-/// A steward.
+/// State of a steward.
 struct FleetSteward {
     settings: StewardSettings,
     store: EtcdClient,
@@ -79,7 +79,7 @@
     keys: KeySpace,
     actor: FleetActor<EtcdClient>,
     lease: Option<StewardLease>,
-    /// Version of the view for which there was nothing to do.
+    /// Version of the last view for which no action was planned.
     settled: Option<u64>,
 }
 
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// Shows that this steward is alive.
+    /// Renews the lease that shows that this steward is alive, or creates it.
     async fn keep_lease(&mut self) -> Result<(), StoreError> {
         if let Some(lease) = &mut self.lease {
             if lease.renewed.elapsed() < LEASE_RENEWAL {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Actions for the pools that are the steward's own.
+/// Plans actions for the pools for which the steward ranks first.
 fn plan(steward: &str, view: &FleetView) -> Vec<FleetAction> {
     let stewards: Vec<&str> = view.stewards.iter().map(String::as_str).collect();
     let snapshot = view.snapshot();
--- a/crates/hoisthitch-steward/src/settings.rs
+++ b/crates/hoisthitch-steward/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the steward.
+//! Settings of the steward, read from an INI file.
 
 use std::{
     net::{
@@ -23,23 +23,23 @@
 pub struct StewardSettings {
     /// Name of the steward; unique in the deployment.
     pub name: String,
-    /// Least level that is logged.
+    /// Lowest level that is logged.
     pub log_level: String,
     /// URL of the store's gateway.
     pub store: String,
     /// URL of the VM list.
     pub vms: String,
-    /// Longest time that a call may take.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// Time between two looks at the fleet.
+    /// Time between two passes over the fleet.
     pub interval: Duration,
     /// Prefix of the records in the store.
     pub root: String,
-    /// Address that mesh connections come from.
+    /// Local address of the mesh connections.
     pub mesh_listen: SocketAddr,
     /// Certificate of this steward.
     pub certificate: PathBuf,
-    /// Key of this steward.
+    /// Private key of this steward.
     pub key: PathBuf,
     /// Certificate of the authority that signs the certificates.
     pub authority: PathBuf,
--- a/crates/hoisthitch-steward/src/view.rs
+++ b/crates/hoisthitch-steward/src/view.rs
@@ -1,4 +1,4 @@
-//! The steward's view of the fleet: the store's records and the list of VMs.
+//! View of the fleet: reads the store's records and the platform's list of VMs.
 
 use std::collections::BTreeMap;
 
@@ -27,15 +27,15 @@
 use serde::de::DeserializeOwned;
 use tokio::time::Instant;
 
-/// The fleet, as read at one moment.
+/// State of the fleet, as read in one pass.
 ///
-/// The records were read after the list, so that a VM that is listed as back is
-/// not set against an older record of it.
+/// The records are read after the list of VMs, so that a VM which is listed as live
+/// again is not compared with an older record.
 #[derive(Debug)]
 pub struct FleetView {
     /// When the reading began.
     pub read: Instant,
-    /// Counts the readings that found a change.
+    /// Number of changes that were read so far.
     pub version: u64,
     /// The operators' table.
     pub table: PolicyTable,
@@ -62,7 +62,7 @@
     pub entry: RosterEntry,
 }
 
-/// Reads the fleet, and only what changed of it.
+/// Reads the fleet; lists and records are read only if they have changed.
 pub struct ViewReader<S> {
     store: S,
     lister: VmLister,
@@ -76,7 +76,7 @@
 }
 
 impl<S: StoreClient> ViewReader<S> {
-    /// Starts with nothing read.
+    /// Creates a reader with an empty view.
     pub fn new(store: S, lister: VmLister, keys: KeySpace) -> Self {
         Self {
             store,
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does.
+    /// Fails if the store or the list of VMs can't be read.
     pub async fn read(&mut self) -> Result<&FleetView, StoreError> {
         let read = Instant::now();
         self.read_list().await?;
@@ -118,8 +118,8 @@
         Ok(())
     }
 
-    /// Reads all records: permits first, so that none is taken for unused whose
-    /// VM began to leave meanwhile.
+    /// Reads all records, permits first. Otherwise a permit would seem unused if its
+    /// VM began to drain between the two reads.
     async fn read_records(&mut self) -> Result<(), StoreError> {
         let mut view = FleetView::empty();
         for prefix in [self.keys.fleet(), self.keys.records()] {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The view as the planner takes it.
+    /// The view as input of the planner.
     pub fn snapshot(&self) -> FleetSnapshot<'_> {
         FleetSnapshot {
             table: &self.table,
