--- a/crates/hoisthitch-steward/src/act.rs
+++ b/crates/hoisthitch-steward/src/actions.rs
@@ -60,13 +60,13 @@
 };
 
 /// Age above which a view is no longer acted on.
-pub const VIEW_LIMIT: Duration = Duration::from_secs(3);
+pub const VIEW_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// Timeout of connecting to the service of a rebooted VM.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Carries out planned actions.
-pub struct FleetActor<S> {
+pub struct ActionExecutor<S> {
     records: RecordWriter<S>,
     lister: VmLister,
     barrier: DrainBarrier,
@@ -74,21 +74,21 @@
 }
 
 /// Conditions under which a permit may be taken.
-struct PermitAsk<'a> {
+struct PermitConditions<'a> {
     /// VMs of the pool that are absent without a plan.
     lost: &'a BTreeSet<String>,
     /// Most VMs of the pool that may be absent.
     budget: usize,
     /// When the fleet was read.
-    read: Instant,
+    read_at: Instant,
 }
 
 /// Why an action was not carried out.
 #[derive(Debug, Error)]
 pub enum ActionError {
     /// The state has changed since the action was planned, or is not ready for it.
-    #[error("the plan is void: {0}")]
-    Void(&'static str),
+    #[error("the action can't be carried out now: {0}")]
+    Inapplicable(&'static str),
     /// The VM's assignment is not in the planned state.
     #[error(transparent)]
     Transition(#[from] TransitionError),
@@ -106,7 +106,7 @@
     Platform(#[from] StoreError),
 }
 
-impl<S: StoreClient> FleetActor<S> {
+impl<S: StoreClient> ActionExecutor<S> {
     /// Creates an actor that writes through `records` and reboots through `lister`.
     pub fn new(
         records: RecordWriter<S>,
@@ -128,10 +128,10 @@
     ///
     /// Fails as described by [`ActionError`]. A failed action is planned again from
     /// the next view.
-    pub async fn act(&self, view: &FleetView, action: FleetAction) -> Result<(), ActionError> {
+    pub async fn execute(&self, view: &FleetView, action: FleetAction) -> Result<(), ActionError> {
         match action {
             FleetAction::WithdrawPermit { pool, target } => {
-                self.withdraw(view, &pool, &target).await
+                self.withdraw_permit(view, &pool, &target).await
             }
             FleetAction::BeginLeave { pool, target, task } => {
                 self.begin_drain(view, &pool, &target, task).await
@@ -148,13 +148,13 @@
             FleetAction::EndMaintenance { pool, target, wave } => {
                 self.end_maintenance(view, &pool, &target, &wave).await
             }
-            FleetAction::PauseWave { wave, reason } => self.pause(&wave, &reason).await,
+            FleetAction::PauseWave { wave, reason } => self.pause_wave(&wave, &reason).await,
         }
     }
 
     /// Releases an unused permit: first raises the VM's fence, then releases the
     /// permit.
-    async fn withdraw(
+    async fn withdraw_permit(
         &self,
         view: &FleetView,
         pool: &str,
@@ -182,17 +182,17 @@
     ) -> Result<(), ActionError> {
         let lost = lost_vms(&view.snapshot(), pool);
         let budget = view.table.pool(pool).map_or(0, |row| row.max_absent);
-        let ask = PermitAsk {
+        let conditions = PermitConditions {
             lost: &lost,
             budget: budget as usize,
-            read: view.read,
+            read_at: view.read_at,
         };
-        self.take_permit(pool, target, &ask).await?;
+        self.take_permit(pool, target, &conditions).await?;
         let kind = task_name(&task);
-        let left = self.change_vm(target, |assignment| {
+        let begun = self.change_vm(target, |assignment| {
             assignment.begin_drain(target.fence, pool, task.clone())
         });
-        left.await?;
+        begun.await?;
         event!(
             Info,
             "drain_begun",
@@ -235,10 +235,10 @@
         boots: u64,
     ) -> Result<(), ActionError> {
         self.pass_barrier(view, target).await?;
-        let intended = self.change_vm(target, |assignment| {
+        let begun = self.change_vm(target, |assignment| {
             assignment.begin_reboot(target.fence, wave, boots)
         });
-        intended.await?;
+        begun.await?;
         self.reboot(target, boots).await
     }
 
@@ -266,9 +266,11 @@
             .and_then(|record| record.find(&target.vm))
             .map(|assignment| assignment.address)
             .ok_or_else(|| HallError::Unassigned(target.vm.clone()))?;
-        let connecting = tokio::time::timeout(PROBE_LIMIT, TcpStream::connect(address));
+        let connecting = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address));
         if !matches!(connecting.await, Ok(Ok(_))) {
-            return Err(ActionError::Void("the VM's service does not answer yet"));
+            return Err(ActionError::Inapplicable(
+                "the VM's service does not accept connections yet",
+            ));
         }
         let returned = self.change_vm(target, |assignment| {
             assignment.end_maintenance(target.fence, wave)
@@ -304,16 +306,20 @@
             .halls
             .get(&target.hall)
             .map_or(0, |record| record.version);
-        let asked = self
+        let outcome = self
             .barrier
-            .ask(view, &target.hall, &target.vm, version)
+            .check(view, &target.hall, &target.vm, version)
             .await;
-        match asked {
+        match outcome {
             BarrierOutcome::Passed => Ok(()),
-            BarrierOutcome::Waits => Err(ActionError::Void("an entry is not done with the VM")),
-            BarrierOutcome::Gone(rostered) => {
+            BarrierOutcome::Pending => Err(ActionError::Inapplicable(
+                "an entry is not done with the VM",
+            )),
+            BarrierOutcome::EntryLost(rostered) => {
                 self.deregister(&rostered).await?;
-                Err(ActionError::Void("an entry was taken off the roster"))
+                Err(ActionError::Inapplicable(
+                    "an entry was removed from the roster",
+                ))
             }
         }
     }
@@ -322,9 +328,12 @@
     async fn deregister(&self, rostered: &RosteredEntry) -> Result<(), ActionError> {
         let key = self.keys.roster(&rostered.hall);
         let change = |stored: Option<RosterRecord>, stamp| {
-            let mut record = stored.ok_or(ActionError::Void("the roster is gone"))?;
+            let mut record =
+                stored.ok_or(ActionError::Inapplicable("the roster does not exist"))?;
             if !record.holds(&rostered.entry) {
-                return Err(ActionError::Void("the entry is off the roster"));
+                return Err(ActionError::Inapplicable(
+                    "the entry is no longer on the roster",
+                ));
             }
             record.remove(&rostered.entry.name);
             record.sign(stamp);
@@ -335,11 +344,11 @@
         Ok(())
     }
 
-    async fn pause(&self, wave: &str, reason: &str) -> Result<(), ActionError> {
+    async fn pause_wave(&self, wave: &str, reason: &str) -> Result<(), ActionError> {
         let change = |stored: Option<WaveRecord>, stamp| {
-            let mut record = stored.ok_or(ActionError::Void("the wave is gone"))?;
+            let mut record = stored.ok_or(ActionError::Inapplicable("the wave does not exist"))?;
             if record.state != WaveState::Running {
-                return Err(ActionError::Void("the wave does not run"));
+                return Err(ActionError::Inapplicable("the wave is not running"));
             }
             record.state = WaveState::Paused;
             reason.clone_into(&mut record.reason);
@@ -355,20 +364,20 @@
         &self,
         pool: &str,
         target: &VmTarget,
-        ask: &PermitAsk<'_>,
+        conditions: &PermitConditions<'_>,
     ) -> Result<(), ActionError> {
         let change = |stored: Option<PermitLedger>, stamp: WriterStamp| {
-            if ask.read.elapsed() > VIEW_LIMIT {
-                return Err(ActionError::Void("the view is too old"));
+            if conditions.read_at.elapsed() > VIEW_MAX_AGE {
+                return Err(ActionError::Inapplicable("the view is too old"));
             }
             let mut ledger = stored.unwrap_or_else(|| PermitLedger::new(pool));
             let permit = AbsencePermit {
                 vm: target.vm.clone(),
                 hall: target.hall.clone(),
                 operation: stamp.operation,
-                since_ms: wall_ms(),
+                since_ms: unix_ms(),
             };
-            ledger.take(permit, ask.lost, ask.budget)?;
+            ledger.take(permit, conditions.lost, conditions.budget)?;
             ledger.sign(stamp);
             Ok::<_, ActionError>(ledger)
         };
@@ -392,13 +401,13 @@
         let change = |stored: Option<PermitLedger>, stamp| {
             let mut ledger = stored.unwrap_or_else(|| PermitLedger::new(pool));
             if !ledger.release(permit.operation) {
-                return Err(ActionError::Void("the permit is gone"));
+                return Err(ActionError::Inapplicable("the permit was released already"));
             }
             ledger.sign(stamp);
             Ok(ledger)
         };
         match self.records.update(&self.keys.permits(pool), change).await {
-            Ok(_) | Err(ActionError::Void(_)) => Ok(()),
+            Ok(_) | Err(ActionError::Inapplicable(_)) => Ok(()),
             Err(err) => Err(err),
         }
     }
@@ -429,7 +438,7 @@
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.unwrap_or_default().as_millis();
     u64::try_from(millis).unwrap_or(u64::MAX)
--- a/crates/hoisthitch-steward/src/barrier.rs
+++ b/crates/hoisthitch-steward/src/barrier.rs
@@ -23,7 +23,7 @@
 };
 
 /// Timeout of connecting to an entry and receiving its report.
-const ANSWER_LIMIT: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Queries the entries whether they are done with a VM.
 pub struct DrainBarrier {
@@ -35,9 +35,9 @@
     /// All entries are done with the VM.
     Passed,
     /// An entry is not done with the VM, or does not respond.
-    Waits,
+    Pending,
     /// An entry does not respond, and the platform no longer lists its VM.
-    Gone(RosteredEntry),
+    EntryLost(RosteredEntry),
 }
 
 impl DrainBarrier {
@@ -48,19 +48,19 @@
 
     /// Checks that all entries route by `version` of the hall record or a later one,
     /// and have no requests in flight at the VM.
-    pub async fn ask(
+    pub async fn check(
         &self,
         view: &FleetView,
         hall: &str,
         vm: &str,
         version: u64,
     ) -> BarrierOutcome {
-        let asks = view.entries.iter().map(|rostered| async move {
-            let report = self.ask_entry(&rostered.entry, hall, vm).await;
+        let queries = view.entries.iter().map(|rostered| async move {
+            let report = self.query_entry(&rostered.entry, hall, vm).await;
             (rostered, report)
         });
         let mut outcome = BarrierOutcome::Passed;
-        for (rostered, report) in join_all(asks).await {
+        for (rostered, report) in join_all(queries).await {
             let name = &rostered.entry.name;
             match report {
                 Ok(report) if report.version >= version && report.in_flight == 0 => {}
@@ -74,33 +74,33 @@
                         wanted = version,
                         in_flight = report.in_flight,
                     );
-                    outcome = BarrierOutcome::Waits;
+                    outcome = BarrierOutcome::Pending;
                 }
                 Err(err) => {
                     event!(Warn, "drain_unanswered", vm = vm, entry = name, error = err);
                     if !view.listed.contains_key(name) {
-                        return BarrierOutcome::Gone(rostered.clone());
+                        return BarrierOutcome::EntryLost(rostered.clone());
                     }
-                    outcome = BarrierOutcome::Waits;
+                    outcome = BarrierOutcome::Pending;
                 }
             }
         }
         outcome
     }
 
-    async fn ask_entry(
+    async fn query_entry(
         &self,
         entry: &RosterEntry,
         hall: &str,
         vm: &str,
     ) -> Result<DrainReport, WireError> {
-        let asking = async {
+        let querying = async {
             let mut peer = self.endpoint.connect(&entry.name, entry.mesh).await?;
-            let ask = MeshFrame::AskDrained {
+            let request = MeshFrame::AskDrained {
                 vm: vm.to_owned(),
                 hall: hall.to_owned(),
             };
-            peer.writer.write(&ask).await?;
+            peer.writer.write(&request).await?;
             loop {
                 if let (MeshFrame::Drained(report), _) = peer.reader.read().await?
                     && report.vm == vm
@@ -110,8 +110,8 @@
                 }
             }
         };
-        tokio::time::timeout(ANSWER_LIMIT, asking)
+        tokio::time::timeout(QUERY_TIMEOUT, querying)
             .await
-            .unwrap_or_else(|_| Err(WireError::Connection("no answer in time".to_owned())))
+            .unwrap_or_else(|_| Err(WireError::Connection("no response in time".to_owned())))
     }
 }
--- a/crates/hoisthitch-steward/src/lib.rs
+++ b/crates/hoisthitch-steward/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! A steward runs on every entry VM, and all stewards are equal. At intervals it
 //! reads the fleet from the store and the platform (`view`), plans actions for its
-//! pools and carries them out (`act`). The pools are divided by rank among the
+//! pools and carries them out (`actions`). The pools are divided by rank among the
 //! stewards that are alive, but only to avoid duplicate work. Compare-and-swap on
 //! the records that a steward has read keeps two stewards from conflicting changes.
 
-mod act;
+mod actions;
 mod barrier;
 mod process;
 mod settings;
--- a/crates/hoisthitch-steward/src/process.rs
+++ b/crates/hoisthitch-steward/src/process.rs
@@ -33,10 +33,10 @@
 };
 
 use crate::{
-    act::{
+    actions::{
         ActionError,
-        FleetActor,
-        VIEW_LIMIT, //
+        ActionExecutor,
+        VIEW_MAX_AGE, //
     },
     barrier::DrainBarrier,
     settings::StewardSettings,
@@ -50,7 +50,7 @@
 const LEASE_TTL: Duration = Duration::from_secs(6);
 
 /// Time between two renewals of the lease.
-const LEASE_RENEWAL: Duration = Duration::from_secs(2);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Runs a steward until a stop signal.
 ///
@@ -77,10 +77,10 @@
     store: EtcdClient,
     reader: ViewReader<EtcdClient>,
     keys: KeySpace,
-    actor: FleetActor<EtcdClient>,
+    executor: ActionExecutor<EtcdClient>,
     lease: Option<StewardLease>,
     /// Version of the last view for which no action was planned.
-    settled: Option<u64>,
+    idle_version: Option<u64>,
 }
 
 /// The lease that shows that this steward is alive.
@@ -96,49 +96,49 @@
         let keys = KeySpace::new(&settings.root);
         let mesh_keys = MeshKeys::load(&settings.certificate, &settings.key, &settings.authority)?;
         let endpoint = MeshEndpoint::open(&settings.name, settings.mesh_listen, &mesh_keys)?;
-        let patience = settings.timeout * 3;
-        let records = RecordWriter::new(store.clone(), &settings.name, patience);
+        let resolve_timeout = settings.timeout * 3;
+        let records = RecordWriter::new(store.clone(), &settings.name, resolve_timeout);
         let barrier = DrainBarrier::new(endpoint);
         Ok(Self {
             reader: ViewReader::new(store.clone(), lister.clone(), keys.clone()),
-            actor: FleetActor::new(records, lister, barrier, keys.clone()),
+            executor: ActionExecutor::new(records, lister, barrier, keys.clone()),
             settings,
             store,
             keys,
             lease: None,
-            settled: None,
+            idle_version: None,
         })
     }
 
     async fn run(&mut self) {
         loop {
-            if let Err(err) = self.look_and_act().await {
+            if let Err(err) = self.run_pass().await {
                 event!(Warn, "platform_fails", error = err);
             }
             tokio::time::sleep(self.settings.interval).await;
         }
     }
 
-    async fn look_and_act(&mut self) -> Result<(), StoreError> {
-        self.keep_lease().await?;
+    async fn run_pass(&mut self) -> Result<(), StoreError> {
+        self.maintain_lease().await?;
         let view = self.reader.read().await?;
-        if self.settled == Some(view.version) {
+        if self.idle_version == Some(view.version) {
             return Ok(());
         }
         let actions = plan(&self.settings.name, view);
         if actions.is_empty() {
-            self.settled = Some(view.version);
+            self.idle_version = Some(view.version);
         }
         for action in actions {
-            if view.read.elapsed() > VIEW_LIMIT {
+            if view.read_at.elapsed() > VIEW_MAX_AGE {
                 event!(
                     Info,
                     "view_too_old",
-                    age_ms = view.read.elapsed().as_millis()
+                    age_ms = view.read_at.elapsed().as_millis()
                 );
                 return Ok(());
             }
-            match self.actor.act(view, action.clone()).await {
+            match self.executor.execute(view, action.clone()).await {
                 Ok(()) => {}
                 Err(err @ (ActionError::Write(_) | ActionError::Platform(_))) => {
                     event!(
@@ -162,9 +162,9 @@
     }
 
     /// Renews the lease that shows that this steward is alive, or creates it.
-    async fn keep_lease(&mut self) -> Result<(), StoreError> {
+    async fn maintain_lease(&mut self) -> Result<(), StoreError> {
         if let Some(lease) = &mut self.lease {
-            if lease.renewed.elapsed() < LEASE_RENEWAL {
+            if lease.renewed.elapsed() < LEASE_RENEWAL_INTERVAL {
                 return Ok(());
             }
             let renewed = Instant::now();
@@ -190,9 +190,9 @@
     let stewards: Vec<&str> = view.stewards.iter().map(String::as_str).collect();
     let snapshot = view.snapshot();
     let rows = view.table.pools.iter();
-    let own = rows.filter(|row| {
+    let own_rows = rows.filter(|row| {
         let order = rendezvous_order(&row.name, &stewards);
         order.first() == Some(&steward)
     });
-    own.flat_map(|row| plan_pool(&snapshot, row)).collect()
+    own_rows.flat_map(|row| plan_pool(&snapshot, row)).collect()
 }
--- a/crates/hoisthitch-steward/src/view.rs
+++ b/crates/hoisthitch-steward/src/view.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct FleetView {
     /// When the reading began.
-    pub read: Instant,
+    pub read_at: Instant,
     /// Number of changes that were read so far.
     pub version: u64,
     /// The operators' table.
@@ -69,10 +69,10 @@
     keys: KeySpace,
     view: FleetView,
     /// Tag of the list of VMs as last read.
-    tag: String,
+    list_tag: String,
     /// Revisions of the records as last read.
-    fleet: Vec<KeyRevision>,
-    records: Vec<KeyRevision>,
+    fleet_revisions: Vec<KeyRevision>,
+    record_revisions: Vec<KeyRevision>,
 }
 
 impl<S: StoreClient> ViewReader<S> {
@@ -83,9 +83,9 @@
             lister,
             keys,
             view: FleetView::empty(),
-            tag: String::new(),
-            fleet: Vec::new(),
-            records: Vec::new(),
+            list_tag: String::new(),
+            fleet_revisions: Vec::new(),
+            record_revisions: Vec::new(),
         }
     }
 
@@ -95,25 +95,25 @@
     ///
     /// Fails if the store or the list of VMs can't be read.
     pub async fn read(&mut self) -> Result<&FleetView, StoreError> {
-        let read = Instant::now();
+        let read_at = Instant::now();
         self.read_list().await?;
         let fleet = self.store.read_revisions(&self.keys.fleet()).await?;
         let records = self.store.read_revisions(&self.keys.records()).await?;
-        if fleet != self.fleet || records != self.records {
+        if fleet != self.fleet_revisions || records != self.record_revisions {
             self.read_records().await?;
             // Records that changed since the revisions were read are read again.
-            self.fleet = fleet;
-            self.records = records;
+            self.fleet_revisions = fleet;
+            self.record_revisions = records;
         }
-        self.view.read = read;
+        self.view.read_at = read_at;
         Ok(&self.view)
     }
 
     async fn read_list(&mut self) -> Result<(), StoreError> {
-        if let VmListing::Changed { vms, tag } = self.lister.list_changes(&self.tag).await? {
-            self.view.listed = vms.iter().map(sighting).collect();
+        if let VmListing::Changed { vms, tag } = self.lister.list_changes(&self.list_tag).await? {
+            self.view.listed = vms.iter().map(observed_vm).collect();
             self.view.version += 1;
-            self.tag = tag;
+            self.list_tag = tag;
         }
         Ok(())
     }
@@ -137,7 +137,7 @@
 impl FleetView {
     fn empty() -> Self {
         Self {
-            read: Instant::now(),
+            read_at: Instant::now(),
             version: 0,
             table: PolicyTable::default(),
             halls: BTreeMap::new(),
@@ -183,12 +183,12 @@
     }
 }
 
-fn sighting(listed: &ListedVm) -> (String, ObservedVm) {
-    let sighting = ObservedVm {
+fn observed_vm(listed: &ListedVm) -> (String, ObservedVm) {
+    let observed = ObservedVm {
         live: listed.state == VmState::Live,
         boots: listed.boots,
     };
-    (listed.vm.clone(), sighting)
+    (listed.vm.clone(), observed)
 }
 
 fn rostered(record: RosterRecord) -> impl Iterator<Item = RosteredEntry> {
