--- a/crates/hoisthitch-wire/src/endpoint.rs
+++ b/crates/hoisthitch-wire/src/endpoint.rs
@@ -1,4 +1,7 @@
-//! The endpoint of an entry in the mesh.
+//! Endpoint of a process in the mesh: opens and accepts connections.
+//!
+//! Both sides send a `Hello` frame with their name first. A connection is returned
+//! only after the other side's hello was received.
 
 use std::{
     net::SocketAddr,
@@ -22,19 +25,19 @@
     tls::MeshKeys, //
 };
 
-/// Longest time that a connection and its first frames may take.
+/// Timeout of establishing a connection, including the hello frames.
 const OPEN_LIMIT: Duration = Duration::from_secs(3);
 
-/// Accepts and opens connections to other entries.
+/// Opens and accepts connections.
 #[derive(Clone)]
 pub struct MeshEndpoint {
     endpoint: Endpoint,
     node: String,
 }
 
-/// A connection to another entry, after both have said who they are.
+/// An established connection, after both sides have sent their hello.
 pub struct PeerConnection {
-    /// Name of the other entry.
+    /// Name of the other side.
     pub node: String,
     /// Frames from it.
     pub reader: FrameReader,
@@ -49,18 +52,19 @@
         self.connection.close(VarInt::from_u32(0), b"");
     }
 
-    /// Handle that closes the connection from elsewhere.
+    /// Handle of the connection, with which it can be closed while the reader and the
+    /// writer are in use.
     pub fn connection(&self) -> Connection {
         self.connection.clone()
     }
 }
 
 impl MeshEndpoint {
-    /// Listens as `node`.
+    /// Listens on an address under the name `node`.
     ///
     /// # Errors
     ///
-    /// Fails when the address or the keys can't be used.
+    /// Fails if the address or the keys can't be used.
     pub fn open(node: &str, listen: SocketAddr, keys: &MeshKeys) -> Result<Self, WireError> {
         let mut endpoint = Endpoint::server(keys.server()?, listen)?;
         endpoint.set_default_client_config(keys.client()?);
@@ -70,16 +74,17 @@
         })
     }
 
-    /// The next connection that someone opens; none once the endpoint is closed.
+    /// Waits for the next incoming connection; none once the endpoint is closed.
     pub async fn incoming(&self) -> Option<Incoming> {
         self.endpoint.accept().await
     }
 
-    /// Completes a connection that someone opens.
+    /// Completes an incoming connection.
     ///
     /// # Errors
     ///
-    /// Fails on a stranger, another version, and a first frame that is no hello.
+    /// Fails if the other side has no valid certificate, uses another protocol
+    /// version, or sends another first frame than a hello.
     pub async fn accept(&self, incoming: Incoming) -> Result<PeerConnection, WireError> {
         let opening = async {
             let connection = incoming
@@ -94,7 +99,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the entry can't be reached or is not who it should be.
+    /// Fails if the entry can't be reached, or its certificate is not valid for
+    /// `node`.
     pub async fn connect(
         &self,
         node: &str,
@@ -117,7 +123,7 @@
         self.endpoint.close(VarInt::from_u32(0), b"");
     }
 
-    /// Both sides open a stream and say who they are.
+    /// Opens the outgoing stream, sends a hello, and waits for the other side's.
     async fn greet(&self, connection: Connection) -> Result<PeerConnection, WireError> {
         let stream = connection
             .open_uni()
--- a/crates/hoisthitch-wire/src/error.rs
+++ b/crates/hoisthitch-wire/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the inner protocol.
+//! Errors of the mesh protocol.
 
 use std::path::PathBuf;
 
@@ -15,13 +15,13 @@
         /// What is wrong.
         fault: String,
     },
-    /// The endpoint could not start.
+    /// The endpoint can't listen on its address.
     #[error("the mesh address can't be listened on: {0}")]
     Listen(#[from] std::io::Error),
     /// A connection failed.
     #[error("connection: {0}")]
     Connection(String),
-    /// The other side speaks another version.
+    /// The other side uses another protocol version.
     #[error("protocol version {found}, this process speaks {wanted}")]
     Version {
         /// Version of the other side.
@@ -29,18 +29,18 @@
         /// Version of this process.
         wanted: u8,
     },
-    /// A frame is longer than any may be.
+    /// A frame is longer than [`FRAME_LIMIT`](crate::FRAME_LIMIT).
     #[error("a frame of {length} bytes; at most {limit} are taken")]
     TooLong {
-        /// Length that the frame names.
+        /// Length of the frame's body, in bytes.
         length: usize,
-        /// Most that is taken.
+        /// Longest body that is accepted, in bytes.
         limit: usize,
     },
-    /// A frame can't be read.
+    /// A frame can't be decoded.
     #[error("a frame can't be read: {0}")]
     Malformed(String),
-    /// The other side ended the stream.
+    /// The stream has ended.
     #[error("the stream has ended")]
     Ended,
 }
--- a/crates/hoisthitch-wire/src/frame.rs
+++ b/crates/hoisthitch-wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of the inner protocol.
+//! Frames of the mesh protocol, and deltas between versions of records.
 //!
 //! A frame is one byte of protocol version, four bytes of length (little
 //! endian), and a postcard-encoded [`MeshFrame`].
@@ -22,63 +22,63 @@
 /// Version of the protocol.
 pub const PROTOCOL_VERSION: u8 = 1;
 
-/// Longest body of a frame, in bytes: a whole table or hall record.
+/// Longest body of a frame, in bytes; it must fit a whole table or hall record.
 pub const FRAME_LIMIT: usize = 1 << 20;
 
-/// Bytes before a frame's body.
+/// Length of a frame's header, in bytes.
 pub const HEADER_LENGTH: usize = 5;
 
-/// A message between entries.
+/// A message of the mesh protocol.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MeshFrame {
-    /// First frame of each side: who it is.
+    /// First frame of each side.
     Hello {
-        /// Name of the entry.
+        /// Name of the sender.
         node: String,
     },
-    /// Sent at intervals: versions held and slots asked for.
+    /// Sent at intervals: the sender's versions and demands.
     Heartbeat(Heartbeat),
-    /// Rows that a change of the table touched.
+    /// Change of the table.
     Delta(Box<TableDelta>),
-    /// Asks for the whole table.
+    /// Requests the whole table.
     AskTable,
     /// The whole table.
     Table(Box<PolicyTable>),
-    /// Assignments that a change of a hall's record touched.
+    /// Change of a hall record.
     HallDelta(Box<HallDelta>),
-    /// Asks for a hall's record.
+    /// Requests the hall record of a data hall.
     AskHall(String),
-    /// A hall's record.
+    /// A hall record.
     Hall(Box<HallRecord>),
-    /// Asks for a hall's roster.
+    /// Requests the roster of a data hall.
     AskRoster(String),
-    /// A hall's roster.
+    /// A roster.
     Roster(Box<RosterRecord>),
-    /// A VM takes no new work.
+    /// A VM takes no new requests.
     Leaving(LeavingNotice),
-    /// Asks whether an entry is done with a VM that leaves.
+    /// Requests an entry's drain report of a VM.
     AskDrained {
         /// Name of the VM.
         vm: String,
         /// Data hall of the VM.
         hall: String,
     },
-    /// How far an entry is with a VM that leaves.
+    /// An entry's drain report of a VM.
     Drained(DrainReport),
 }
 
-/// How far an entry is with a VM that leaves.
+/// State of an entry's requests at a VM that is draining.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DrainReport {
     /// Name of the VM.
     pub vm: String,
-    /// Version of the hall's record that the entry routes by.
+    /// Version of the hall record that the entry routes by.
     pub version: u64,
-    /// Requests that the entry has at the VM.
+    /// Number of requests that the entry has in flight at the VM.
     pub in_flight: u32,
 }
 
-/// Versions that an entry holds and slots that it asks for.
+/// An entry's versions of all records, and its demands.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
     /// Revision of the table.
@@ -87,87 +87,88 @@
     pub halls: Vec<HallVersion>,
     /// Versions of the rosters.
     pub rosters: Vec<HallVersion>,
-    /// Slots asked for, by pool; pools without demand are left out.
+    /// Demands by pool; pools without demand are left out.
     pub demands: Vec<PoolDemand>,
-    /// Moment of sending, on the sender's clock, in milliseconds.
+    /// Time of sending, on the sender's clock, in milliseconds.
     pub sent_ms: u64,
-    /// Moments of the last heartbeats heard, on their senders' clocks: whoever
-    /// finds its own moment knows that the rest is no older than that.
+    /// Send times of the last heartbeats that the sender has received, on the clocks
+    /// of their senders. An entry that finds its own send time here knows that the
+    /// rest of this heartbeat is no older than that.
     pub echoes: Vec<HeartbeatEcho>,
 }
 
-/// Moment of the last heartbeat heard of an entry.
+/// Send time of the last heartbeat that was received from an entry.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HeartbeatEcho {
     /// Hash of the entry's name.
     pub node: u32,
-    /// The moment, on that entry's clock, in milliseconds.
+    /// Send time, on that entry's clock, in milliseconds.
     pub sent_ms: u64,
 }
 
-/// Version of a hall's record.
+/// Version of a hall record or roster.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HallVersion {
     /// Data hall.
     pub hall: String,
-    /// Version of its record.
+    /// Version of the record.
     pub version: u64,
 }
 
-/// Slots that an entry asks for in a pool.
+/// An entry's demand in a pool.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoolDemand {
     /// Hash of the pool's name.
     pub pool: u32,
-    /// Requests under way and waiting.
+    /// Requests in flight and waiting.
     pub slots: u32,
 }
 
-/// Rows that a change of the table touched.
+/// Change of the table from one revision to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TableDelta {
-    /// Revision that the delta starts from.
+    /// Revision that the delta applies to.
     pub base: u64,
-    /// Revision that it leads to.
+    /// Revision after the delta is applied.
     pub revision: u64,
     /// Who wrote the revision.
     pub stamp: WriterStamp,
-    /// Pools that were written.
+    /// Rows of the pools that were added or changed.
     pub pools: Vec<PoolRow>,
-    /// Teams that were written.
+    /// Rows of the teams that were added or changed.
     pub teams: Vec<TeamRow>,
-    /// Pools that were removed.
+    /// Names of the pools that were removed.
     pub removed_pools: Vec<String>,
-    /// Teams that were removed.
+    /// Names of the teams that were removed.
     pub removed_teams: Vec<String>,
 }
 
-/// A VM takes no new work.
+/// Notice that a VM takes no new requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeavingNotice {
     /// Name of the VM.
     pub vm: String,
 }
 
-/// Assignments that a change of a hall's record touched.
+/// Change of a hall record from one version to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HallDelta {
     /// Data hall.
     pub hall: String,
-    /// Version that the delta starts from.
+    /// Version that the delta applies to.
     pub base: u64,
-    /// Version that it leads to.
+    /// Version after the delta is applied.
     pub version: u64,
     /// Who wrote the version.
     pub stamp: WriterStamp,
-    /// Assignments that were written.
+    /// Assignments that were added or changed.
     pub written: Vec<VmAssignment>,
-    /// VMs that were removed.
+    /// Names of the VMs whose assignments were removed.
     pub removed: Vec<String>,
 }
 
 impl HallDelta {
-    /// What leads from `old` to `new`.
+    /// Computes the delta that changes `old` into `new`.
     pub fn between(old: &HallRecord, new: &HallRecord) -> Self {
         let written = new.vms.iter();
         let written = written.filter(|vm| old.find(&vm.vm) != Some(vm));
@@ -183,8 +184,7 @@
         }
     }
 
-    /// The record that the delta leads to; none where it does not start from
-    /// `record`.
+    /// Applies the delta to `record`; none if it does not apply to its version.
     pub fn applied(&self, record: &HallRecord) -> Option<HallRecord> {
         let fits = record.hall == self.hall && record.version == self.base;
         if !fits || self.version <= self.base {
@@ -203,7 +203,7 @@
 }
 
 impl TableDelta {
-    /// What leads from `old` to `new`.
+    /// Computes the delta that changes `old` into `new`.
     pub fn between(old: &PolicyTable, new: &PolicyTable) -> Self {
         let pools = new.pools.iter();
         let teams = new.teams.iter();
@@ -234,8 +234,7 @@
         }
     }
 
-    /// The table that the delta leads to; none where it does not start from
-    /// `table`.
+    /// Applies the delta to `table`; none if it does not apply to its revision.
     pub fn applied(&self, table: &PolicyTable) -> Option<PolicyTable> {
         if table.revision != self.base || self.revision <= self.base {
             return None;
@@ -266,7 +265,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the frame is longer than any may be.
+/// Fails if the frame is longer than [`FRAME_LIMIT`].
 pub fn encode_frame(frame: &MeshFrame) -> Result<Vec<u8>, WireError> {
     let body = postcard::to_stdvec(frame).map_err(|err| WireError::Malformed(err.to_string()))?;
     let length = check_length(body.len())?;
@@ -277,11 +276,11 @@
     Ok(bytes)
 }
 
-/// Reads a header; answers with the length of the body.
+/// Decodes a header; returns the length of the body, in bytes.
 ///
 /// # Errors
 ///
-/// Fails on another version or a body that is too long.
+/// Fails if the protocol version differs or the body is too long.
 pub fn decode_header(header: [u8; HEADER_LENGTH]) -> Result<usize, WireError> {
     let [version, length @ ..] = header;
     if version != PROTOCOL_VERSION {
@@ -295,11 +294,11 @@
     Ok(length)
 }
 
-/// Reads the body of a frame.
+/// Decodes the body of a frame.
 ///
 /// # Errors
 ///
-/// Fails when the bytes are not exactly one frame.
+/// Fails if the bytes are not exactly one frame.
 pub fn decode_frame(body: &[u8]) -> Result<MeshFrame, WireError> {
     let (frame, rest) =
         postcard::take_from_bytes(body).map_err(|err| WireError::Malformed(err.to_string()))?;
--- a/crates/hoisthitch-wire/src/lib.rs
+++ b/crates/hoisthitch-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! The inner protocol between entries.
+//! Mesh protocol between entries, and between stewards and entries.
 //!
-//! Frames are postcard behind a version and a length, on one QUIC stream in
-//! each direction of a connection, under mutual TLS. Only entries whose
-//! certificate the deployment's authority signed get in.
+//! Frames are a version, a length and a postcard-encoded body. Each connection has
+//! one QUIC stream in each direction, under mutual TLS. Only processes whose
+//! certificate is signed by the deployment's authority can connect.
 
 mod endpoint;
 mod error;
--- a/crates/hoisthitch-wire/src/link.rs
+++ b/crates/hoisthitch-wire/src/link.rs
@@ -1,4 +1,4 @@
-//! Frames on QUIC streams.
+//! Reads and writes frames on QUIC streams.
 
 use quinn::{
     RecvStream,
@@ -22,17 +22,17 @@
 }
 
 impl FrameReader {
-    /// Reads from `stream`.
+    /// Creates a reader of `stream`.
     pub fn new(stream: RecvStream) -> Self {
         Self { stream }
     }
 
-    /// Reads the next frame; answers also with its length on the stream.
+    /// Reads the next frame; also returns its length with the header, in bytes.
     ///
     /// # Errors
     ///
-    /// Fails on the end of the stream and on bytes that are no frame; the
-    /// connection is of no more use then.
+    /// Fails at the end of the stream and if the bytes are not a frame. The connection
+    /// can't be used afterwards.
     pub async fn read(&mut self) -> Result<(MeshFrame, usize), WireError> {
         let mut header = [0; HEADER_LENGTH];
         self.stream
@@ -54,16 +54,16 @@
 }
 
 impl FrameWriter {
-    /// Writes to `stream`.
+    /// Creates a writer to `stream`.
     pub fn new(stream: SendStream) -> Self {
         Self { stream }
     }
 
-    /// Writes a frame; answers with its length on the stream.
+    /// Writes a frame; returns its length with the header, in bytes.
     ///
     /// # Errors
     ///
-    /// Fails when the connection is gone or the frame too long.
+    /// Fails if the connection has ended or the frame is too long.
     pub async fn write(&mut self, frame: &MeshFrame) -> Result<usize, WireError> {
         let bytes = encode_frame(frame)?;
         self.stream
--- a/crates/hoisthitch-wire/src/tls.rs
+++ b/crates/hoisthitch-wire/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS of the mesh.
+//! Keys and QUIC settings of the mesh, with mutual TLS.
 
 use std::{
     path::Path,
@@ -29,16 +29,16 @@
 
 use crate::error::WireError;
 
-/// Name of the protocol in the TLS handshake.
+/// Name of the protocol in the TLS handshake (ALPN).
 const PROTOCOL: &[u8] = b"hoisthitch-mesh";
 
-/// Silence after which a connection is given up, in milliseconds.
+/// Idle timeout of a connection, in milliseconds.
 const IDLE_MS: u32 = 2_000;
 
-/// Time between two signs of life of a connection.
+/// Interval of keep-alive packets; well below the idle timeout.
 const KEEP_ALIVE: Duration = Duration::from_millis(600);
 
-/// Keys of an entry.
+/// Certificates and private key of a process, and the authority's certificates.
 pub struct MeshKeys {
     certificates: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -46,11 +46,11 @@
 }
 
 impl MeshKeys {
-    /// Reads PEM files.
+    /// Reads the keys from PEM files.
     ///
     /// # Errors
     ///
-    /// Fails when a file can't be read or does not hold what it should.
+    /// Fails if a file can't be read, or has no key or no certificate.
     pub fn load(certificate: &Path, key: &Path, authority: &Path) -> Result<Self, WireError> {
         let certificates = read_certificates(certificate)?;
         let key_der =
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Settings of the accepting side.
+    /// QUIC settings of the accepting side.
     pub(crate) fn server(&self) -> Result<ServerConfig, WireError> {
         let roots = Arc::new(self.authority.clone());
         let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider())
@@ -87,11 +87,11 @@
         Ok(config)
     }
 
-    /// Settings of the connecting side.
+    /// QUIC settings of the connecting side.
     ///
     /// # Errors
     ///
-    /// Fails when the keys don't fit each other.
+    /// Fails if the private key does not match the certificate.
     pub fn client(&self) -> Result<ClientConfig, WireError> {
         let mut tls = rustls::ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&rustls::version::TLS13])
--- a/crates/hoisthitch-wire/tests/frame.rs
+++ b/crates/hoisthitch-wire/tests/frame.rs
@@ -1,4 +1,5 @@
-//! Frames: what is encoded comes back, and no bytes bring the decoder down.
+//! Tests of frames: decoding returns the encoded frame and never panics on other
+//! bytes, and a delta leads from its base to the new version only.
 
 use std::net::SocketAddr;
 
@@ -66,7 +67,7 @@
     let mut record = HallRecord::new("athens");
     record.version = version;
     for (vm, pool) in vms {
-        // A VM that stands in the list twice is refused the second time.
+        // The second assignment of the same VM is refused.
         let _ = record.assign(VmAssignment {
             vm: format!("vm-{vm:03}"),
             address: SocketAddr::from(([127, 0, 0, 1], 9_000)),
