--- a/crates/hoisthitch-entry/src/control/keeper.rs
+++ b/crates/hoisthitch-entry/src/control/keeper.rs
@@ -365,7 +365,7 @@
         match frame {
             MeshFrame::Hello { .. } => {}
             MeshFrame::Heartbeat(heartbeat) => self.apply_heartbeat(node, heartbeat),
-            MeshFrame::Delta(delta) => match delta.applied(&self.table) {
+            MeshFrame::Delta(delta) => match delta.apply_to(&self.table) {
                 Some(table) => self.apply_table(table, "peer"),
                 None if delta.revision > self.table.revision => {
                     self.send_to(node, MeshFrame::AskTable);
@@ -383,7 +383,7 @@
             }
             MeshFrame::HallDelta(delta) => {
                 let known = self.halls.get(&delta.hall);
-                match known.and_then(|known| delta.applied(known)) {
+                match known.and_then(|known| delta.apply_to(known)) {
                     Some(record) => self.apply_hall(record),
                     None if delta.version > self.hall_version(&delta.hall) => {
                         self.send_to(node, MeshFrame::AskHall(delta.hall));
--- a/crates/hoisthitch-wire/src/endpoint.rs
+++ b/crates/hoisthitch-wire/src/endpoint.rs
@@ -26,7 +26,7 @@
 };
 
 /// Timeout of establishing a connection, including the hello frames.
-const OPEN_LIMIT: Duration = Duration::from_secs(3);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Opens and accepts connections.
 #[derive(Clone)]
@@ -90,9 +90,9 @@
             let connection = incoming
                 .await
                 .map_err(|err| WireError::Connection(err.to_string()))?;
-            self.greet(connection).await
+            self.exchange_hellos(connection).await
         };
-        within_limit(opening).await
+        with_timeout(opening).await
     }
 
     /// Connects to the entry `node`.
@@ -113,9 +113,9 @@
                 .map_err(|err| WireError::Connection(err.to_string()))?
                 .await
                 .map_err(|err| WireError::Connection(err.to_string()))?;
-            self.greet(connection).await
+            self.exchange_hellos(connection).await
         };
-        within_limit(opening).await
+        with_timeout(opening).await
     }
 
     /// Closes all connections.
@@ -124,7 +124,7 @@
     }
 
     /// Opens the outgoing stream, sends a hello, and waits for the other side's.
-    async fn greet(&self, connection: Connection) -> Result<PeerConnection, WireError> {
+    async fn exchange_hellos(&self, connection: Connection) -> Result<PeerConnection, WireError> {
         let stream = connection
             .open_uni()
             .await
@@ -153,10 +153,10 @@
     }
 }
 
-async fn within_limit<T>(
+async fn with_timeout<T>(
     opening: impl Future<Output = Result<T, WireError>>,
 ) -> Result<T, WireError> {
-    tokio::time::timeout(OPEN_LIMIT, opening)
+    tokio::time::timeout(OPEN_TIMEOUT, opening)
         .await
         .unwrap_or_else(|_| Err(WireError::Connection("it took too long".to_owned())))
 }
--- a/crates/hoisthitch-wire/src/error.rs
+++ b/crates/hoisthitch-wire/src/error.rs
@@ -29,7 +29,7 @@
         /// Version of this process.
         wanted: u8,
     },
-    /// A frame is longer than [`FRAME_LIMIT`](crate::FRAME_LIMIT).
+    /// A frame is longer than [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES).
     #[error("a frame of {length} bytes; at most {limit} are taken")]
     TooLong {
         /// Length of the frame's body, in bytes.
--- a/crates/hoisthitch-wire/src/frame.rs
+++ b/crates/hoisthitch-wire/src/frame.rs
@@ -23,10 +23,10 @@
 pub const PROTOCOL_VERSION: u8 = 1;
 
 /// Longest body of a frame, in bytes; it must fit a whole table or hall record.
-pub const FRAME_LIMIT: usize = 1 << 20;
+pub const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// Length of a frame's header, in bytes.
-pub const HEADER_LENGTH: usize = 5;
+pub const HEADER_BYTES: usize = 5;
 
 /// A message of the mesh protocol.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -185,7 +185,7 @@
     }
 
     /// Applies the delta to `record`; none if it does not apply to its version.
-    pub fn applied(&self, record: &HallRecord) -> Option<HallRecord> {
+    pub fn apply_to(&self, record: &HallRecord) -> Option<HallRecord> {
         let fits = record.hall == self.hall && record.version == self.base;
         if !fits || self.version <= self.base {
             return None;
@@ -235,7 +235,7 @@
     }
 
     /// Applies the delta to `table`; none if it does not apply to its revision.
-    pub fn applied(&self, table: &PolicyTable) -> Option<PolicyTable> {
+    pub fn apply_to(&self, table: &PolicyTable) -> Option<PolicyTable> {
         if table.revision != self.base || self.revision <= self.base {
             return None;
         }
@@ -265,11 +265,11 @@
 ///
 /// # Errors
 ///
-/// Fails if the frame is longer than [`FRAME_LIMIT`].
+/// Fails if the frame is longer than [`MAX_BODY_BYTES`].
 pub fn encode_frame(frame: &MeshFrame) -> Result<Vec<u8>, WireError> {
     let body = postcard::to_stdvec(frame).map_err(|err| WireError::Malformed(err.to_string()))?;
     let length = check_length(body.len())?;
-    let mut bytes = Vec::with_capacity(HEADER_LENGTH + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.push(PROTOCOL_VERSION);
     bytes.extend_from_slice(&length.to_le_bytes());
     bytes.extend_from_slice(&body);
@@ -281,7 +281,7 @@
 /// # Errors
 ///
 /// Fails if the protocol version differs or the body is too long.
-pub fn decode_header(header: [u8; HEADER_LENGTH]) -> Result<usize, WireError> {
+pub fn decode_header(header: [u8; HEADER_BYTES]) -> Result<usize, WireError> {
     let [version, length @ ..] = header;
     if version != PROTOCOL_VERSION {
         return Err(WireError::Version {
@@ -314,9 +314,9 @@
 fn check_length(length: usize) -> Result<u32, WireError> {
     let too_long = WireError::TooLong {
         length,
-        limit: FRAME_LIMIT,
+        limit: MAX_BODY_BYTES,
     };
-    if length > FRAME_LIMIT {
+    if length > MAX_BODY_BYTES {
         return Err(too_long);
     }
     u32::try_from(length).map_err(|_| too_long)
--- a/crates/hoisthitch-wire/src/lib.rs
+++ b/crates/hoisthitch-wire/src/lib.rs
@@ -17,13 +17,13 @@
 pub use error::WireError;
 pub use frame::{
     DrainReport,
-    FRAME_LIMIT,
-    HEADER_LENGTH,
+    HEADER_BYTES,
     HallDelta,
     HallVersion,
     Heartbeat,
     HeartbeatEcho,
     LeavingNotice,
+    MAX_BODY_BYTES,
     MeshFrame,
     PROTOCOL_VERSION,
     PoolDemand, //
--- a/crates/hoisthitch-wire/src/link.rs
+++ b/crates/hoisthitch-wire/src/link.rs
@@ -8,7 +8,7 @@
 use crate::{
     error::WireError,
     frame::{
-        HEADER_LENGTH,
+        HEADER_BYTES,
         MeshFrame,
         decode_frame,
         decode_header,
@@ -34,7 +34,7 @@
     /// Fails at the end of the stream and if the bytes are not a frame. The connection
     /// can't be used afterwards.
     pub async fn read(&mut self) -> Result<(MeshFrame, usize), WireError> {
-        let mut header = [0; HEADER_LENGTH];
+        let mut header = [0; HEADER_BYTES];
         self.stream
             .read_exact(&mut header)
             .await
@@ -44,7 +44,7 @@
             .read_exact(&mut body)
             .await
             .map_err(|_| WireError::Ended)?;
-        Ok((decode_frame(&body)?, HEADER_LENGTH + body.len()))
+        Ok((decode_frame(&body)?, HEADER_BYTES + body.len()))
     }
 }
 
--- a/crates/hoisthitch-wire/src/tls.rs
+++ b/crates/hoisthitch-wire/src/tls.rs
@@ -33,10 +33,10 @@
 const PROTOCOL: &[u8] = b"hoisthitch-mesh";
 
 /// Idle timeout of a connection, in milliseconds.
-const IDLE_MS: u32 = 2_000;
+const IDLE_TIMEOUT_MS: u32 = 2_000;
 
 /// Interval of keep-alive packets; well below the idle timeout.
-const KEEP_ALIVE: Duration = Duration::from_millis(600);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Certificates and private key of a process, and the authority's certificates.
 pub struct MeshKeys {
@@ -109,8 +109,8 @@
 
 fn transport() -> Arc<TransportConfig> {
     let mut config = TransportConfig::default();
-    config.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_MS))));
-    config.keep_alive_interval(Some(KEEP_ALIVE));
+    config.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))));
+    config.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     config.max_concurrent_bidi_streams(VarInt::from_u32(0));
     config.max_concurrent_uni_streams(VarInt::from_u32(1));
     Arc::new(config)
--- a/crates/hoisthitch-wire/tests/frame.rs
+++ b/crates/hoisthitch-wire/tests/frame.rs
@@ -12,10 +12,10 @@
     VmAssignment, //
 };
 use hoisthitch_wire::{
-    FRAME_LIMIT,
-    HEADER_LENGTH,
+    HEADER_BYTES,
     HallDelta,
     Heartbeat,
+    MAX_BODY_BYTES,
     MeshFrame,
     PROTOCOL_VERSION,
     PoolDemand,
@@ -91,9 +91,9 @@
     fn any_header_is_read_or_refused(version: u8, length: u32) -> bool {
         let [a, b, c, d] = length.to_le_bytes();
         match decode_header([version, a, b, c, d]) {
-            Ok(read) => version == PROTOCOL_VERSION && read <= FRAME_LIMIT,
+            Ok(read) => version == PROTOCOL_VERSION && read <= MAX_BODY_BYTES,
             Err(WireError::Version { found, .. }) => found != PROTOCOL_VERSION,
-            Err(WireError::TooLong { length, .. }) => length > FRAME_LIMIT,
+            Err(WireError::TooLong { length, .. }) => length > MAX_BODY_BYTES,
             Err(_) => false,
         }
     }
@@ -101,12 +101,12 @@
     fn encoded_frame_comes_back(table: u64, demands: Vec<(u32, u32)>) -> bool {
         let frame = heartbeat(table, &demands);
         let bytes = encode_frame(&frame).unwrap();
-        decode_frame(&bytes[HEADER_LENGTH..]).unwrap() == frame
+        decode_frame(&bytes[HEADER_BYTES..]).unwrap() == frame
     }
 
     fn damaged_frame_is_read_or_refused(demands: Vec<(u32, u32)>, at: usize, mask: u8) -> bool {
         let mut bytes = encode_frame(&heartbeat(7, &demands)).unwrap();
-        let body = &mut bytes[HEADER_LENGTH..];
+        let body = &mut bytes[HEADER_BYTES..];
         let at = at % body.len();
         body[at] ^= mask;
         let _ = decode_frame(body);
@@ -116,22 +116,22 @@
     fn delta_leads_from_one_table_to_the_other(old: Vec<(u8, u32)>, new: Vec<(u8, u32)>) -> bool {
         let old = table(1, &old);
         let new = table(2, &new);
-        let applied = TableDelta::between(&old, &new).applied(&old).unwrap();
+        let applied = TableDelta::between(&old, &new).apply_to(&old).unwrap();
         applied.teams == new.teams && applied.revision == new.revision
     }
 
     fn delta_leads_from_one_hall_record_to_the_other(old: Vec<(u8, u8)>, new: Vec<(u8, u8)>) -> bool {
         let old = hall(1, &old);
         let new = hall(3, &new);
-        let applied = HallDelta::between(&old, &new).applied(&old).unwrap();
+        let applied = HallDelta::between(&old, &new).apply_to(&old).unwrap();
         let other = hall(2, &[]);
-        let void = HallDelta::between(&old, &new).applied(&other).is_none();
+        let void = HallDelta::between(&old, &new).apply_to(&other).is_none();
         applied.vms == new.vms && applied.version == new.version && void
     }
 
     fn delta_from_another_revision_is_not_applied(revision: u64) -> bool {
         let delta = TableDelta::between(&table(1, &[]), &table(2, &[]));
         let other = table(revision, &[]);
-        delta.applied(&other).is_some() == (revision == 1)
+        delta.apply_to(&other).is_some() == (revision == 1)
     }
 }
