--- a/crates/hoisthitch-entry/src/operators/api.rs
+++ b/crates/hoisthitch-entry/src/operators/api.rs
@@ -73,12 +73,12 @@
 
 async fn get_ready(shared: web::Data<SharedState>) -> HttpResponse {
     let revision = shared.routes.load().revision;
-    let (mut answer, text) = if shared.is_ready() {
+    let (mut builder, text) = if shared.is_ready() {
         (HttpResponse::Ok(), "ready")
     } else {
         (HttpResponse::ServiceUnavailable(), "not ready")
     };
-    answer
+    builder
         .insert_header((REVISION_HEADER, revision.to_string()))
         .body(text)
 }
--- a/crates/hoisthitch-entry/src/traffic/dispatcher.rs
+++ b/crates/hoisthitch-entry/src/traffic/dispatcher.rs
@@ -117,8 +117,8 @@
     }
 
     /// Reads from the scheduler.
-    pub fn inspect<A>(&self, look: impl FnOnce(&PoolScheduler<Waiter>) -> A) -> A {
-        look(&self.lock())
+    pub fn inspect<A>(&self, read: impl FnOnce(&PoolScheduler<Waiter>) -> A) -> A {
+        read(&self.lock())
     }
 
     /// Waits for a slot.
@@ -282,7 +282,7 @@
             WorkGrant::Granted(unit, runner) => {
                 let priority = unit.priority;
                 if unit.item.send(WorkNotice::Granted(runner)).is_err() {
-                    scheduler.finish(unused(runner, priority), now);
+                    scheduler.finish(unused_result(runner, priority), now);
                 }
             }
             WorkGrant::Refused(unit, refusal) => {
@@ -294,7 +294,7 @@
 }
 
 /// Result to report for a slot that was granted and not used.
-fn unused(runner: RunnerKey, priority: PaidPriority) -> WorkResult {
+fn unused_result(runner: RunnerKey, priority: PaidPriority) -> WorkResult {
     WorkResult {
         runner,
         priority,
@@ -350,7 +350,8 @@
             .cancel(self.ticket, request.priority, request.team, deadline);
         // The slot may have been granted just before the cancellation.
         if let Ok(WorkNotice::Granted(runner)) = self.receiver.try_recv() {
-            self.dispatcher.finish(unused(runner, request.priority));
+            self.dispatcher
+                .finish(unused_result(runner, request.priority));
         }
     }
 }
--- a/crates/hoisthitch-entry/src/traffic/exchange.rs
+++ b/crates/hoisthitch-entry/src/traffic/exchange.rs
@@ -128,7 +128,7 @@
     /// until the runner responds or [`ABANDON_LIMIT`] is over, since the request
     /// still occupies the runner's slot.
     pub async fn run(mut self, permit: SlotPermit, reply: oneshot::Sender<ExchangeResult>) {
-        let mut reply = ReplySlot(Some(reply));
+        let mut reply = ReplySender(Some(reply));
         let mut permit = permit;
         let mut reassigned = 0;
         loop {
@@ -139,14 +139,14 @@
             };
             permit.set_healthy(false);
             let was_sent = !matches!(err, AttemptError::Hop(HopError::Unsent(_)));
-            let allowed = if was_sent {
+            let may_retry = if was_sent {
                 self.repeatable
             } else {
                 reassigned += 1;
                 reassigned <= MAX_REASSIGNMENTS
             };
             let next = match copy {
-                Some(body) if allowed && Instant::now() < self.deadline => {
+                Some(body) if may_retry && Instant::now() < self.deadline => {
                     self.body = body;
                     self.dispatcher.acquire_other(&permit, was_sent)
                 }
@@ -166,7 +166,7 @@
     async fn attempt_until_deadline(
         &mut self,
         permit: &mut SlotPermit,
-        reply: &mut ReplySlot,
+        reply: &mut ReplySender,
     ) -> Result<(Parts, ReceivedBody), AttemptError> {
         let deadline = self.deadline;
         let limit = deadline.max(Instant::now()) + ABANDON_LIMIT;
@@ -244,7 +244,7 @@
         mut self,
         (head, received): (Parts, ReceivedBody),
         permit: SlotPermit,
-        mut reply: ReplySlot,
+        mut reply: ReplySender,
     ) {
         self.end_claim_answered(&head, &received);
         let (body, rest) = match received {
@@ -324,9 +324,9 @@
 }
 
 /// Channel for the result of the exchange, of which the caller gets only one.
-struct ReplySlot(Option<oneshot::Sender<ExchangeResult>>);
+struct ReplySender(Option<oneshot::Sender<ExchangeResult>>);
 
-impl ReplySlot {
+impl ReplySender {
     /// Sends the result, unless one was sent already or the caller disconnected.
     /// Returns whether it was sent.
     fn send(&mut self, result: ExchangeResult) -> bool {
--- a/crates/hoisthitch-entry/src/traffic/hop.rs
+++ b/crates/hoisthitch-entry/src/traffic/hop.rs
@@ -83,8 +83,8 @@
             "the view of the fleet is stale".to_owned(),
         ));
     }
-    let answered = sender.try_send_request(request).await;
-    answered.map_err(|mut err| {
+    let sent = sender.try_send_request(request).await;
+    sent.map_err(|mut err| {
         let unsent = err.take_message().is_some();
         let fault = err.into_error().to_string();
         if unsent {
--- a/crates/hoisthitch-entry/src/traffic/request.rs
+++ b/crates/hoisthitch-entry/src/traffic/request.rs
@@ -101,12 +101,13 @@
     })?;
     let headers = request.headers();
     let (team_name, team) = read_team(&routes, headers)?;
-    let priority = read_priority(headers)?.map_or(team.priority, |asked| asked.max(team.priority));
+    let priority =
+        read_priority(headers)?.map_or(team.priority, |requested| requested.max(team.priority));
     let (default_ms, repeat) = dispatcher.inspect(|scheduler| {
         let row = scheduler.row();
         (row.deadline_ms(priority), row.repeat)
     });
-    let allowed = read_deadline(headers)?.unwrap_or(Duration::from_millis(u64::from(default_ms)));
+    let timeout = read_timeout(headers)?.unwrap_or(Duration::from_millis(u64::from(default_ms)));
     Ok(RoutedRequest {
         dispatcher: dispatcher.clone(),
         team_name,
@@ -115,7 +116,7 @@
             priority,
             team: team.key,
             weight: team.weight,
-            deadline: Instant::now() + allowed,
+            deadline: Instant::now() + timeout,
         },
     })
 }
@@ -145,13 +146,13 @@
     }
 }
 
-fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, BoxedProblem> {
+fn read_timeout(headers: &HeaderMap) -> Result<Option<Duration>, BoxedProblem> {
     let Some(text) = text_header(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
-    let allowed = text.parse().map(Duration::from_millis).ok();
-    match allowed {
-        Some(allowed) if allowed <= MAX_TIMEOUT => Ok(Some(allowed)),
+    let timeout = text.parse().map(Duration::from_millis).ok();
+    match timeout {
+        Some(timeout) if timeout <= MAX_TIMEOUT => Ok(Some(timeout)),
         _ => Err(bad_header(DEADLINE_HEADER, "use 0 to 86400000")),
     }
 }
--- a/crates/hoisthitch-entry/src/traffic/serve.rs
+++ b/crates/hoisthitch-entry/src/traffic/serve.rs
@@ -113,7 +113,7 @@
         }
         Ok(ExchangeResult::Failure(failure)) => {
             count(failure.outcome);
-            Err(Box::new(failed(failure)))
+            Err(Box::new(failure_problem(failure)))
         }
         Err(_) => {
             count(RequestOutcome::Unknown);
@@ -194,7 +194,7 @@
     }
 }
 
-fn failed(failure: ExchangeFailure) -> ProblemResponse {
+fn failure_problem(failure: ExchangeFailure) -> ProblemResponse {
     let ExchangeFailure { outcome, fault } = failure;
     match outcome {
         RequestOutcome::NotRun => {
--- a/crates/hoisthitch-steward/src/actions.rs
+++ b/crates/hoisthitch-steward/src/actions.rs
@@ -107,7 +107,7 @@
 }
 
 impl<S: StoreClient> ActionExecutor<S> {
-    /// Creates an actor that writes through `records` and reboots through `lister`.
+    /// Creates an executor that writes through `records` and reboots through `lister`.
     pub fn new(
         records: RecordWriter<S>,
         lister: VmLister,
--- a/crates/hoisthitch-steward/src/process.rs
+++ b/crates/hoisthitch-steward/src/process.rs
@@ -86,7 +86,7 @@
 /// The lease that shows that this steward is alive.
 struct StewardLease {
     id: LeaseId,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 impl FleetSteward {
@@ -164,23 +164,23 @@
     /// Renews the lease that shows that this steward is alive, or creates it.
     async fn maintain_lease(&mut self) -> Result<(), StoreError> {
         if let Some(lease) = &mut self.lease {
-            if lease.renewed.elapsed() < LEASE_RENEWAL_INTERVAL {
+            if lease.renewed_at.elapsed() < LEASE_RENEWAL_INTERVAL {
                 return Ok(());
             }
-            let renewed = Instant::now();
+            let renewed_at = Instant::now();
             if self.store.keep_alive(lease.id).await? {
-                lease.renewed = renewed;
+                lease.renewed_at = renewed_at;
                 return Ok(());
             }
             self.lease = None;
         }
-        let renewed = Instant::now();
+        let renewed_at = Instant::now();
         let id = self.store.grant_lease(LEASE_TTL).await?;
         let key = self.keys.steward(&self.settings.name);
         let stored = self.store.read(&key).await?;
         let revision = stored.map_or(StoreRevision::default(), |stored| stored.revision);
         self.store.swap(&key, revision, b"", Some(id)).await?;
-        self.lease = Some(StewardLease { id, renewed });
+        self.lease = Some(StewardLease { id, renewed_at });
         Ok(())
     }
 }
