--- a/crates/hoisthitch-entry/src/control/follow.rs
+++ b/crates/hoisthitch-entry/src/control/follow.rs
@@ -1,4 +1,8 @@
-//! Following the platform: the store's records and the list of VMs.
+//! Follows the platform: the store's records and the list of VMs.
+//!
+//! Changes of the store are watched, and its revisions are read at intervals as
+//! well, since a watch can fail without an error. Everything that is read goes to
+//! the [`ViewKeeper`].
 
 use std::{
     cell::RefCell,
@@ -46,17 +50,17 @@
     state::SharedState, //
 };
 
-/// First wait after the store could not be followed.
+/// Shortest wait before the store is followed again after a failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 
-/// Longest wait after the store could not be followed.
+/// Longest wait before the store is followed again after a failure.
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Time between two readings of the table beside the watch, which may be dead
-/// without a sign.
-const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two readings of the store's revisions beside the watch, which may
+/// fail without an error.
+const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the store's records for ever.
+/// Follows the store's records; never returns.
 pub async fn follow_store<S: StoreClient>(
     store: S,
     keys: KeySpace,
@@ -84,7 +88,7 @@
     }
 }
 
-/// Follows the list of VMs for ever.
+/// Reads the list of VMs at intervals; never returns.
 pub async fn follow_vms(
     lister: VmLister,
     interval: Duration,
@@ -93,13 +97,16 @@
 ) {
     let mut known = String::new();
     loop {
-        let asked = shared.freshness.now();
+        let requested_at = shared.freshness.now();
         match lister.list_changes(&known).await {
-            Ok(VmListing::Unchanged) => keeper.do_send(ApplyListing { vms: None, asked }),
+            Ok(VmListing::Unchanged) => keeper.do_send(ApplyListing {
+                vms: None,
+                requested_at,
+            }),
             Ok(VmListing::Changed { vms, tag }) => {
                 known = tag;
                 let vms = Some(vms);
-                keeper.do_send(ApplyListing { vms, asked });
+                keeper.do_send(ApplyListing { vms, requested_at });
             }
             Err(err) => event!(Warn, "vms_not_listed", error = err),
         }
@@ -108,7 +115,7 @@
 }
 
 struct StoreFollower<S> {
-    /// Records as last read or heard of.
+    /// Records as last read or watched.
     known: RefCell<FollowedRecords>,
     store: S,
     keys: KeySpace,
@@ -117,39 +124,39 @@
 }
 
 impl<S: StoreClient> StoreFollower<S> {
-    /// Reads all records, then follows their changes until the watch fails.
+    /// Reads the records, then applies their changes until the watch ends.
     async fn follow(&self) -> Result<(), StoreError> {
         let highest = self.read_all().await?;
         let from = StoreRevision(highest.0 + 1);
         let mut watch = self.store.watch(&self.keys.records(), from).await?;
-        let mut check = Instant::now() + CHECK_INTERVAL;
+        let mut next_reading = Instant::now() + READ_INTERVAL;
         loop {
             tokio::select! {
                 change = watch.next() => match change {
                     Some(change) => self.apply_change(change?),
                     None => return Ok(()),
                 },
-                () = self.reading_due(check) => {
+                () = self.wait_for_reading(next_reading) => {
                     self.read_all().await?;
-                    check = Instant::now() + CHECK_INTERVAL;
+                    next_reading = Instant::now() + READ_INTERVAL;
                 }
             }
         }
     }
 
-    /// Waits until a reading is due, in turn or out of it.
-    async fn reading_due(&self, check: Instant) {
-        // Either end of the wait asks for the same reading.
-        let _ = tokio::time::timeout_at(check, self.shared.reread.notified()).await;
+    /// Waits until the next regular reading or a requested one.
+    async fn wait_for_reading(&self, next_reading: Instant) {
+        // Both a timeout and a notification lead to the same reading.
+        let _ = tokio::time::timeout_at(next_reading, self.shared.reread.notified()).await;
     }
 
-    /// Reads the records that changed, applies them, and has the store compared
-    /// with what is in force; answers with the highest revision read.
+    /// Reads and applies the records if any of them changed, and has the keeper
+    /// compare the store with what is in effect. Returns the highest revision.
     async fn read_all(&self) -> Result<StoreRevision, StoreError> {
-        let asked = self.shared.freshness.now();
+        let requested_at = self.shared.freshness.now();
         let root = self.keys.records();
         let revisions = self.store.read_revisions(&root).await?;
-        if !self.known.borrow().holds(&revisions) {
+        if !self.known.borrow().has_exactly(&revisions) {
             let stored = self.store.read_prefix(&root).await?;
             self.known.borrow_mut().clear();
             for stored in &stored {
@@ -161,7 +168,7 @@
             table: known.table(),
             halls: known.halls(),
             registered: self.shared.is_member(&known.entries()),
-            asked,
+            requested_at,
         });
         Ok(known.highest())
     }
@@ -172,7 +179,7 @@
         }
     }
 
-    /// Applies a record and notes what it holds.
+    /// Applies a record and remembers its content.
     fn apply(&self, stored: &StoredValue) {
         let content = self.apply_content(stored);
         self.known.borrow_mut().put(stored, content);
--- a/crates/hoisthitch-entry/src/control/keeper.rs
+++ b/crates/hoisthitch-entry/src/control/keeper.rs
@@ -1,4 +1,10 @@
-//! The view keeper: what this entry knows of the table and the fleet.
+//! View keeper: the actor that holds this entry's view of the table and the fleet.
+//!
+//! It receives records from the store, from operators' changes and from other
+//! entries, and the list of VMs from the platform. A record replaces the known one
+//! only if it is newer. The change is then sent to the other entries, and a new
+//! route table is built. If the store holds an older table or hall record than this
+//! entry, the table writer writes the newer one to it.
 
 use std::{
     collections::{
@@ -68,8 +74,8 @@
         },
         shares::{
             SlotShares,
-            pool_key,
-            rose, //
+            demand_rose,
+            pool_key, //
         },
         writer::{
             Reinstall,
@@ -82,14 +88,14 @@
 /// Time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two heartbeats while what this entry asks for rises.
-const RISING_INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two heartbeats while this entry's demand rises.
+const RISING_DEMAND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that another entry's word on a leaving VM holds against a list that
-/// still shows the VM as live.
-const TOLD_LIMIT: Duration = Duration::from_secs(300);
+/// Time for which another entry's notice that a VM is draining overrides a list
+/// that still shows the VM as live.
+const LEAVING_NOTICE_MAX_AGE: Duration = Duration::from_secs(300);
 
-/// Keeps the view and puts route tables in force.
+/// Holds the view and replaces the route table when the view changes.
 pub struct ViewKeeper {
     shared: Arc<SharedState>,
     builder: RouteBuilder,
@@ -97,12 +103,13 @@
     halls: BTreeMap<String, HallRecord>,
     rosters: BTreeMap<String, RosterRecord>,
     listed: Vec<ListedVm>,
-    /// VMs that other entries called leaving, and when.
-    told: BTreeMap<String, Instant>,
-    /// Moment on their clock of the last heartbeat of each other entry.
-    heard: BTreeMap<String, u64>,
+    /// VMs that are draining according to the list or another entry, and since when
+    /// this is known.
+    leaving_notices: BTreeMap<String, Instant>,
+    /// Send time of the last heartbeat of each other entry, on that entry's clock.
+    peer_sent_ms: BTreeMap<String, u64>,
     shares: SlotShares,
-    last_beat: Instant,
+    last_heartbeat: Instant,
     mesh: Option<Addr<MeshHub>>,
     writer: Option<Addr<TableWriter>>,
 }
@@ -117,10 +124,10 @@
             halls: BTreeMap::new(),
             rosters: BTreeMap::new(),
             listed: Vec::new(),
-            told: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            leaving_notices: BTreeMap::new(),
+            peer_sent_ms: BTreeMap::new(),
             shares: SlotShares::new(&settings.name, settings.share),
-            last_beat: Instant::now(),
+            last_heartbeat: Instant::now(),
             mesh: None,
             writer: None,
             shared,
@@ -141,11 +148,11 @@
         self.shared.routes.store(Arc::new(routes));
     }
 
-    /// VMs that the list or another entry calls leaving.
+    /// VMs that are draining according to the list or another entry.
     fn leaving(&self) -> BTreeSet<String> {
-        let told = self.told.keys().cloned();
+        let noticed = self.leaving_notices.keys().cloned();
         let listed = leaving_names(&self.listed);
-        told.chain(listed.map(str::to_owned)).collect()
+        noticed.chain(listed.map(str::to_owned)).collect()
     }
 
     fn send_all(&self, frame: MeshFrame) {
@@ -162,21 +169,22 @@
     }
 
     /// Sends a heartbeat if one is due.
-    fn beat_if_due(&mut self) {
-        let since = self.last_beat.elapsed();
+    fn send_heartbeat_if_due(&mut self) {
+        let since = self.last_heartbeat.elapsed();
         let demands = self.demands();
-        let rises = rose(self.shares.own(), &demands);
-        if since >= HEARTBEAT_INTERVAL || (rises && since >= RISING_INTERVAL) {
-            self.last_beat = Instant::now();
-            self.beat(demands);
+        let is_rising = demand_rose(self.shares.own_demands(), &demands);
+        if since >= HEARTBEAT_INTERVAL || (is_rising && since >= RISING_DEMAND_INTERVAL) {
+            self.last_heartbeat = Instant::now();
+            self.send_heartbeat(demands);
         }
     }
 
-    fn beat(&mut self, demands: Vec<PoolDemand>) {
-        self.shares.set_own(demands.clone());
-        self.shares.forget_silent();
-        self.heard.retain(|node, _| self.shares.hears(node));
-        self.forget_told();
+    fn send_heartbeat(&mut self, demands: Vec<PoolDemand>) {
+        self.shares.set_own_demands(demands.clone());
+        self.shares.remove_silent();
+        self.peer_sent_ms
+            .retain(|node, _| self.shares.has_peer(node));
+        self.expire_leaving_notices();
         self.builder.apply_shares(&self.shares);
         let halls = self.halls.values();
         let rosters = self.rosters.values();
@@ -190,20 +198,21 @@
                 .collect(),
             demands,
             sent_ms: self.shared.freshness.now().0,
-            echoes: self.heard.iter().map(to_echo).collect(),
+            echoes: self.peer_sent_ms.iter().map(to_echo).collect(),
         }));
     }
 
-    /// Lets the list of VMs overrule old words of other entries.
-    fn forget_told(&mut self) {
-        let before = self.told.len();
-        self.told.retain(|_, since| since.elapsed() < TOLD_LIMIT);
-        if self.told.len() < before {
+    /// Removes old notices of draining VMs, so that the list of VMs decides.
+    fn expire_leaving_notices(&mut self) {
+        let before = self.leaving_notices.len();
+        self.leaving_notices
+            .retain(|_, since| since.elapsed() < LEAVING_NOTICE_MAX_AGE);
+        if self.leaving_notices.len() < before {
             self.rebuild();
         }
     }
 
-    /// Slots that this entry asks for.
+    /// This entry's demand in each pool, in slots.
     fn demands(&self) -> Vec<PoolDemand> {
         let routes = self.shared.routes.load();
         let demand = |dispatcher: &Arc<crate::traffic::PoolDispatcher>| PoolDemand {
@@ -214,10 +223,11 @@
         demands.filter(|demand| demand.slots > 0).collect()
     }
 
-    /// Takes in what another entry holds, and asks for what is newer.
+    /// Compares another entry's versions with this entry's and requests what is
+    /// newer.
     ///
-    /// The view counts as confirmed only by an entry that holds nothing newer.
-    fn hear_heartbeat(&mut self, node: &str, heartbeat: Heartbeat) {
+    /// The view is confirmed only if the other entry has nothing newer.
+    fn apply_heartbeat(&mut self, node: &str, heartbeat: Heartbeat) {
         let mut newer = false;
         if heartbeat.table > self.table.revision {
             newer = true;
@@ -235,10 +245,10 @@
                 self.send_to(node, MeshFrame::AskRoster(theirs.hall));
             }
         }
-        if self.shares.hear(node, heartbeat.demands) {
+        if self.shares.record_demands(node, heartbeat.demands) {
             self.builder.apply_shares(&self.shares);
         }
-        self.heard.insert(node.to_owned(), heartbeat.sent_ms);
+        self.peer_sent_ms.insert(node.to_owned(), heartbeat.sent_ms);
         let own = hash_node(&self.shared.settings.name);
         let echo = heartbeat.echoes.iter().find(|echo| echo.node == own);
         if let Some(echo) = echo
@@ -256,7 +266,7 @@
         self.rosters.get(hall).map_or(0, |record| record.version)
     }
 
-    fn put_table(&mut self, table: PolicyTable, source: &'static str) {
+    fn apply_table(&mut self, table: PolicyTable, source: &'static str) {
         if table.revision <= self.table.revision {
             return;
         }
@@ -283,7 +293,7 @@
         self.send_all(MeshFrame::Delta(Box::new(delta)));
     }
 
-    fn put_hall(&mut self, record: HallRecord) {
+    fn apply_hall(&mut self, record: HallRecord) {
         if record.version <= self.hall_version(&record.hall) {
             return;
         }
@@ -301,7 +311,7 @@
         self.rebuild();
     }
 
-    fn put_roster(&mut self, record: RosterRecord) {
+    fn apply_roster(&mut self, record: RosterRecord) {
         if record.version <= self.roster_version(&record.hall) {
             return;
         }
@@ -327,12 +337,13 @@
         }
     }
 
-    fn put_leaving(&mut self, notice: LeavingNotice, source: &str) {
-        if self.told.contains_key(&notice.vm) {
+    fn apply_leaving(&mut self, notice: LeavingNotice, source: &str) {
+        if self.leaving_notices.contains_key(&notice.vm) {
             return;
         }
         event!(Info, "vm_leaving", vm = notice.vm, source = source);
-        self.told.insert(notice.vm.clone(), Instant::now());
+        self.leaving_notices
+            .insert(notice.vm.clone(), Instant::now());
         self.send_all(MeshFrame::Leaving(notice));
         self.rebuild();
     }
@@ -350,12 +361,12 @@
         }
     }
 
-    fn hear(&mut self, node: &str, frame: MeshFrame) {
+    fn apply_frame(&mut self, node: &str, frame: MeshFrame) {
         match frame {
             MeshFrame::Hello { .. } => {}
-            MeshFrame::Heartbeat(heartbeat) => self.hear_heartbeat(node, heartbeat),
-            MeshFrame::Delta(delta) => match delta.applied(&self.table) {
-                Some(table) => self.put_table(table, "peer"),
+            MeshFrame::Heartbeat(heartbeat) => self.apply_heartbeat(node, heartbeat),
+            MeshFrame::Delta(delta) => match delta.apply_to(&self.table) {
+                Some(table) => self.apply_table(table, "peer"),
                 None if delta.revision > self.table.revision => {
                     self.send_to(node, MeshFrame::AskTable);
                 }
@@ -364,7 +375,7 @@
             MeshFrame::AskTable => {
                 self.send_to(node, MeshFrame::Table(Box::new(self.table.clone())));
             }
-            MeshFrame::Table(table) => self.put_table(*table, "peer"),
+            MeshFrame::Table(table) => self.apply_table(*table, "peer"),
             MeshFrame::AskHall(hall) => {
                 if let Some(record) = self.halls.get(&hall) {
                     self.send_to(node, MeshFrame::Hall(Box::new(record.clone())));
@@ -372,27 +383,27 @@
             }
             MeshFrame::HallDelta(delta) => {
                 let known = self.halls.get(&delta.hall);
-                match known.and_then(|known| delta.applied(known)) {
-                    Some(record) => self.put_hall(record),
+                match known.and_then(|known| delta.apply_to(known)) {
+                    Some(record) => self.apply_hall(record),
                     None if delta.version > self.hall_version(&delta.hall) => {
                         self.send_to(node, MeshFrame::AskHall(delta.hall));
                     }
                     None => {}
                 }
             }
-            MeshFrame::Hall(record) => self.put_hall(*record),
+            MeshFrame::Hall(record) => self.apply_hall(*record),
             MeshFrame::AskRoster(hall) => {
                 if let Some(record) = self.rosters.get(&hall) {
                     self.send_to(node, MeshFrame::Roster(Box::new(record.clone())));
                 }
             }
-            MeshFrame::Roster(record) => self.put_roster(*record),
-            MeshFrame::Leaving(notice) => self.put_leaving(notice, "peer"),
+            MeshFrame::Roster(record) => self.apply_roster(*record),
+            MeshFrame::Leaving(notice) => self.apply_leaving(notice, "peer"),
             MeshFrame::AskDrained { vm, hall } => {
                 let report = self.drain_report(vm, &hall);
                 self.send_to(node, MeshFrame::Drained(report));
             }
-            // Reports go to stewards, who ask for them.
+            // Drain reports are sent only to stewards, which request them.
             MeshFrame::Drained(_) => {}
         }
     }
@@ -402,7 +413,9 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Context<Self>) {
-        context.run_interval(RISING_INTERVAL, |keeper, _| keeper.beat_if_due());
+        context.run_interval(RISING_DEMAND_INTERVAL, |keeper, _| {
+            keeper.send_heartbeat_if_due();
+        });
     }
 }
 
@@ -419,7 +432,7 @@
     type Result = ();
 
     fn handle(&mut self, message: ApplyTable, _: &mut Context<Self>) {
-        self.put_table(message.table, message.source);
+        self.apply_table(message.table, message.source);
     }
 }
 
@@ -427,7 +440,7 @@
     type Result = ();
 
     fn handle(&mut self, message: ApplyHall, _: &mut Context<Self>) {
-        self.put_hall(message.record);
+        self.apply_hall(message.record);
     }
 }
 
@@ -435,7 +448,7 @@
     type Result = ();
 
     fn handle(&mut self, message: ApplyRoster, _: &mut Context<Self>) {
-        self.put_roster(message.record);
+        self.apply_roster(message.record);
     }
 }
 
@@ -444,26 +457,26 @@
 
     fn handle(&mut self, message: ApplyListing, _: &mut Context<Self>) {
         if let Some(vms) = message.vms {
-            self.put_listing(vms);
+            self.apply_listing(vms);
         }
-        if self.lists_self() {
-            self.shared.freshness.confirm(message.asked);
+        if self.is_listed() {
+            self.shared.freshness.confirm(message.requested_at);
         }
     }
 }
 
 impl ViewKeeper {
-    /// Whether the list shows this entry's VM.
+    /// Whether the list of VMs contains this entry's VM, or the entry has no mesh.
     ///
-    /// Only then does the list alone keep the view fresh: an entry that is not
-    /// listed may have been taken off the roster without knowing.
-    fn lists_self(&self) -> bool {
+    /// Only then does the list confirm the view: an entry that is not listed may
+    /// have been removed from the roster without knowing it.
+    fn is_listed(&self) -> bool {
         let own = &self.shared.settings.name;
         let listed = self.listed.iter().any(|listed| listed.vm == *own);
         listed || self.shared.settings.mesh.is_none()
     }
 
-    fn put_listing(&mut self, vms: Vec<ListedVm>) {
+    fn apply_listing(&mut self, vms: Vec<ListedVm>) {
         let old: BTreeSet<&str> = leaving_names(&self.listed).collect();
         let new = leaving_names(&vms);
         let fresh: Vec<String> = new
@@ -472,7 +485,7 @@
             .collect();
         self.listed = vms;
         for vm in fresh {
-            self.put_leaving(LeavingNotice { vm }, "list");
+            self.apply_leaving(LeavingNotice { vm }, "list");
         }
         self.rebuild();
     }
@@ -502,7 +515,7 @@
         if message.registered {
             self.shared.set_registered(true);
         }
-        self.shared.freshness.confirm(message.asked);
+        self.shared.freshness.confirm(message.requested_at);
     }
 }
 
@@ -510,7 +523,7 @@
     type Result = ();
 
     fn handle(&mut self, message: PeerFrame, _: &mut Context<Self>) {
-        self.hear(&message.node, message.frame);
+        self.apply_frame(&message.node, message.frame);
     }
 }
 
--- a/crates/hoisthitch-entry/src/control/shares.rs
+++ b/crates/hoisthitch-entry/src/control/shares.rs
@@ -1,4 +1,6 @@
 //! Shares of the pools' slots that this entry may use.
+//!
+//! The shares follow from the demands of all entries, received with heartbeats.
 
 use std::{
     collections::BTreeMap,
@@ -13,10 +15,10 @@
 use hoisthitch_wire::PoolDemand;
 use tokio::time::Instant;
 
-/// Silence after which an entry no longer counts in the shares.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
+/// Time without a heartbeat after which an entry no longer gets a share.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What entries ask for, and this entry's shares.
+/// Demands of the entries, and this entry's shares.
 pub struct SlotShares {
     policy: SharePolicy,
     own: String,
@@ -25,12 +27,12 @@
 }
 
 struct PeerDemands {
-    heard: Instant,
+    received_at: Instant,
     demands: Vec<PoolDemand>,
 }
 
 impl SlotShares {
-    /// Starts without other entries.
+    /// Creates the shares without other entries.
     pub fn new(own: &str, policy: SharePolicy) -> Self {
         Self {
             policy,
@@ -40,39 +42,44 @@
         }
     }
 
-    /// Notes what another entry asks for; answers whether that changed.
-    pub fn hear(&mut self, node: &str, demands: Vec<PoolDemand>) -> bool {
-        let heard = Instant::now();
+    /// Records another entry's demands; returns whether they changed.
+    pub fn record_demands(&mut self, node: &str, demands: Vec<PoolDemand>) -> bool {
+        let received_at = Instant::now();
         let known = self.peers.get(node);
         let changed = known.is_none_or(|known| known.demands != demands);
-        self.peers
-            .insert(node.to_owned(), PeerDemands { heard, demands });
+        self.peers.insert(
+            node.to_owned(),
+            PeerDemands {
+                received_at,
+                demands,
+            },
+        );
         changed
     }
 
-    /// Notes what this entry asks for.
-    pub fn set_own(&mut self, demands: Vec<PoolDemand>) {
+    /// Records this entry's demands.
+    pub fn set_own_demands(&mut self, demands: Vec<PoolDemand>) {
         self.own_demands = demands;
     }
 
-    /// What this entry asked for when it last told the others.
-    pub fn own(&self) -> &[PoolDemand] {
+    /// This entry's demands, as last sent to the other entries.
+    pub fn own_demands(&self) -> &[PoolDemand] {
         &self.own_demands
     }
 
-    /// Forgets silent entries.
-    pub fn forget_silent(&mut self) {
+    /// Removes entries without a recent heartbeat.
+    pub fn remove_silent(&mut self) {
         self.peers
-            .retain(|_, peer| peer.heard.elapsed() < SILENCE_LIMIT);
+            .retain(|_, peer| peer.received_at.elapsed() < HEARTBEAT_TIMEOUT);
     }
 
-    /// Whether another entry was heard from lately.
-    pub fn hears(&self, node: &str) -> bool {
+    /// Whether another entry counts in the shares.
+    pub fn has_peer(&self, node: &str) -> bool {
         self.peers.contains_key(node)
     }
 
-    /// Share of the slots of a pool that has `slots` in all.
-    pub fn of(&self, pool: &str, slots: u32) -> EntryShare {
+    /// This entry's share of a pool with `slots` slots in total.
+    pub fn share_of(&self, pool: &str, slots: u32) -> EntryShare {
         let before = self.peers.range(..self.own.clone()).count();
         match self.policy {
             SharePolicy::Local => EntryShare::WHOLE,
@@ -81,7 +88,7 @@
         }
     }
 
-    /// What the entries ask for, in the order of their names.
+    /// Demands of all entries in a pool, in the order of the entries' names.
     fn demands(&self, pool: &str) -> Vec<u32> {
         let key = pool_key(pool);
         let mut demands: BTreeMap<&str, u32> = self
@@ -96,7 +103,7 @@
 
 /// Key of a pool in heartbeats.
 pub fn pool_key(pool: &str) -> u32 {
-    // CAST: the low half of the hash serves as the key.
+    // CAST: the low half of the hash is the key.
     hash_name(pool) as u32
 }
 
@@ -105,8 +112,9 @@
     found.map_or(0, |demand| demand.slots)
 }
 
-/// Whether demands rose so much that the others should know at once.
-pub fn rose(old: &[PoolDemand], new: &[PoolDemand]) -> bool {
+/// Whether a demand rose by more than a quarter plus one slot, so that the other
+/// entries should receive it soon.
+pub fn demand_rose(old: &[PoolDemand], new: &[PoolDemand]) -> bool {
     new.iter()
         .any(|demand| demand.slots > demand_of(old, demand.pool) * 5 / 4 + 1)
 }
--- a/crates/hoisthitch-entry/src/operators/token.rs
+++ b/crates/hoisthitch-entry/src/operators/token.rs
@@ -1,4 +1,4 @@
-//! The token that operators' calls carry.
+//! Checks the bearer token of operators' calls.
 
 use actix_web::{
     Error,
@@ -20,19 +20,19 @@
 
 use crate::state::SharedState;
 
-/// Paths that the balancer and the metrics collector read without a token.
+/// Paths that the load balancer and the metrics collector read without a token.
 const OPEN_PATHS: [&str; 2] = ["/ready", "/metrics"];
 
-/// Lets calls pass that carry the token.
+/// Refuses calls without the token.
 ///
 /// # Errors
 ///
-/// Fails as the handlers behind it do.
+/// Fails if the next handler fails.
 pub async fn require_token<B: MessageBody + 'static>(
     request: ServiceRequest,
     next: Next<B>,
 ) -> Result<ServiceResponse<EitherBody<B, BoxBody>>, Error> {
-    if OPEN_PATHS.contains(&request.path()) || carries_token(&request) {
+    if OPEN_PATHS.contains(&request.path()) || has_token(&request) {
         let response = next.call(request).await?;
         return Ok(response.map_into_left_body());
     }
@@ -41,19 +41,19 @@
     Ok(request.into_response(response).map_into_right_body())
 }
 
-fn carries_token(request: &ServiceRequest) -> bool {
+fn has_token(request: &ServiceRequest) -> bool {
     let Some(shared) = request.app_data::<web::Data<SharedState>>() else {
         return false;
     };
     let Some(value) = request.headers().get(header::AUTHORIZATION) else {
         return false;
     };
-    let wanted = format!("Bearer {}", shared.settings.operators.token);
-    same_bytes(value.as_bytes(), wanted.as_bytes())
+    let expected = format!("Bearer {}", shared.settings.operators.token);
+    equal_in_constant_time(value.as_bytes(), expected.as_bytes())
 }
 
-/// Compares in a time that does not depend on where the bytes differ.
-fn same_bytes(left: &[u8], right: &[u8]) -> bool {
+/// Compares in constant time for inputs of the same length.
+fn equal_in_constant_time(left: &[u8], right: &[u8]) -> bool {
     let differing = left
         .iter()
         .zip(right)
--- a/crates/hoisthitch-entry/src/process.rs
+++ b/crates/hoisthitch-entry/src/process.rs
@@ -1,4 +1,7 @@
-//! The entry's process: starts its parts and stops them in order.
+//! Process of the entry: starts its actors and servers, and stops them in order.
+//!
+//! On a stop signal the entry first becomes unready, then refuses new connections
+//! and finishes the requests in flight, and last removes itself from the roster.
 
 use std::{
     rc::Rc,
@@ -62,26 +65,26 @@
     traffic::serve_request, //
 };
 
-/// Time between two looks for slots that have come free by themselves.
+/// Time between two checks for slots that became free without an event.
 const GRANT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When a caller that a stopping entry refuses may come back.
-const STOP_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` of requests that a stopping entry refuses.
+const STOP_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time that an idle connection of a caller is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
+/// Idle timeout of callers' connections.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time that a caller has for a request's head.
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of reading a request's head.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Most connections of callers to one traffic thread.
-const CONNECTION_LIMIT: usize = 25_000;
+/// Most connections of callers for each traffic thread.
+const MAX_CONNECTIONS_PER_THREAD: usize = 25_000;
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until a stop signal.
 ///
 /// # Errors
 ///
-/// Fails when an address can't be listened on.
+/// Fails if an address can't be listened on, or the mesh keys can't be used.
 pub async fn run_entry(settings: EntrySettings) -> Result<()> {
     let platform = &settings.platform;
     let store = EtcdClient::new(&platform.store, platform.timeout);
@@ -112,7 +115,7 @@
     Ok(())
 }
 
-/// Actors of the control thread.
+/// Actors of the control thread, and the registration on the roster.
 struct ControlParts {
     keeper: Addr<ViewKeeper>,
     writer: Addr<TableWriter>,
@@ -167,14 +170,14 @@
     };
     let roster = RosterKeeper::new(shared, store.clone(), entry, keeper.clone());
     let roster = Rc::new(roster);
-    let kept = roster.clone();
+    let task_roster = roster.clone();
     let shared = shared.clone();
-    actix_web::rt::spawn(async move { kept.keep_registered(&shared).await });
+    actix_web::rt::spawn(async move { task_roster.keep_registered(&shared).await });
     Some(roster)
 }
 
-/// Grants slots that come free by themselves, such as those of runners whose
-/// ejection has lapsed.
+/// Grants slots that become free without an event, such as those of runners whose
+/// ejection has ended.
 async fn grant_free_slots(shared: Arc<SharedState>) {
     loop {
         tokio::time::sleep(GRANT_INTERVAL).await;
@@ -193,9 +196,9 @@
             .default_service(web::route().to(serve_request))
     })
     .workers(callers.threads)
-    .keep_alive(KEEP_ALIVE)
-    .client_request_timeout(HEAD_LIMIT)
-    .max_connections(CONNECTION_LIMIT)
+    .keep_alive(IDLE_TIMEOUT)
+    .client_request_timeout(REQUEST_HEAD_TIMEOUT)
+    .max_connections(MAX_CONNECTIONS_PER_THREAD)
     .shutdown_timeout(callers.stop_limit.as_secs())
     .disable_signals()
     .bind(callers.listen)
@@ -224,27 +227,28 @@
     Ok(server.run())
 }
 
-/// Waits for the signal to stop, then lets requests end.
+/// Waits for a stop signal, then stops the servers gracefully.
 ///
-/// Readiness goes first, so that the balancer sends new requests elsewhere. A
-/// second signal cuts the notice short and refuses what is still queued.
+/// The entry becomes unready at once, but listens on for the notice period, so that
+/// the load balancer sends new requests elsewhere. A second signal ends the notice
+/// period and refuses all queued requests.
 async fn stop_on_signal(shared: &Arc<SharedState>, handles: &[ServerHandle]) -> Result<()> {
     let mut stop = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    wait_for(&mut stop, &mut interrupt).await;
+    wait_for_signal(&mut stop, &mut interrupt).await;
     shared.begin_stop();
     let notice = shared.settings.callers.stop_notice;
     event!(Info, "stopping", notice_ms = notice.as_millis());
-    let hurried = tokio::select! {
+    let interrupted = tokio::select! {
         () = tokio::time::sleep(notice) => false,
-        () = wait_for(&mut stop, &mut interrupt) => true,
+        () = wait_for_signal(&mut stop, &mut interrupt) => true,
     };
-    if hurried {
+    if interrupted {
         refuse_queued(shared);
     }
     let shared = shared.clone();
     actix_web::rt::spawn(async move {
-        wait_for(&mut stop, &mut interrupt).await;
+        wait_for_signal(&mut stop, &mut interrupt).await;
         refuse_queued(&shared);
     });
     for handle in handles {
@@ -253,7 +257,7 @@
     Ok(())
 }
 
-async fn wait_for(stop: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(stop: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = stop.recv() => {}
         _ = interrupt.recv() => {}
@@ -265,7 +269,7 @@
     for dispatcher in shared.routes.load().dispatchers() {
         dispatcher.refuse_all(WorkRefusal {
             reason: RefusalReason::Stopping,
-            retry_after: STOP_RETRY,
+            retry_after: STOP_RETRY_AFTER,
         });
     }
 }
--- a/crates/hoisthitch-entry/src/traffic/body.rs
+++ b/crates/hoisthitch-entry/src/traffic/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests on their way to a runner.
+//! Request bodies, as sent to a runner.
 
 use std::{
     pin::Pin,
@@ -17,34 +17,35 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The caller's body ended before its end.
+/// The caller's body was truncated.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the caller's body was cut short")]
-pub struct BodyCut;
+pub struct BodyTruncated;
 
 /// Body of a request.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// The whole body; it can be sent again.
+    /// The whole body, in memory; it can be sent again.
     Whole(Bytes),
-    /// A long body that is passed on as it comes; it can be sent once.
+    /// A long body, streamed to the runner; it can be sent only once.
     Stream(BodyStream),
 }
 
-/// A body that is passed on as it comes.
+/// A body that is streamed.
 #[derive(Debug)]
 pub struct BodyStream {
-    /// Length, where the caller named it.
+    /// Content length in bytes, if the caller sent one.
     pub length: Option<u64>,
-    /// What was read ahead.
+    /// Part that was read before streaming began.
     pub first: Option<Bytes>,
-    /// The rest; bounded, so that a slow runner slows the caller.
-    pub rest: mpsc::Receiver<Result<Bytes, BodyCut>>,
+    /// The rest. The channel is bounded, so that a slow runner slows the caller
+    /// down (back pressure).
+    pub rest: mpsc::Receiver<Result<Bytes, BodyTruncated>>,
 }
 
 impl RequestBody {
-    /// A copy for another send, where one can be made.
-    pub fn again(&self) -> Option<Self> {
+    /// Copies the body for another attempt; none for a streamed body.
+    pub fn try_clone(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
             Self::Stream(_) => None,
@@ -54,12 +55,12 @@
 
 impl Body for RequestBody {
     type Data = Bytes;
-    type Error = BodyCut;
+    type Error = BodyTruncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
         match self.get_mut() {
             Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
@@ -85,7 +86,7 @@
     fn poll_frame(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
--- a/crates/hoisthitch-entry/src/traffic/claim.rs
+++ b/crates/hoisthitch-entry/src/traffic/claim.rs
@@ -1,4 +1,8 @@
-//! Claims of keyed requests: what an `Idempotency-Key` header asks for.
+//! Claims the idempotency keys of requests.
+//!
+//! A request that must not be repeated and has an `Idempotency-Key` header is sent
+//! only after its key was claimed in the store. Another request with the same key
+//! gets the stored response, or an error response while there is none.
 
 use std::time::Duration;
 
@@ -28,38 +32,39 @@
 use crate::{
     state::SharedState,
     traffic::{
-        answer::ProblemAnswer,
-        body::RequestBody, //
+        body::RequestBody,
+        problem::ProblemResponse, //
     }, //
 };
 
-/// Header that names a request for all its tries.
+/// Header with the key that all attempts of a request share.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Header of an answer that was kept from another try.
+/// Header that marks a response stored by an earlier attempt.
 const REPLAY_HEADER: &str = "hoisthitch-replayed";
 
-/// Longest key, in bytes.
-const KEY_LIMIT: usize = 128;
+/// Longest idempotency key.
+const KEY_MAX_BYTES: usize = 128;
 
-/// Longest time that a request waits for its claim.
-const CLAIM_WAIT: Duration = Duration::from_millis(500);
+/// Timeout of a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When a caller may come back after a claim could not be made.
+/// `Retry-After` of a request whose key could not be claimed.
 const CLAIM_RETRY: Duration = Duration::from_secs(1);
 
-/// Whose request a claim is for.
+/// Pool, team and deadline of the request whose key is claimed.
 pub struct ClaimScope<'a> {
     /// Pool that serves the request.
     pub pool: &'a str,
     /// Team that sent it.
     pub team: &'a str,
-    /// When the request is of no more use.
+    /// Time after which the caller no longer waits for the response.
     pub deadline: Instant,
 }
 
-/// The claim of a request that was not handed to a runner's exchange yet; the key
-/// is freed when it is dropped, be it because the caller hung up.
+/// Claim of a request that no exchange has taken over yet.
+///
+/// Dropping the guard frees the key, also when the caller disconnects.
 pub struct ClaimGuard {
     client: ClaimClient,
     ticket: Option<ClaimTicket>,
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Hands the claim on.
+    /// Takes the claim out of the guard, without freeing the key.
     pub fn into_ticket(mut self) -> Option<ClaimTicket> {
         self.ticket.take()
     }
@@ -87,25 +92,25 @@
     }
 }
 
-/// What a keyed request is to do.
+/// How a request proceeds after its key was claimed.
 pub enum ClaimResult {
-    /// Go on, with the claim if the request carries a key.
+    /// Send the request, with the claim if it has a key.
     Send(Option<ClaimGuard>),
-    /// Pass this answer on.
-    Answer(HttpResponse),
+    /// Return this stored response.
+    Response(HttpResponse),
 }
 
-/// Claims the key of a request that carries one.
+/// Claims the key of a request, if it has one.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that must not be sent.
+/// Fails with the response for a request that must not be sent.
 pub async fn claim_key(
     shared: &SharedState,
     request: &HttpRequest,
     body: &RequestBody,
     scope: ClaimScope<'_>,
-) -> Result<ClaimResult, Box<ProblemAnswer>> {
+) -> Result<ClaimResult, Box<ProblemResponse>> {
     let Some(key) = read_key(request)? else {
         return Ok(ClaimResult::Send(None));
     };
@@ -116,33 +121,38 @@
         fingerprint: fingerprint(request, body),
         answer: None,
     };
-    let deadline = scope.deadline.min(Instant::now() + CLAIM_WAIT);
+    let deadline = scope.deadline.min(Instant::now() + CLAIM_TIMEOUT);
     let key = keys.claim(scope.pool, scope.team, &key);
     let outcome = shared.claims.claim(key, record, deadline).await;
-    log_verdict(&scope, &outcome);
-    judge(&shared.claims, outcome)
+    log_outcome(&scope, &outcome);
+    resolve_outcome(&shared.claims, outcome)
 }
 
-fn judge(client: &ClaimClient, outcome: ClaimOutcome) -> Result<ClaimResult, Box<ProblemAnswer>> {
+fn resolve_outcome(
+    client: &ClaimClient,
+    outcome: ClaimOutcome,
+) -> Result<ClaimResult, Box<ProblemResponse>> {
     let problem = match outcome {
         ClaimOutcome::Granted(ticket) => {
             return Ok(ClaimResult::Send(Some(ClaimGuard::new(client, ticket))));
         }
-        ClaimOutcome::Answered(answer) => return Ok(ClaimResult::Answer(replay(answer))),
-        ClaimOutcome::InProgress => ProblemAnswer::new(
+        ClaimOutcome::Answered(answer) => {
+            return Ok(ClaimResult::Response(stored_response(answer)));
+        }
+        ClaimOutcome::InProgress => ProblemResponse::new(
             StatusCode::CONFLICT,
             RequestOutcome::Unknown,
             "in-progress",
             "another try under this key was sent and has no answer yet",
         )
         .retry_after(CLAIM_RETRY),
-        ClaimOutcome::Mismatch => ProblemAnswer::new(
+        ClaimOutcome::Mismatch => ProblemResponse::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             RequestOutcome::NotRun,
             "key-reused",
             "the key was used for another request",
         ),
-        ClaimOutcome::Unavailable => ProblemAnswer::unavailable(
+        ClaimOutcome::Unavailable => ProblemResponse::unavailable(
             "no-claim",
             "the key can't be claimed while the platform's store fails",
             CLAIM_RETRY,
@@ -151,10 +161,10 @@
     Err(Box::new(problem))
 }
 
-/// The answer that was kept from the try that ran.
-fn replay(answer: ClaimAnswer) -> HttpResponse {
+/// Builds the response that the attempt which ran has stored.
+fn stored_response(answer: ClaimAnswer) -> HttpResponse {
     let Some(body) = answer.body else {
-        let problem = ProblemAnswer::new(
+        let problem = ProblemResponse::new(
             StatusCode::CONFLICT,
             RequestOutcome::Ran,
             "answer-not-kept",
@@ -172,25 +182,26 @@
     builder.body(body.bytes)
 }
 
-fn read_key(request: &HttpRequest) -> Result<Option<String>, Box<ProblemAnswer>> {
+fn read_key(request: &HttpRequest) -> Result<Option<String>, Box<ProblemResponse>> {
     let Some(value) = request.headers().get(KEY_HEADER) else {
         return Ok(None);
     };
     let plain = |byte: &u8| byte.is_ascii_graphic() && *byte != b'/';
     let bytes = value.as_bytes();
-    let fits = !bytes.is_empty() && bytes.len() <= KEY_LIMIT;
+    let fits = !bytes.is_empty() && bytes.len() <= KEY_MAX_BYTES;
     match value.to_str() {
         Ok(text) if fits && bytes.iter().all(plain) => Ok(Some(text.to_owned())),
-        _ => Err(Box::new(ProblemAnswer::new(
+        _ => Err(Box::new(ProblemResponse::new(
             StatusCode::BAD_REQUEST,
             RequestOutcome::NotRun,
             "bad-header",
-            format!("header {KEY_HEADER}: use 1 to {KEY_LIMIT} visible characters without '/'"),
+            format!("header {KEY_HEADER}: use 1 to {KEY_MAX_BYTES} visible characters without '/'"),
         ))),
     }
 }
 
-/// Hash of the request; of a long body, the part that was read ahead.
+/// Hash of the method, the URI and the body; of a streamed body, only the part that
+/// was read before streaming began.
 fn fingerprint(request: &HttpRequest, body: &RequestBody) -> u64 {
     let mut bytes = format!("{} {}\n", request.method(), request.uri()).into_bytes();
     match body {
@@ -200,7 +211,7 @@
     hash_bytes(&bytes)
 }
 
-fn log_verdict(scope: &ClaimScope<'_>, outcome: &ClaimOutcome) {
+fn log_outcome(scope: &ClaimScope<'_>, outcome: &ClaimOutcome) {
     let outcome = match outcome {
         ClaimOutcome::Granted(_) => "granted",
         ClaimOutcome::InProgress => "in-progress",
--- a/crates/hoisthitch-entry/src/traffic/dispatcher.rs
+++ b/crates/hoisthitch-entry/src/traffic/dispatcher.rs
@@ -1,4 +1,7 @@
-//! The dispatcher of one pool: its scheduler, shared by the traffic threads.
+//! Dispatcher of one pool: its request scheduler, shared by the traffic threads.
+//!
+//! A request waits here for a slot on a runner, at most until its deadline. A slot
+//! and a part of a team's quota are released when their permits are dropped.
 
 use std::{
     net::SocketAddr,
@@ -35,40 +38,40 @@
     time::Instant, //
 };
 
-/// What a waiting request is told.
+/// Result for a waiting request.
 #[derive(Debug)]
 pub enum WorkNotice {
-    /// It has a slot.
+    /// It was granted a slot on this runner.
     Granted(RunnerKey),
-    /// It was given up on.
+    /// It was refused.
     Refused(WorkRefusal),
 }
 
-/// Handle of a waiting request in the queue.
+/// Sender in the queue that wakes a waiting request.
 pub type Waiter = oneshot::Sender<WorkNotice>;
 
 /// Dispatcher of one pool.
 pub struct PoolDispatcher {
     name: String,
     scheduler: Mutex<PoolScheduler<Waiter>>,
-    /// Most slots asked for at once since this was last read.
+    /// Highest demand in slots since it was last taken.
     peak_demand: AtomicU32,
 }
 
-/// What a request asks of a dispatcher.
+/// Parameters of a request for a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// Priority that the request is served at.
     pub priority: PaidPriority,
     /// Team that pays for it.
     pub team: TeamKey,
     /// Weight of the team.
     pub weight: u32,
-    /// When the request is of no more use.
+    /// Time after which the request must not be started.
     pub deadline: Instant,
 }
 
-/// A slot on a runner; given back when dropped.
+/// A slot on a runner; released when dropped.
 pub struct SlotPermit {
     dispatcher: Arc<PoolDispatcher>,
     runner: RunnerKey,
@@ -79,18 +82,18 @@
     priority: PaidPriority,
     started: Instant,
     healthy: Option<bool>,
-    /// Whether the scheduler counts the slot.
+    /// Whether the slot is counted by the scheduler; false when it was bypassed.
     counted: bool,
 }
 
-/// A request's place in its team's quota; given back when dropped.
-pub struct TeamHold {
+/// A request's part of its team's in-flight quota; released when dropped.
+pub struct TeamPermit {
     dispatcher: Arc<PoolDispatcher>,
     team: TeamKey,
 }
 
 impl PoolDispatcher {
-    /// Starts without runners.
+    /// Creates the dispatcher without runners.
     pub fn new(row: PoolRow) -> Self {
         let name = row.name.clone();
         let now = Instant::now().into_std();
@@ -106,47 +109,47 @@
         &self.name
     }
 
-    /// Changes the scheduler, then grants what has become free.
+    /// Changes the scheduler, then grants free slots to waiting requests.
     pub fn update(self: &Arc<Self>, change: impl FnOnce(&mut PoolScheduler<Waiter>)) {
         let mut scheduler = self.lock();
         change(&mut scheduler);
         grant_waiting(&mut scheduler);
     }
 
-    /// Looks at the scheduler.
-    pub fn inspect<A>(&self, look: impl FnOnce(&PoolScheduler<Waiter>) -> A) -> A {
-        look(&self.lock())
+    /// Reads from the scheduler.
+    pub fn inspect<A>(&self, read: impl FnOnce(&PoolScheduler<Waiter>) -> A) -> A {
+        read(&self.lock())
     }
 
     /// Waits for a slot.
     ///
     /// # Errors
     ///
-    /// Refused at once, or when another request takes its place in the queue,
-    /// or when no slot has come free by the deadline.
+    /// Fails if the request is refused on arrival, if another request evicts it
+    /// from the queue, or if no slot is granted by the deadline.
     pub async fn acquire(
         self: &Arc<Self>,
-        ask: SlotAsk,
-    ) -> Result<(SlotPermit, TeamHold), WorkRefusal> {
+        request: SlotRequest,
+    ) -> Result<(SlotPermit, TeamPermit), WorkRefusal> {
         let (sender, receiver) = oneshot::channel();
         let unit = WorkUnit {
             item: sender,
-            priority: ask.priority,
-            team: ask.team,
-            weight: ask.weight,
-            deadline: ask.deadline.into_std(),
+            priority: request.priority,
+            team: request.team,
+            weight: request.weight,
+            deadline: request.deadline.into_std(),
         };
         let admission = self.admit(unit)?;
-        let hold = TeamHold {
+        let team_permit = TeamPermit {
             dispatcher: self.clone(),
-            team: ask.team,
+            team: request.team,
         };
         let runner = match admission {
             WorkAdmission::Granted(runner) => runner,
             WorkAdmission::Queued { ticket, .. } => {
                 let mut place = QueuePlace {
                     dispatcher: self,
-                    ask,
+                    request,
                     ticket,
                     receiver,
                     settled: false,
@@ -154,30 +157,35 @@
                 place.wait().await?
             }
         };
-        Ok((self.permit(runner, ask.priority), hold))
+        Ok((self.permit(runner, request.priority), team_permit))
     }
 
-    /// Takes any runner in turn, without limits, queue or counts: what a bare
-    /// proxy would do, to measure what the decisions cost.
-    pub fn bypass(self: &Arc<Self>, ask: SlotAsk) -> Option<(SlotPermit, TeamHold)> {
+    /// Selects the runners in turn, without limits, queue or counts, as a plain
+    /// proxy would do. Used to measure the cost of scheduling.
+    pub fn bypass(self: &Arc<Self>, request: SlotRequest) -> Option<(SlotPermit, TeamPermit)> {
         let turn = self.peak_demand.fetch_add(1, Ordering::Relaxed) as usize;
         let runner = self.inspect(|scheduler| {
             let keys: Vec<RunnerKey> = scheduler.ledger().keys().collect();
             (!keys.is_empty()).then(|| keys[turn % keys.len()])
         })?;
-        let mut permit = self.permit(runner, ask.priority);
+        let mut permit = self.permit(runner, request.priority);
         permit.counted = false;
-        let hold = TeamHold {
+        let team_permit = TeamPermit {
             dispatcher: self.clone(),
-            team: ask.team,
+            team: request.team,
         };
-        Some((permit, hold))
+        Some((permit, team_permit))
     }
 
-    /// Takes a slot for a request whose send to `failed` came to nothing.
+    /// Takes a slot on another runner, after the attempt on `failed` got no
+    /// response.
     ///
-    /// A request that was sent spends retry budget; one that was not, none.
-    pub fn another(self: &Arc<Self>, failed: &SlotPermit, was_sent: bool) -> Option<SlotPermit> {
+    /// This uses retry budget only if the request was sent.
+    pub fn acquire_other(
+        self: &Arc<Self>,
+        failed: &SlotPermit,
+        was_sent: bool,
+    ) -> Option<SlotPermit> {
         let now = Instant::now().into_std();
         let priority = failed.priority;
         let mut scheduler = self.lock();
@@ -190,23 +198,23 @@
         Some(self.permit(runner, priority))
     }
 
-    /// Most slots that were asked for at once since the last call: requests
-    /// under way and waiting.
+    /// Highest demand since the last call, in slots: requests in flight and
+    /// waiting.
     pub fn take_peak_demand(&self) -> u32 {
         let now = self.inspect(demand);
         self.peak_demand.swap(now, Ordering::Relaxed).max(now)
     }
 
-    /// Requests that this entry has at a VM.
+    /// Number of requests that this entry has in flight at a VM.
     pub fn in_flight_at(&self, vm: &str) -> u32 {
         let count = |runner: &RunnerSlots| u32::from(*runner.vm == *vm) * runner.in_flight;
         self.inspect(|scheduler| scheduler.ledger().iter().map(count).sum())
     }
 
-    /// Refuses everything that waits, for a stop.
+    /// Refuses all waiting requests, since the entry stops.
     pub fn refuse_all(&self, refusal: WorkRefusal) {
         for unit in self.lock().drain_queue() {
-            // A waiter that is gone needs no notice.
+            // Sending fails if the request was cancelled; then nobody waits for it.
             let _ = unit.item.send(WorkNotice::Refused(refusal));
         }
     }
@@ -260,7 +268,7 @@
     }
 }
 
-/// Slots asked for: requests under way and waiting.
+/// Demand in slots: requests in flight and waiting.
 fn demand(scheduler: &PoolScheduler<Waiter>) -> u32 {
     let queued = u32::try_from(scheduler.queue().len()).unwrap_or(u32::MAX);
     scheduler.ledger().in_flight().saturating_add(queued)
@@ -274,19 +282,19 @@
             WorkGrant::Granted(unit, runner) => {
                 let priority = unit.priority;
                 if unit.item.send(WorkNotice::Granted(runner)).is_err() {
-                    scheduler.finish(unused(runner, priority), now);
+                    scheduler.finish(unused_result(runner, priority), now);
                 }
             }
             WorkGrant::Refused(unit, refusal) => {
-                // A waiter that is gone needs no notice.
+                // Sending fails if the request was cancelled; then nobody waits for it.
                 let _ = unit.item.send(WorkNotice::Refused(refusal));
             }
         }
     }
 }
 
-/// Result of a slot that was granted and not used.
-fn unused(runner: RunnerKey, priority: PaidPriority) -> WorkResult {
+/// Result to report for a slot that was granted and not used.
+fn unused_result(runner: RunnerKey, priority: PaidPriority) -> WorkResult {
     WorkResult {
         runner,
         priority,
@@ -295,10 +303,10 @@
     }
 }
 
-/// A place in the queue, given up when dropped.
+/// A request's place in the queue; cancelled when dropped.
 struct QueuePlace<'a> {
     dispatcher: &'a Arc<PoolDispatcher>,
-    ask: SlotAsk,
+    request: SlotRequest,
     ticket: WorkTicket,
     receiver: oneshot::Receiver<WorkNotice>,
     settled: bool,
@@ -306,7 +314,7 @@
 
 impl QueuePlace<'_> {
     async fn wait(&mut self) -> Result<RunnerKey, WorkRefusal> {
-        let notice = tokio::time::timeout_at(self.ask.deadline, &mut self.receiver).await;
+        let notice = tokio::time::timeout_at(self.request.deadline, &mut self.receiver).await;
         match notice {
             Ok(Ok(WorkNotice::Granted(runner))) => {
                 self.settled = true;
@@ -324,7 +332,7 @@
     }
 
     fn expected_wait(&self) -> Duration {
-        let priority = self.ask.priority;
+        let priority = self.request.priority;
         self.dispatcher
             .inspect(|scheduler| scheduler.expected_wait(priority))
     }
@@ -335,20 +343,21 @@
         if self.settled {
             return;
         }
-        let ask = self.ask;
-        let deadline = ask.deadline.into_std();
+        let request = self.request;
+        let deadline = request.deadline.into_std();
         self.dispatcher
             .lock()
-            .cancel(self.ticket, ask.priority, ask.team, deadline);
-        // A grant that crossed with the cancellation goes back.
+            .cancel(self.ticket, request.priority, request.team, deadline);
+        // The slot may have been granted just before the cancellation.
         if let Ok(WorkNotice::Granted(runner)) = self.receiver.try_recv() {
-            self.dispatcher.finish(unused(runner, ask.priority));
+            self.dispatcher
+                .finish(unused_result(runner, request.priority));
         }
     }
 }
 
 impl SlotPermit {
-    /// Notes whether the runner did well.
+    /// Records whether the runner handled the request well, for outlier ejection.
     pub fn set_healthy(&mut self, healthy: bool) {
         self.healthy = Some(healthy);
     }
@@ -368,7 +377,7 @@
     }
 }
 
-impl Drop for TeamHold {
+impl Drop for TeamPermit {
     fn drop(&mut self) {
         self.dispatcher.lock().finish_admitted(self.team);
     }
--- a/crates/hoisthitch-entry/src/traffic/exchange.rs
+++ b/crates/hoisthitch-entry/src/traffic/exchange.rs
@@ -1,8 +1,8 @@
-//! The exchange: sends a request to a runner, to another one if it may, and
-//! passes the answer on.
+//! Sends a request to a runner, retries on another runner where that is allowed,
+//! and returns the response.
 //!
-//! The exchange runs in a task of its own. A send that may not be repeated goes
-//! on to its end whatever the caller does.
+//! An exchange runs in a task of its own and is not cancelled when the caller
+//! disconnects: a request that must not be repeated is followed to its end.
 
 use std::{
     sync::Arc,
@@ -55,38 +55,38 @@
         dispatcher::{
             PoolDispatcher,
             SlotPermit,
-            TeamHold, //
+            TeamPermit, //
         },
         hop::{
             HopError,
             send_request, //
         },
         result::{
-            AnswerBody,
-            AnswerCut,
             ExchangeFailure,
             ExchangeResult,
-            RunnerAnswer, //
+            ResponseBody,
+            ResponseTruncated,
+            RunnerResponse, //
         }, //
     }, //
 };
 
-/// An answer up to this length is read whole before the caller sees any of it.
-const WHOLE_LIMIT: usize = 64 << 10;
+/// Longest response body that is read whole before it is forwarded.
+const WHOLE_BODY_MAX_BYTES: usize = 64 << 10;
 
-/// An answer up to this length is kept with the claim of its request.
-const KEPT_LIMIT: usize = 2 << 10;
+/// Longest response body that is stored with the claim of its request.
+const STORED_BODY_MAX_BYTES: usize = 2 << 10;
 
-/// Pieces of a long answer that may wait for the caller.
-const STREAM_PIECES: usize = 4;
+/// Chunks of a streamed response that may wait for the caller.
+const STREAM_CHUNKS: usize = 4;
 
-/// Longest time after its deadline that a request's answer is waited for.
+/// How long after the request's deadline the runner's response is still awaited.
 const ABANDON_LIMIT: Duration = Duration::from_secs(60);
 
-/// Times that a request which was not sent is given to another runner.
-const REASSIGN_LIMIT: usize = 3;
+/// How often a request that was not sent is reassigned to another runner.
+const MAX_REASSIGNMENTS: usize = 3;
 
-/// A request on its way.
+/// A request that has a slot, with all that is needed to send it.
 pub struct RequestExchange {
     /// State of the process.
     pub shared: Arc<SharedState>,
@@ -102,57 +102,58 @@
     pub body: RequestBody,
     /// Whether the request may be sent again.
     pub repeatable: bool,
-    /// When the request is of no more use.
+    /// Time at which the caller gets an error response.
     pub deadline: Instant,
-    /// The request's place in its team's quota.
-    pub hold: TeamHold,
+    /// The request's part of its team's quota, held until the exchange ends.
+    pub team_permit: TeamPermit,
     /// Claim of the request's idempotency key.
     pub claim: Option<ClaimTicket>,
 }
 
-/// What came of one attempt.
+/// Why one attempt failed.
 enum AttemptError {
     Hop(HopError),
-    /// The head came, and the body was cut short before any of it was passed on.
-    Cut {
+    /// The head was received, and the body was truncated before any of it was
+    /// forwarded.
+    Truncated {
         status: u16,
         fault: String,
     },
 }
 
 impl RequestExchange {
-    /// Runs to the end and reports through `reply`.
+    /// Runs the exchange and sends its result to `reply`.
     ///
-    /// At the deadline the caller gets its answer; the exchange goes on, since
-    /// the runner's slot stays taken, until the runner answers or the longest
-    /// time for that is over.
+    /// At the deadline a failure is sent to `reply`. The exchange then continues
+    /// until the runner responds or [`ABANDON_LIMIT`] is over, since the request
+    /// still occupies the runner's slot.
     pub async fn run(mut self, permit: SlotPermit, reply: oneshot::Sender<ExchangeResult>) {
-        let mut reply = ReplySlot(Some(reply));
+        let mut reply = ReplySender(Some(reply));
         let mut permit = permit;
         let mut reassigned = 0;
         loop {
-            let again = self.body.again();
-            let err = match self.attempt_until_late(&mut permit, &mut reply).await {
-                Ok(answer) => return self.pass_on(answer, permit, reply).await,
+            let copy = self.body.try_clone();
+            let err = match self.attempt_until_deadline(&mut permit, &mut reply).await {
+                Ok(response) => return self.forward(response, permit, reply).await,
                 Err(err) => err,
             };
             permit.set_healthy(false);
             let was_sent = !matches!(err, AttemptError::Hop(HopError::Unsent(_)));
-            let allowed = if was_sent {
+            let may_retry = if was_sent {
                 self.repeatable
             } else {
                 reassigned += 1;
-                reassigned <= REASSIGN_LIMIT
+                reassigned <= MAX_REASSIGNMENTS
             };
-            let next = match again {
-                Some(body) if allowed && Instant::now() < self.deadline => {
+            let next = match copy {
+                Some(body) if may_retry && Instant::now() < self.deadline => {
                     self.body = body;
-                    self.dispatcher.another(&permit, was_sent)
+                    self.dispatcher.acquire_other(&permit, was_sent)
                 }
                 _ => None,
             };
             let Some(next) = next else {
-                self.end_unanswered(&err);
+                self.end_claim_unanswered(&err);
                 reply.send(ExchangeResult::Failure(err.into_failure()));
                 return;
             };
@@ -161,28 +162,29 @@
         }
     }
 
-    /// Attempts to send; tells the caller when the deadline passes meanwhile.
-    async fn attempt_until_late(
+    /// Makes one attempt; replies with a failure if the deadline passes meanwhile.
+    async fn attempt_until_deadline(
         &mut self,
         permit: &mut SlotPermit,
-        reply: &mut ReplySlot,
-    ) -> Result<(Parts, Received), AttemptError> {
+        reply: &mut ReplySender,
+    ) -> Result<(Parts, ReceivedBody), AttemptError> {
         let deadline = self.deadline;
         let limit = deadline.max(Instant::now()) + ABANDON_LIMIT;
         let mut attempt = std::pin::pin!(self.attempt(permit));
         if let Ok(result) = tokio::time::timeout_at(deadline, &mut attempt).await {
             return result;
         }
-        let late = || AttemptError::Hop(HopError::Sent("the deadline passed".to_owned()));
-        reply.send(ExchangeResult::Failure(late().into_failure()));
+        let deadline_passed =
+            || AttemptError::Hop(HopError::Sent("the deadline passed".to_owned()));
+        reply.send(ExchangeResult::Failure(deadline_passed().into_failure()));
         let rest = tokio::time::timeout_at(limit, attempt).await;
-        rest.unwrap_or_else(|_| Err(late()))
+        rest.unwrap_or_else(|_| Err(deadline_passed()))
     }
 
     async fn attempt(
         &mut self,
         permit: &mut SlotPermit,
-    ) -> Result<(Parts, Received), AttemptError> {
+    ) -> Result<(Parts, ReceivedBody), AttemptError> {
         let body = std::mem::replace(&mut self.body, RequestBody::Whole(Bytes::new()));
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -199,19 +201,19 @@
         self.receive(response).await
     }
 
-    /// Reads the answer as far as it is passed on in one piece.
+    /// Reads a short response whole, or the first part of one that is streamed.
     async fn receive(
         &self,
         response: Response<Incoming>,
-    ) -> Result<(Parts, Received), AttemptError> {
+    ) -> Result<(Parts, ReceivedBody), AttemptError> {
         let (head, mut body) = response.into_parts();
         if self.method == Method::HEAD {
-            let length = named_length(&head);
-            return Ok((head, Received::Head { length }));
+            let length = content_length(&head);
+            return Ok((head, ReceivedBody::Head { length }));
         }
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > WHOLE_LIMIT as u64) {
-            let received = Received::Part {
+        if length.is_some_and(|length| length > WHOLE_BODY_MAX_BYTES as u64) {
+            let received = ReceivedBody::Part {
                 length,
                 first: Bytes::new(),
                 rest: body,
@@ -219,10 +221,10 @@
             return Ok((head, received));
         }
         let mut whole = BytesMut::new();
-        while whole.len() <= WHOLE_LIMIT {
+        while whole.len() <= WHOLE_BODY_MAX_BYTES {
             match body.frame().await {
-                None => return Ok((head, Received::Whole(whole.freeze()))),
-                Some(Err(err)) => return Err(cut(&head, &err.to_string())),
+                None => return Ok((head, ReceivedBody::Whole(whole.freeze()))),
+                Some(Err(err)) => return Err(truncated(&head, &err.to_string())),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         whole.extend_from_slice(&data);
@@ -230,7 +232,7 @@
                 }
             }
         }
-        let received = Received::Part {
+        let received = ReceivedBody::Part {
             length,
             first: whole.freeze(),
             rest: body,
@@ -238,45 +240,45 @@
         Ok((head, received))
     }
 
-    async fn pass_on(
+    async fn forward(
         mut self,
-        (head, received): (Parts, Received),
+        (head, received): (Parts, ReceivedBody),
         permit: SlotPermit,
-        mut reply: ReplySlot,
+        mut reply: ReplySender,
     ) {
-        self.end_answered(&head, &received);
+        self.end_claim_answered(&head, &received);
         let (body, rest) = match received {
-            Received::Whole(bytes) => (AnswerBody::Whole(bytes), None),
-            Received::Head { length } => (AnswerBody::Head { length }, None),
-            Received::Part {
+            ReceivedBody::Whole(bytes) => (ResponseBody::Whole(bytes), None),
+            ReceivedBody::Head { length } => (ResponseBody::Head { length }, None),
+            ReceivedBody::Part {
                 length,
                 first,
                 rest,
             } => {
-                let (sender, pieces) = mpsc::channel(STREAM_PIECES);
+                let (sender, chunks) = mpsc::channel(STREAM_CHUNKS);
                 (
-                    AnswerBody::Stream { length, pieces },
+                    ResponseBody::Stream { length, chunks },
                     Some((first, rest, sender)),
                 )
             }
         };
-        let answer = RunnerAnswer { head, body };
-        let taken = reply.send(ExchangeResult::Answer(Box::new(answer)));
-        if let (true, Some((first, rest, sender))) = (taken, rest) {
+        let response = RunnerResponse { head, body };
+        let sent = reply.send(ExchangeResult::Response(Box::new(response)));
+        if let (true, Some((first, rest, sender))) = (sent, rest) {
             stream_body(first, rest, sender).await;
         }
         drop(permit);
-        drop(self.hold);
+        drop(self.team_permit);
     }
 
-    /// Ends the claim of a request that got no answer to pass on.
+    /// Resolves the claim of a request without a response to forward.
     ///
-    /// A request whose outcome is unknown keeps its key until the lease lapses.
-    fn end_unanswered(&mut self, err: &AttemptError) {
+    /// If the outcome is unknown, the key stays claimed until its lease expires.
+    fn end_claim_unanswered(&mut self, err: &AttemptError) {
         let end = match err {
             AttemptError::Hop(HopError::Sent(_)) => return,
             AttemptError::Hop(HopError::Unsent(_)) => ClaimResolution::NotRun,
-            AttemptError::Cut { status, .. } => ClaimResolution::Ran(ClaimAnswer {
+            AttemptError::Truncated { status, .. } => ClaimResolution::Ran(ClaimAnswer {
                 status: *status,
                 content_type: String::new(),
                 body: None,
@@ -287,15 +289,15 @@
         }
     }
 
-    /// Ends the claim of a request that ran, and keeps a short answer with it.
-    fn end_answered(&mut self, head: &Parts, body: &Received) {
+    /// Resolves the claim of a request that ran, and stores a short response with it.
+    fn end_claim_answered(&mut self, head: &Parts, body: &ReceivedBody) {
         let Some(ticket) = self.claim.take() else {
             return;
         };
         let content_type = head.headers.get(CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
         let body = match body {
-            Received::Whole(bytes) if bytes.len() <= KEPT_LIMIT => Some(ClaimBody {
+            ReceivedBody::Whole(bytes) if bytes.len() <= STORED_BODY_MAX_BYTES => Some(ClaimBody {
                 bytes: bytes.to_vec(),
             }),
             _ => None,
@@ -321,20 +323,20 @@
     }
 }
 
-/// Where the caller's one answer goes.
-struct ReplySlot(Option<oneshot::Sender<ExchangeResult>>);
+/// Channel for the result of the exchange, of which the caller gets only one.
+struct ReplySender(Option<oneshot::Sender<ExchangeResult>>);
 
-impl ReplySlot {
-    /// Gives the caller its answer; answers whether it was taken. A caller that
-    /// has its answer, or hung up, gets none.
+impl ReplySender {
+    /// Sends the result, unless one was sent already or the caller disconnected.
+    /// Returns whether it was sent.
     fn send(&mut self, result: ExchangeResult) -> bool {
         let reply = self.0.take();
         reply.is_some_and(|reply| reply.send(result).is_ok())
     }
 }
 
-/// What was read of an answer.
-enum Received {
+/// Body of a response, as far as it was read.
+enum ReceivedBody {
     Whole(Bytes),
     Head {
         length: Option<u64>,
@@ -346,14 +348,14 @@
     },
 }
 
-fn cut(head: &Parts, fault: &str) -> AttemptError {
-    AttemptError::Cut {
+fn truncated(head: &Parts, fault: &str) -> AttemptError {
+    AttemptError::Truncated {
         status: head.status.as_u16(),
         fault: fault.to_owned(),
     }
 }
 
-fn named_length(head: &Parts) -> Option<u64> {
+fn content_length(head: &Parts) -> Option<u64> {
     head.headers
         .get(CONTENT_LENGTH)?
         .to_str()
@@ -362,25 +364,25 @@
         .ok()
 }
 
-/// Passes a long body on until it ends, is cut, or the caller hangs up.
+/// Streams a body until it ends or is truncated, or the caller disconnects.
 async fn stream_body(
     first: Bytes,
     mut rest: Incoming,
-    sender: mpsc::Sender<Result<Bytes, AnswerCut>>,
+    sender: mpsc::Sender<Result<Bytes, ResponseTruncated>>,
 ) {
     if !first.is_empty() && sender.send(Ok(first)).await.is_err() {
         return;
     }
     while let Some(frame) = rest.frame().await {
-        let piece = match frame {
+        let chunk = match frame {
             Ok(frame) => frame.into_data().ok(),
             Err(_) => {
-                let _ = sender.send(Err(AnswerCut)).await;
+                let _ = sender.send(Err(ResponseTruncated)).await;
                 return;
             }
         };
-        if let Some(piece) = piece
-            && sender.send(Ok(piece)).await.is_err()
+        if let Some(chunk) = chunk
+            && sender.send(Ok(chunk)).await.is_err()
         {
             return;
         }
@@ -398,7 +400,7 @@
                 outcome: RequestOutcome::Unknown,
                 fault,
             },
-            Self::Cut { fault, .. } => ExchangeFailure {
+            Self::Truncated { fault, .. } => ExchangeFailure {
                 outcome: RequestOutcome::Ran,
                 fault: format!("the answer was cut short: {fault}"),
             },
--- a/crates/hoisthitch-entry/src/traffic/hop.rs
+++ b/crates/hoisthitch-entry/src/traffic/hop.rs
@@ -1,12 +1,13 @@
-//! The hop to a runner: one connection carries one exchange at a time.
+//! HTTP/1.1 connections to runners; each carries a single exchange.
 //!
-//! `hyper`'s connection API is used here, not `awc`: it reports bodies that are
-//! cut short, and hands a request back that was not sent (see
-//! `docs/design/upstream-hop.md`). A connection is used for a single exchange:
-//! in HTTP/1.1 nothing tells a late second answer from the answer to the next
-//! request, so a connection that is used again could hand a caller the answer
-//! to another's request. So that no request waits for its connection, the next
-//! one is opened ahead.
+//! `hyper`'s connection API is used instead of `awc`, since it reports truncated
+//! bodies and returns a request that was not sent (see
+//! `docs/design/upstream-hop.md`).
+//!
+//! Connections are not reused. In HTTP/1.1 nothing distinguishes a late second
+//! response from the response to the next request, so a reused connection could
+//! give a caller the response to another caller's request. To save requests the
+//! wait for a connection, the next one is opened in advance.
 
 use std::{
     cell::RefCell,
@@ -30,21 +31,21 @@
 
 use crate::traffic::body::RequestBody;
 
-/// Longest time that connecting to a runner may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of connecting to a runner.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connections of one thread to one runner that are opened ahead.
-const SPARE_LIMIT: usize = 1;
+/// Spare connections that each thread keeps to each runner.
+const SPARE_CONNECTIONS: usize = 1;
 
-/// Age at which a spare connection is no longer used: well below the time after
-/// which servers give up on a silent connection.
-const SPARE_AGE: Duration = Duration::from_secs(2);
+/// Age at which a spare connection is no longer used; well below the idle timeouts
+/// of servers.
+const SPARE_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// Longest head of an answer, and most that is read ahead of a body.
-const BUFFER_LIMIT: usize = 64 << 10;
+/// Longest head of a response, and longest part of a body that is buffered.
+const BUFFER_MAX_BYTES: usize = 64 << 10;
 
-/// Most headers of an answer.
-const HEADER_LIMIT: usize = 128;
+/// Most headers of a response.
+const MAX_HEADERS: usize = 128;
 
 /// Why an exchange with a runner failed.
 #[derive(Debug, Error)]
@@ -52,18 +53,20 @@
     /// No byte of the request was sent.
     #[error("not sent: {0}")]
     Unsent(String),
-    /// The request was sent, or part of it, and no answer head came back.
+    /// The request was sent, at least in part, and no response head was received.
     #[error("sent, no answer: {0}")]
     Sent(String),
 }
 
-/// Sends one request on a connection of its own and waits for the answer's
-/// head, however long that takes; `deadline` is for connecting only. It sends if `may_send` still allows it
-/// once the connection is there.
+/// Sends one request on a connection of its own and waits for the response head.
+///
+/// `deadline` limits only the time to connect; the wait for the response has no
+/// limit. The request is sent only if `may_send` returns true after connecting.
 ///
 /// # Errors
 ///
-/// Tells whether any byte of the request may have reached the runner.
+/// The error distinguishes whether any byte of the request may have reached the
+/// runner.
 pub async fn send_request(
     address: SocketAddr,
     request: Request<RequestBody>,
@@ -80,8 +83,8 @@
             "the view of the fleet is stale".to_owned(),
         ));
     }
-    let answered = sender.try_send_request(request).await;
-    answered.map_err(|mut err| {
+    let sent = sender.try_send_request(request).await;
+    sent.map_err(|mut err| {
         let unsent = err.take_message().is_some();
         let fault = err.into_error().to_string();
         if unsent {
@@ -92,7 +95,7 @@
     })
 }
 
-/// A connection that was opened ahead and has carried nothing.
+/// A connection that was opened in advance and is still unused.
 struct SpareConnection {
     sender: http1::SendRequest<RequestBody>,
     opened: Instant,
@@ -102,7 +105,7 @@
     static SPARES: RefCell<HashMap<SocketAddr, Vec<SpareConnection>>> = RefCell::default();
 }
 
-/// Takes a connection that was opened ahead.
+/// Takes a spare connection, if there is a usable one.
 fn take_spare(address: SocketAddr) -> Option<http1::SendRequest<RequestBody>> {
     SPARES.with_borrow_mut(|spares| {
         let waiting = spares.get_mut(&address)?;
@@ -116,15 +119,15 @@
     })
 }
 
-/// Opens a connection ahead for the next request, if few are there.
+/// Opens a spare connection for the next request, unless there are enough.
 fn open_spare(address: SocketAddr) {
     let waiting = SPARES.with_borrow(|spares| spares.get(&address).map_or(0, Vec::len));
-    if waiting >= SPARE_LIMIT {
+    if waiting >= SPARE_CONNECTIONS {
         return;
     }
     actix_web::rt::spawn(async move {
         let opened = Instant::now();
-        let Ok(sender) = connect(address, opened + CONNECT_LIMIT).await else {
+        let Ok(sender) = connect(address, opened + CONNECT_TIMEOUT).await else {
             return;
         };
         SPARES.with_borrow_mut(|spares| {
@@ -137,7 +140,7 @@
 
 impl SpareConnection {
     fn is_usable(&self) -> bool {
-        !self.sender.is_closed() && self.opened.elapsed() < SPARE_AGE
+        !self.sender.is_closed() && self.opened.elapsed() < SPARE_MAX_AGE
     }
 }
 
@@ -145,7 +148,7 @@
     address: SocketAddr,
     deadline: Instant,
 ) -> Result<http1::SendRequest<RequestBody>, HopError> {
-    let limit = deadline.min(Instant::now() + CONNECT_LIMIT);
+    let limit = deadline.min(Instant::now() + CONNECT_TIMEOUT);
     let stream = tokio::time::timeout_at(limit, TcpStream::connect(address))
         .await
         .map_err(|_| HopError::Unsent("connecting took too long".to_owned()))?
@@ -154,12 +157,13 @@
         .set_nodelay(true)
         .map_err(|err| HopError::Unsent(err.to_string()))?;
     let (sender, connection) = http1::Builder::new()
-        .max_buf_size(BUFFER_LIMIT)
-        .max_headers(HEADER_LIMIT)
+        .max_buf_size(BUFFER_MAX_BYTES)
+        .max_headers(MAX_HEADERS)
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|err| HopError::Unsent(err.to_string()))?;
-    // A fault of the connection reaches the exchange that it carries.
+    // The result is ignored here: the sender reports a connection error to the
+    // exchange.
     actix_web::rt::spawn(async move { drop(connection.await) });
     Ok(sender)
 }
--- a/crates/hoisthitch-entry/src/traffic/ask.rs
+++ b/crates/hoisthitch-entry/src/traffic/request.rs
@@ -1,5 +1,8 @@
-//! What a request asks for: its pool, team, priority and deadline, read from its
-//! path and headers.
+//! Reads a request's pool, team, priority and deadline from its path and headers.
+//!
+//! The pool and the team are looked up in the route table. A request that can't be
+//! routed gets an error response, and so does every request while the entry has no
+//! operators' table or its view of the fleet is stale.
 
 use std::{
     sync::Arc,
@@ -31,14 +34,14 @@
     },
     state::SharedState,
     traffic::{
-        answer::{
-            ProblemAnswer,
-            Refused,
-            VIEW_RETRY, //
-        },
         dispatcher::{
             PoolDispatcher,
-            SlotAsk, //
+            SlotRequest, //
+        },
+        problem::{
+            BoxedProblem,
+            DEFAULT_RETRY_AFTER,
+            ProblemResponse, //
         }, //
     }, //
 };
@@ -46,47 +49,50 @@
 /// Header that names the caller's team.
 const TEAM_HEADER: &str = "hoisthitch-team";
 
-/// Header that asks for a priority, at most the one that the team pays for.
+/// Header with the requested priority; the team's priority is the highest possible.
 const PRIORITY_HEADER: &str = "hoisthitch-priority";
 
-/// Header with the time that the caller gives the request, in milliseconds.
+/// Header with the request's timeout, in milliseconds.
 const DEADLINE_HEADER: &str = "hoisthitch-deadline-ms";
 
-/// Longest time that a caller may give a request.
-const DEADLINE_LIMIT: Duration = Duration::from_secs(86_400);
+/// Longest timeout that a caller may set.
+const MAX_TIMEOUT: Duration = Duration::from_secs(86_400);
 
-/// What a request asks for.
-pub struct RequestAsk {
+/// A request's pool, team, priority and deadline.
+pub struct RoutedRequest {
     /// Dispatcher of the pool that serves the path.
     pub dispatcher: Arc<PoolDispatcher>,
     /// Name of the team.
     pub team_name: String,
-    /// What is asked of the dispatcher.
-    pub slot: SlotAsk,
-    /// Whether the request may be sent a second time.
+    /// What the dispatcher needs in order to grant a slot.
+    pub slot: SlotRequest,
+    /// Whether the request may be sent again after a failure.
     pub repeatable: bool,
 }
 
-/// Reads what a request asks for.
+/// Routes a request: reads its pool, team, priority and deadline.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that can't be routed.
-pub fn read_ask(shared: &SharedState, request: &HttpRequest) -> Result<RequestAsk, Refused> {
+/// Fails with the response for a request that can't be routed.
+pub fn route_request(
+    shared: &SharedState,
+    request: &HttpRequest,
+) -> Result<RoutedRequest, BoxedProblem> {
     let routes = shared.routes.load();
     if routes.revision == 0 {
-        return Err(Box::new(ProblemAnswer::unavailable(
+        return Err(Box::new(ProblemResponse::unavailable(
             "no-table",
             "this entry has not read the table yet",
-            VIEW_RETRY,
+            DEFAULT_RETRY_AFTER,
         )));
     }
     if !shared.may_send() {
-        return Err(Box::new(ProblemAnswer::stale_view()));
+        return Err(Box::new(ProblemResponse::stale_view()));
     }
     let path = request.path();
     let dispatcher = routes.dispatcher(path).ok_or_else(|| {
-        Box::new(ProblemAnswer::new(
+        Box::new(ProblemResponse::new(
             StatusCode::NOT_FOUND,
             RequestOutcome::NotRun,
             "no-pool",
@@ -95,29 +101,33 @@
     })?;
     let headers = request.headers();
     let (team_name, team) = read_team(&routes, headers)?;
-    let priority = read_priority(headers)?.map_or(team.priority, |asked| asked.max(team.priority));
+    let priority =
+        read_priority(headers)?.map_or(team.priority, |requested| requested.max(team.priority));
     let (default_ms, repeat) = dispatcher.inspect(|scheduler| {
         let row = scheduler.row();
         (row.deadline_ms(priority), row.repeat)
     });
-    let allowed = read_deadline(headers)?.unwrap_or(Duration::from_millis(u64::from(default_ms)));
-    Ok(RequestAsk {
+    let timeout = read_timeout(headers)?.unwrap_or(Duration::from_millis(u64::from(default_ms)));
+    Ok(RoutedRequest {
         dispatcher: dispatcher.clone(),
         team_name,
         repeatable: repeat.allows(request.method().as_str()),
-        slot: SlotAsk {
+        slot: SlotRequest {
             priority,
             team: team.key,
             weight: team.weight,
-            deadline: Instant::now() + allowed,
+            deadline: Instant::now() + timeout,
         },
     })
 }
 
-fn read_team(routes: &RouteTable, headers: &HeaderMap) -> Result<(String, TeamRoute), Refused> {
+fn read_team(
+    routes: &RouteTable,
+    headers: &HeaderMap,
+) -> Result<(String, TeamRoute), BoxedProblem> {
     let name = text_header(headers, TEAM_HEADER)?.unwrap_or(DEFAULT_TEAM);
     let team = routes.team(name).ok_or_else(|| {
-        Box::new(ProblemAnswer::new(
+        Box::new(ProblemResponse::new(
             StatusCode::FORBIDDEN,
             RequestOutcome::NotRun,
             "no-team",
@@ -127,7 +137,7 @@
     Ok((name.to_owned(), team))
 }
 
-fn read_priority(headers: &HeaderMap) -> Result<Option<PaidPriority>, Refused> {
+fn read_priority(headers: &HeaderMap) -> Result<Option<PaidPriority>, BoxedProblem> {
     match text_header(headers, PRIORITY_HEADER)? {
         None => Ok(None),
         Some("urgent") => Ok(Some(PaidPriority::Urgent)),
@@ -136,18 +146,18 @@
     }
 }
 
-fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, Refused> {
+fn read_timeout(headers: &HeaderMap) -> Result<Option<Duration>, BoxedProblem> {
     let Some(text) = text_header(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
-    let allowed = text.parse().map(Duration::from_millis).ok();
-    match allowed {
-        Some(allowed) if allowed <= DEADLINE_LIMIT => Ok(Some(allowed)),
+    let timeout = text.parse().map(Duration::from_millis).ok();
+    match timeout {
+        Some(timeout) if timeout <= MAX_TIMEOUT => Ok(Some(timeout)),
         _ => Err(bad_header(DEADLINE_HEADER, "use 0 to 86400000")),
     }
 }
 
-fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refused> {
+fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, BoxedProblem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -157,8 +167,8 @@
     }
 }
 
-fn bad_header(name: &str, help: &str) -> Refused {
-    Box::new(ProblemAnswer::new(
+fn bad_header(name: &str, help: &str) -> BoxedProblem {
+    Box::new(ProblemResponse::new(
         StatusCode::BAD_REQUEST,
         RequestOutcome::NotRun,
         "bad-header",
@@ -166,27 +176,27 @@
     ))
 }
 
-/// Method of a request, as the hop to a runner takes it.
+/// Converts a request's method for the HTTP client.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that can't be passed on.
-pub fn read_method(request: &HttpRequest) -> Result<Method, Refused> {
+/// Fails with the response for a request that can't be forwarded.
+pub fn read_method(request: &HttpRequest) -> Result<Method, BoxedProblem> {
     Method::from_bytes(request.method().as_str().as_bytes()).map_err(|_| bad_target())
 }
 
-/// Path and query of a request, as the hop to a runner takes them.
+/// Converts a request's path and query for the HTTP client.
 ///
 /// # Errors
 ///
-/// Fails with the answer for a request that can't be passed on.
-pub fn read_uri(request: &HttpRequest) -> Result<Uri, Refused> {
+/// Fails with the response for a request that can't be forwarded.
+pub fn read_uri(request: &HttpRequest) -> Result<Uri, BoxedProblem> {
     let target = request.uri().path_and_query().ok_or_else(bad_target)?;
     target.as_str().parse().map_err(|_| bad_target())
 }
 
-fn bad_target() -> Refused {
-    Box::new(ProblemAnswer::new(
+fn bad_target() -> BoxedProblem {
+    Box::new(ProblemResponse::new(
         StatusCode::BAD_REQUEST,
         RequestOutcome::NotRun,
         "bad-target",
--- a/crates/hoisthitch-steward/src/act.rs
+++ b/crates/hoisthitch-steward/src/actions.rs
@@ -1,10 +1,10 @@
-//! Carrying out of planned actions, each by compare-and-swap on what it was
+//! Carries out planned actions, each by compare-and-swap on the state that it was
 //! planned on.
 //!
-//! The order of writes is what keeps a crash harmless: a permit is taken before
-//! the VM leaves and returned after the VM is back. A permit that its taker lost
-//! sight of is only returned after the VM's fence was raised, so that a taker
-//! which wakes up later finds its plan void.
+//! The order of the writes makes crashes harmless: a permit is taken before its VM
+//! is drained and released after the VM serves again. An unused permit is released
+//! only after the VM's fence was raised. If the steward that took the permit was
+//! frozen, its plan is then outdated when it continues.
 
 use std::{
     collections::BTreeSet,
@@ -59,55 +59,55 @@
     }, //
 };
 
-/// Age at which a view is no longer acted on.
-pub const VIEW_LIMIT: Duration = Duration::from_secs(3);
+/// Age above which a view is no longer acted on.
+pub const VIEW_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// Longest time that a VM's service may take to accept a connection.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of connecting to the service of a rebooted VM.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Carries out actions.
-pub struct FleetActor<S> {
+/// Carries out planned actions.
+pub struct ActionExecutor<S> {
     records: RecordWriter<S>,
     lister: VmLister,
     barrier: DrainBarrier,
     keys: KeySpace,
 }
 
-/// What a permit is asked for on.
-struct PermitAsk<'a> {
-    /// VMs of the pool that are absent without being planned.
+/// Conditions under which a permit may be taken.
+struct PermitConditions<'a> {
+    /// VMs of the pool that are absent without a plan.
     lost: &'a BTreeSet<String>,
-    /// Most that may be absent.
+    /// Most VMs of the pool that may be absent.
     budget: usize,
     /// When the fleet was read.
-    read: Instant,
+    read_at: Instant,
 }
 
 /// Why an action was not carried out.
 #[derive(Debug, Error)]
 pub enum ActionError {
-    /// Someone else acted first.
-    #[error("the plan is void: {0}")]
-    Void(&'static str),
-    /// The VM is not as planned.
+    /// The state has changed since the action was planned, or is not ready for it.
+    #[error("the action can't be carried out now: {0}")]
+    Inapplicable(&'static str),
+    /// The VM's assignment is not in the planned state.
     #[error(transparent)]
     Transition(#[from] TransitionError),
-    /// The budget does not allow it.
+    /// The pool's availability budget does not allow the absence.
     #[error(transparent)]
     Permit(#[from] PermitError),
-    /// The VM is not where it was.
+    /// The VM is no longer in the hall record.
     #[error(transparent)]
     Hall(#[from] HallError),
-    /// The store failed.
+    /// A write to the store failed.
     #[error(transparent)]
     Write(#[from] WriteError),
-    /// The platform failed.
+    /// A read from the store or a call to the platform failed.
     #[error(transparent)]
     Platform(#[from] StoreError),
 }
 
-impl<S: StoreClient> FleetActor<S> {
-    /// Acts by these means.
+impl<S: StoreClient> ActionExecutor<S> {
+    /// Creates an executor that writes through `records` and reboots through `lister`.
     pub fn new(
         records: RecordWriter<S>,
         lister: VmLister,
@@ -126,11 +126,12 @@
     ///
     /// # Errors
     ///
-    /// An action that fails is planned anew.
-    pub async fn act(&self, view: &FleetView, action: FleetAction) -> Result<(), ActionError> {
+    /// Fails as described by [`ActionError`]. A failed action is planned again from
+    /// the next view.
+    pub async fn execute(&self, view: &FleetView, action: FleetAction) -> Result<(), ActionError> {
         match action {
             FleetAction::WithdrawPermit { pool, target } => {
-                self.withdraw(view, &pool, &target).await
+                self.withdraw_permit(view, &pool, &target).await
             }
             FleetAction::BeginLeave { pool, target, task } => {
                 self.begin_drain(view, &pool, &target, task).await
@@ -147,12 +148,13 @@
             FleetAction::EndMaintenance { pool, target, wave } => {
                 self.end_maintenance(view, &pool, &target, &wave).await
             }
-            FleetAction::PauseWave { wave, reason } => self.pause(&wave, &reason).await,
+            FleetAction::PauseWave { wave, reason } => self.pause_wave(&wave, &reason).await,
         }
     }
 
-    /// Returns a permit without use: first the fence, then the permit.
-    async fn withdraw(
+    /// Releases an unused permit: first raises the VM's fence, then releases the
+    /// permit.
+    async fn withdraw_permit(
         &self,
         view: &FleetView,
         pool: &str,
@@ -170,7 +172,7 @@
         Ok(())
     }
 
-    /// Takes a permit, then has the VM's requests end.
+    /// Takes a permit, then starts to drain the VM.
     async fn begin_drain(
         &self,
         view: &FleetView,
@@ -180,17 +182,17 @@
     ) -> Result<(), ActionError> {
         let lost = lost_vms(&view.snapshot(), pool);
         let budget = view.table.pool(pool).map_or(0, |row| row.max_absent);
-        let ask = PermitAsk {
+        let conditions = PermitConditions {
             lost: &lost,
             budget: budget as usize,
-            read: view.read,
+            read_at: view.read_at,
         };
-        self.take_permit(pool, target, &ask).await?;
+        self.take_permit(pool, target, &conditions).await?;
         let kind = task_name(&task);
-        let left = self.change_vm(target, |assignment| {
+        let begun = self.change_vm(target, |assignment| {
             assignment.begin_drain(target.fence, pool, task.clone())
         });
-        left.await?;
+        begun.await?;
         event!(
             Info,
             "drain_begun",
@@ -233,10 +235,10 @@
         boots: u64,
     ) -> Result<(), ActionError> {
         self.pass_barrier(view, target).await?;
-        let intended = self.change_vm(target, |assignment| {
+        let begun = self.change_vm(target, |assignment| {
             assignment.begin_reboot(target.fence, wave, boots)
         });
-        intended.await?;
+        begun.await?;
         self.reboot(target, boots).await
     }
 
@@ -247,7 +249,7 @@
         Ok(())
     }
 
-    /// Returns a VM to its pool once its service accepts connections.
+    /// Returns a rebooted VM to its pool once its service accepts connections.
     async fn end_maintenance(
         &self,
         view: &FleetView,
@@ -264,9 +266,11 @@
             .and_then(|record| record.find(&target.vm))
             .map(|assignment| assignment.address)
             .ok_or_else(|| HallError::Unassigned(target.vm.clone()))?;
-        let connecting = tokio::time::timeout(PROBE_LIMIT, TcpStream::connect(address));
+        let connecting = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address));
         if !matches!(connecting.await, Ok(Ok(_))) {
-            return Err(ActionError::Void("the VM's service does not answer yet"));
+            return Err(ActionError::Inapplicable(
+                "the VM's service does not accept connections yet",
+            ));
         }
         let returned = self.change_vm(target, |assignment| {
             assignment.end_maintenance(target.fence, wave)
@@ -276,7 +280,7 @@
         self.release_permit(view, pool, &target.vm).await
     }
 
-    /// Has a VM serve its pool again without having gone anywhere.
+    /// Cancels a drain: the VM serves its pool again.
     async fn cancel_drain(
         &self,
         view: &FleetView,
@@ -296,33 +300,40 @@
         self.release_permit(view, pool, &target.vm).await
     }
 
-    /// Passes when no entry has requests at the VM or will send any.
+    /// Succeeds if no entry has requests at the VM or will send any.
     async fn pass_barrier(&self, view: &FleetView, target: &VmTarget) -> Result<(), ActionError> {
         let version = view
             .halls
             .get(&target.hall)
             .map_or(0, |record| record.version);
-        let asked = self
+        let outcome = self
             .barrier
-            .ask(view, &target.hall, &target.vm, version)
+            .check(view, &target.hall, &target.vm, version)
             .await;
-        match asked {
+        match outcome {
             BarrierOutcome::Passed => Ok(()),
-            BarrierOutcome::Waits => Err(ActionError::Void("an entry is not done with the VM")),
-            BarrierOutcome::Gone(rostered) => {
+            BarrierOutcome::Pending => Err(ActionError::Inapplicable(
+                "an entry is not done with the VM",
+            )),
+            BarrierOutcome::EntryLost(rostered) => {
                 self.deregister(&rostered).await?;
-                Err(ActionError::Void("an entry was taken off the roster"))
+                Err(ActionError::Inapplicable(
+                    "an entry was removed from the roster",
+                ))
             }
         }
     }
 
-    /// Takes an entry off the roster whose VM is gone.
+    /// Removes an entry from the roster whose VM the platform no longer lists.
     async fn deregister(&self, rostered: &RosteredEntry) -> Result<(), ActionError> {
         let key = self.keys.roster(&rostered.hall);
         let change = |stored: Option<RosterRecord>, stamp| {
-            let mut record = stored.ok_or(ActionError::Void("the roster is gone"))?;
+            let mut record =
+                stored.ok_or(ActionError::Inapplicable("the roster does not exist"))?;
             if !record.holds(&rostered.entry) {
-                return Err(ActionError::Void("the entry is off the roster"));
+                return Err(ActionError::Inapplicable(
+                    "the entry is no longer on the roster",
+                ));
             }
             record.remove(&rostered.entry.name);
             record.sign(stamp);
@@ -333,11 +344,11 @@
         Ok(())
     }
 
-    async fn pause(&self, wave: &str, reason: &str) -> Result<(), ActionError> {
+    async fn pause_wave(&self, wave: &str, reason: &str) -> Result<(), ActionError> {
         let change = |stored: Option<WaveRecord>, stamp| {
-            let mut record = stored.ok_or(ActionError::Void("the wave is gone"))?;
+            let mut record = stored.ok_or(ActionError::Inapplicable("the wave does not exist"))?;
             if record.state != WaveState::Running {
-                return Err(ActionError::Void("the wave does not run"));
+                return Err(ActionError::Inapplicable("the wave is not running"));
             }
             record.state = WaveState::Paused;
             reason.clone_into(&mut record.reason);
@@ -353,20 +364,20 @@
         &self,
         pool: &str,
         target: &VmTarget,
-        ask: &PermitAsk<'_>,
+        conditions: &PermitConditions<'_>,
     ) -> Result<(), ActionError> {
         let change = |stored: Option<PermitLedger>, stamp: WriterStamp| {
-            if ask.read.elapsed() > VIEW_LIMIT {
-                return Err(ActionError::Void("the view is too old"));
+            if conditions.read_at.elapsed() > VIEW_MAX_AGE {
+                return Err(ActionError::Inapplicable("the view is too old"));
             }
             let mut ledger = stored.unwrap_or_else(|| PermitLedger::new(pool));
             let permit = AbsencePermit {
                 vm: target.vm.clone(),
                 hall: target.hall.clone(),
                 operation: stamp.operation,
-                since_ms: wall_ms(),
+                since_ms: unix_ms(),
             };
-            ledger.take(permit, ask.lost, ask.budget)?;
+            ledger.take(permit, conditions.lost, conditions.budget)?;
             ledger.sign(stamp);
             Ok::<_, ActionError>(ledger)
         };
@@ -376,7 +387,7 @@
         Ok(())
     }
 
-    /// Returns the permit that the plan was based on, and no later one.
+    /// Releases the permit that the plan was based on, but no later one.
     async fn release_permit(
         &self,
         view: &FleetView,
@@ -390,18 +401,18 @@
         let change = |stored: Option<PermitLedger>, stamp| {
             let mut ledger = stored.unwrap_or_else(|| PermitLedger::new(pool));
             if !ledger.release(permit.operation) {
-                return Err(ActionError::Void("the permit is gone"));
+                return Err(ActionError::Inapplicable("the permit was released already"));
             }
             ledger.sign(stamp);
             Ok(ledger)
         };
         match self.records.update(&self.keys.permits(pool), change).await {
-            Ok(_) | Err(ActionError::Void(_)) => Ok(()),
+            Ok(_) | Err(ActionError::Inapplicable(_)) => Ok(()),
             Err(err) => Err(err),
         }
     }
 
-    /// Changes one VM's assignment by a transition.
+    /// Applies a transition to one VM's assignment.
     async fn change_vm(
         &self,
         target: &VmTarget,
@@ -427,7 +438,7 @@
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.unwrap_or_default().as_millis();
     u64::try_from(millis).unwrap_or(u64::MAX)
--- a/crates/hoisthitch-steward/src/barrier.rs
+++ b/crates/hoisthitch-steward/src/barrier.rs
@@ -1,8 +1,9 @@
-//! The barrier: no entry has requests at a VM, and none will send any.
+//! Drain barrier: checks that no entry has requests at a VM and that none will send
+//! any.
 //!
-//! Every entry on the rosters is asked. An entry that is silent delays the move;
-//! only one whose VM the platform no longer lists is taken off the roster, after
-//! which it may not route before it has registered again.
+//! Every entry on the rosters is queried over the mesh. An unresponsive entry delays
+//! the move or reboot. Only an entry whose VM the platform no longer lists is removed
+//! from the roster; it must not route requests before it has registered again.
 
 use std::time::Duration;
 
@@ -21,45 +22,45 @@
     RosteredEntry, //
 };
 
-/// Longest time that an entry may take to answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of connecting to an entry and receiving its report.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks entries whether they are done with a VM.
+/// Queries the entries whether they are done with a VM.
 pub struct DrainBarrier {
     endpoint: MeshEndpoint,
 }
 
-/// What the entries said.
+/// Result of querying all entries.
 pub enum BarrierOutcome {
     /// All entries are done with the VM.
     Passed,
-    /// An entry is not, or does not answer.
-    Waits,
-    /// An entry does not answer and its VM is no longer listed.
-    Gone(RosteredEntry),
+    /// An entry is not done with the VM, or does not respond.
+    Pending,
+    /// An entry does not respond, and the platform no longer lists its VM.
+    EntryLost(RosteredEntry),
 }
 
 impl DrainBarrier {
-    /// Asks through `endpoint`.
+    /// Creates a barrier that connects to the entries through `endpoint`.
     pub fn new(endpoint: MeshEndpoint) -> Self {
         Self { endpoint }
     }
 
-    /// Asks all entries whether they route by `version` of the hall's record or
-    /// a later one, and have nothing at the VM.
-    pub async fn ask(
+    /// Checks that all entries route by `version` of the hall record or a later one,
+    /// and have no requests in flight at the VM.
+    pub async fn check(
         &self,
         view: &FleetView,
         hall: &str,
         vm: &str,
         version: u64,
     ) -> BarrierOutcome {
-        let asks = view.entries.iter().map(|rostered| async move {
-            let report = self.ask_entry(&rostered.entry, hall, vm).await;
+        let queries = view.entries.iter().map(|rostered| async move {
+            let report = self.query_entry(&rostered.entry, hall, vm).await;
             (rostered, report)
         });
         let mut outcome = BarrierOutcome::Passed;
-        for (rostered, report) in join_all(asks).await {
+        for (rostered, report) in join_all(queries).await {
             let name = &rostered.entry.name;
             match report {
                 Ok(report) if report.version >= version && report.in_flight == 0 => {}
@@ -73,33 +74,33 @@
                         wanted = version,
                         in_flight = report.in_flight,
                     );
-                    outcome = BarrierOutcome::Waits;
+                    outcome = BarrierOutcome::Pending;
                 }
                 Err(err) => {
                     event!(Warn, "drain_unanswered", vm = vm, entry = name, error = err);
                     if !view.listed.contains_key(name) {
-                        return BarrierOutcome::Gone(rostered.clone());
+                        return BarrierOutcome::EntryLost(rostered.clone());
                     }
-                    outcome = BarrierOutcome::Waits;
+                    outcome = BarrierOutcome::Pending;
                 }
             }
         }
         outcome
     }
 
-    async fn ask_entry(
+    async fn query_entry(
         &self,
         entry: &RosterEntry,
         hall: &str,
         vm: &str,
     ) -> Result<DrainReport, WireError> {
-        let asking = async {
+        let querying = async {
             let mut peer = self.endpoint.connect(&entry.name, entry.mesh).await?;
-            let ask = MeshFrame::AskDrained {
+            let request = MeshFrame::AskDrained {
                 vm: vm.to_owned(),
                 hall: hall.to_owned(),
             };
-            peer.writer.write(&ask).await?;
+            peer.writer.write(&request).await?;
             loop {
                 if let (MeshFrame::Drained(report), _) = peer.reader.read().await?
                     && report.vm == vm
@@ -109,8 +110,8 @@
                 }
             }
         };
-        tokio::time::timeout(ANSWER_LIMIT, asking)
+        tokio::time::timeout(QUERY_TIMEOUT, querying)
             .await
-            .unwrap_or_else(|_| Err(WireError::Connection("no answer in time".to_owned())))
+            .unwrap_or_else(|_| Err(WireError::Connection("no response in time".to_owned())))
     }
 }
--- a/crates/hoisthitch-steward/src/process.rs
+++ b/crates/hoisthitch-steward/src/process.rs
@@ -1,5 +1,5 @@
-//! The steward's process: looks at the fleet at intervals and acts for the
-//! pools that are its own by rank.
+//! Process of the steward: at intervals, reads the fleet, plans actions for the
+//! pools that it ranks first for, and carries them out.
 
 use std::time::Duration;
 
@@ -33,10 +33,10 @@
 };
 
 use crate::{
-    act::{
+    actions::{
         ActionError,
-        FleetActor,
-        VIEW_LIMIT, //
+        ActionExecutor,
+        VIEW_MAX_AGE, //
     },
     barrier::DrainBarrier,
     settings::StewardSettings,
@@ -46,17 +46,17 @@
     }, //
 };
 
-/// Time that a steward counts as alive without a sign.
+/// Time to live of the lease that shows that a steward is alive.
 const LEASE_TTL: Duration = Duration::from_secs(6);
 
-/// Time between two signs of life.
-const LEASE_RENEWAL: Duration = Duration::from_secs(2);
+/// Time between two renewals of the lease.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs a steward until it is told to stop.
+/// Runs a steward until a stop signal.
 ///
 /// # Errors
 ///
-/// Fails when the mesh address or the keys can't be used.
+/// Fails if the mesh address or the keys can't be used.
 pub async fn run_steward(settings: StewardSettings) -> Result<()> {
     let mut steward = FleetSteward::new(settings)?;
     let mut stop = signal(SignalKind::terminate())?;
@@ -71,22 +71,22 @@
     Ok(())
 }
 
-/// A steward.
+/// State of a steward.
 struct FleetSteward {
     settings: StewardSettings,
     store: EtcdClient,
     reader: ViewReader<EtcdClient>,
     keys: KeySpace,
-    actor: FleetActor<EtcdClient>,
+    executor: ActionExecutor<EtcdClient>,
     lease: Option<StewardLease>,
-    /// Version of the view for which there was nothing to do.
-    settled: Option<u64>,
+    /// Version of the last view for which no action was planned.
+    idle_version: Option<u64>,
 }
 
 /// The lease that shows that this steward is alive.
 struct StewardLease {
     id: LeaseId,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 impl FleetSteward {
@@ -96,49 +96,49 @@
         let keys = KeySpace::new(&settings.root);
         let mesh_keys = MeshKeys::load(&settings.certificate, &settings.key, &settings.authority)?;
         let endpoint = MeshEndpoint::open(&settings.name, settings.mesh_listen, &mesh_keys)?;
-        let patience = settings.timeout * 3;
-        let records = RecordWriter::new(store.clone(), &settings.name, patience);
+        let resolve_timeout = settings.timeout * 3;
+        let records = RecordWriter::new(store.clone(), &settings.name, resolve_timeout);
         let barrier = DrainBarrier::new(endpoint);
         Ok(Self {
             reader: ViewReader::new(store.clone(), lister.clone(), keys.clone()),
-            actor: FleetActor::new(records, lister, barrier, keys.clone()),
+            executor: ActionExecutor::new(records, lister, barrier, keys.clone()),
             settings,
             store,
             keys,
             lease: None,
-            settled: None,
+            idle_version: None,
         })
     }
 
     async fn run(&mut self) {
         loop {
-            if let Err(err) = self.look_and_act().await {
+            if let Err(err) = self.run_pass().await {
                 event!(Warn, "platform_fails", error = err);
             }
             tokio::time::sleep(self.settings.interval).await;
         }
     }
 
-    async fn look_and_act(&mut self) -> Result<(), StoreError> {
-        self.keep_lease().await?;
+    async fn run_pass(&mut self) -> Result<(), StoreError> {
+        self.maintain_lease().await?;
         let view = self.reader.read().await?;
-        if self.settled == Some(view.version) {
+        if self.idle_version == Some(view.version) {
             return Ok(());
         }
         let actions = plan(&self.settings.name, view);
         if actions.is_empty() {
-            self.settled = Some(view.version);
+            self.idle_version = Some(view.version);
         }
         for action in actions {
-            if view.read.elapsed() > VIEW_LIMIT {
+            if view.read_at.elapsed() > VIEW_MAX_AGE {
                 event!(
                     Info,
                     "view_too_old",
-                    age_ms = view.read.elapsed().as_millis()
+                    age_ms = view.read_at.elapsed().as_millis()
                 );
                 return Ok(());
             }
-            match self.actor.act(view, action.clone()).await {
+            match self.executor.execute(view, action.clone()).await {
                 Ok(()) => {}
                 Err(err @ (ActionError::Write(_) | ActionError::Platform(_))) => {
                     event!(
@@ -161,38 +161,38 @@
         Ok(())
     }
 
-    /// Shows that this steward is alive.
-    async fn keep_lease(&mut self) -> Result<(), StoreError> {
+    /// Renews the lease that shows that this steward is alive, or creates it.
+    async fn maintain_lease(&mut self) -> Result<(), StoreError> {
         if let Some(lease) = &mut self.lease {
-            if lease.renewed.elapsed() < LEASE_RENEWAL {
+            if lease.renewed_at.elapsed() < LEASE_RENEWAL_INTERVAL {
                 return Ok(());
             }
-            let renewed = Instant::now();
+            let renewed_at = Instant::now();
             if self.store.keep_alive(lease.id).await? {
-                lease.renewed = renewed;
+                lease.renewed_at = renewed_at;
                 return Ok(());
             }
             self.lease = None;
         }
-        let renewed = Instant::now();
+        let renewed_at = Instant::now();
         let id = self.store.grant_lease(LEASE_TTL).await?;
         let key = self.keys.steward(&self.settings.name);
         let stored = self.store.read(&key).await?;
         let revision = stored.map_or(StoreRevision::default(), |stored| stored.revision);
         self.store.swap(&key, revision, b"", Some(id)).await?;
-        self.lease = Some(StewardLease { id, renewed });
+        self.lease = Some(StewardLease { id, renewed_at });
         Ok(())
     }
 }
 
-/// Actions for the pools that are the steward's own.
+/// Plans actions for the pools for which the steward ranks first.
 fn plan(steward: &str, view: &FleetView) -> Vec<FleetAction> {
     let stewards: Vec<&str> = view.stewards.iter().map(String::as_str).collect();
     let snapshot = view.snapshot();
     let rows = view.table.pools.iter();
-    let own = rows.filter(|row| {
+    let own_rows = rows.filter(|row| {
         let order = rendezvous_order(&row.name, &stewards);
         order.first() == Some(&steward)
     });
-    own.flat_map(|row| plan_pool(&snapshot, row)).collect()
+    own_rows.flat_map(|row| plan_pool(&snapshot, row)).collect()
 }
--- a/crates/hoisthitch-steward/src/view.rs
+++ b/crates/hoisthitch-steward/src/view.rs
@@ -1,4 +1,4 @@
-//! The steward's view of the fleet: the store's records and the list of VMs.
+//! View of the fleet: reads the store's records and the platform's list of VMs.
 
 use std::collections::BTreeMap;
 
@@ -27,15 +27,15 @@
 use serde::de::DeserializeOwned;
 use tokio::time::Instant;
 
-/// The fleet, as read at one moment.
+/// State of the fleet, as read in one pass.
 ///
-/// The records were read after the list, so that a VM that is listed as back is
-/// not set against an older record of it.
+/// The records are read after the list of VMs, so that a VM which is listed as live
+/// again is not compared with an older record.
 #[derive(Debug)]
 pub struct FleetView {
     /// When the reading began.
-    pub read: Instant,
-    /// Counts the readings that found a change.
+    pub read_at: Instant,
+    /// Number of changes that were read so far.
     pub version: u64,
     /// The operators' table.
     pub table: PolicyTable,
@@ -62,30 +62,30 @@
     pub entry: RosterEntry,
 }
 
-/// Reads the fleet, and only what changed of it.
+/// Reads the fleet; lists and records are read only if they have changed.
 pub struct ViewReader<S> {
     store: S,
     lister: VmLister,
     keys: KeySpace,
     view: FleetView,
     /// Tag of the list of VMs as last read.
-    tag: String,
+    list_tag: String,
     /// Revisions of the records as last read.
-    fleet: Vec<KeyRevision>,
-    records: Vec<KeyRevision>,
+    fleet_revisions: Vec<KeyRevision>,
+    record_revisions: Vec<KeyRevision>,
 }
 
 impl<S: StoreClient> ViewReader<S> {
-    /// Starts with nothing read.
+    /// Creates a reader with an empty view.
     pub fn new(store: S, lister: VmLister, keys: KeySpace) -> Self {
         Self {
             store,
             lister,
             keys,
             view: FleetView::empty(),
-            tag: String::new(),
-            fleet: Vec::new(),
-            records: Vec::new(),
+            list_tag: String::new(),
+            fleet_revisions: Vec::new(),
+            record_revisions: Vec::new(),
         }
     }
 
@@ -93,33 +93,33 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does.
+    /// Fails if the store or the list of VMs can't be read.
     pub async fn read(&mut self) -> Result<&FleetView, StoreError> {
-        let read = Instant::now();
+        let read_at = Instant::now();
         self.read_list().await?;
         let fleet = self.store.read_revisions(&self.keys.fleet()).await?;
         let records = self.store.read_revisions(&self.keys.records()).await?;
-        if fleet != self.fleet || records != self.records {
+        if fleet != self.fleet_revisions || records != self.record_revisions {
             self.read_records().await?;
             // Records that changed since the revisions were read are read again.
-            self.fleet = fleet;
-            self.records = records;
+            self.fleet_revisions = fleet;
+            self.record_revisions = records;
         }
-        self.view.read = read;
+        self.view.read_at = read_at;
         Ok(&self.view)
     }
 
     async fn read_list(&mut self) -> Result<(), StoreError> {
-        if let VmListing::Changed { vms, tag } = self.lister.list_changes(&self.tag).await? {
-            self.view.listed = vms.iter().map(sighting).collect();
+        if let VmListing::Changed { vms, tag } = self.lister.list_changes(&self.list_tag).await? {
+            self.view.listed = vms.iter().map(observed_vm).collect();
             self.view.version += 1;
-            self.tag = tag;
+            self.list_tag = tag;
         }
         Ok(())
     }
 
-    /// Reads all records: permits first, so that none is taken for unused whose
-    /// VM began to leave meanwhile.
+    /// Reads all records, permits first. Otherwise a permit would seem unused if its
+    /// VM began to drain between the two reads.
     async fn read_records(&mut self) -> Result<(), StoreError> {
         let mut view = FleetView::empty();
         for prefix in [self.keys.fleet(), self.keys.records()] {
@@ -137,7 +137,7 @@
 impl FleetView {
     fn empty() -> Self {
         Self {
-            read: Instant::now(),
+            read_at: Instant::now(),
             version: 0,
             table: PolicyTable::default(),
             halls: BTreeMap::new(),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The view as the planner takes it.
+    /// The view as input of the planner.
     pub fn snapshot(&self) -> FleetSnapshot<'_> {
         FleetSnapshot {
             table: &self.table,
@@ -183,12 +183,12 @@
     }
 }
 
-fn sighting(listed: &ListedVm) -> (String, ObservedVm) {
-    let sighting = ObservedVm {
+fn observed_vm(listed: &ListedVm) -> (String, ObservedVm) {
+    let observed = ObservedVm {
         live: listed.state == VmState::Live,
         boots: listed.boots,
     };
-    (listed.vm.clone(), sighting)
+    (listed.vm.clone(), observed)
 }
 
 fn rostered(record: RosterRecord) -> impl Iterator<Item = RosteredEntry> {
