--- a/crates/hoisthitch-scheduler/tests/contracts/advice.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/advice.rs
@@ -18,9 +18,9 @@
 };
 
 use crate::{
+    check_invariants,
+    check_ran_once,
     finish,
-    kept,
-    ran_once,
     trace,
     world::{
         TestWorld,
@@ -186,11 +186,11 @@
     for number in 0..40 {
         let id = format!("j{number}");
         world.wait_phase(&id, JobPhase::Completed, 60_000).await?;
-        ran_once(&world, &id, &spec)?;
+        check_ran_once(&world, &id, &spec)?;
     }
     ensure!(adviser.most_waiting() <= 1, "{}", adviser.most_waiting());
     ensure!(adviser.refused() == 0, "{} were refused", adviser.refused());
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// Runners with leave crash and come back; leave for the earlier life is none.
@@ -211,7 +211,7 @@
         }
         world.wait_phase("j", JobPhase::Completed, 20_000).await?;
         ensure!(adviser.refused() == 0, "{} were refused", adviser.refused());
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -267,7 +267,7 @@
         trace(&world, "j")
     );
     ensure!(adviser.refused() == 0, "{} were refused", adviser.refused());
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// A suspect waits for a free runner that it has leave for.
@@ -280,5 +280,5 @@
     world.wait_phase("j", JobPhase::Failed, 40_000).await?;
     let kills = world.fleet.kills();
     ensure!(kills <= 4, "{kills} runners were lost to one task");
-    kept(&world)
+    check_invariants(&world)
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/gang.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/gang.rs
@@ -14,8 +14,8 @@
 use hoisthitch_tests::world::StoreFaults;
 
 use crate::{
-    kept,
-    ran_once,
+    check_invariants,
+    check_ran_once,
     task_names,
     trace,
     world::{
@@ -93,9 +93,9 @@
     let spec = gang("work 800");
     world.submit("j", spec.clone()).await?;
     world.wait_phase("j", JobPhase::Completed, 3_000).await?;
-    ran_once(&world, "j", &spec)?;
+    check_ran_once(&world, "j", &spec)?;
     ran_together(&world, "j", &spec)?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn begins_times() -> Result<()> {
@@ -110,8 +110,8 @@
     sleep_ms(1_800).await;
     world.kill_owner();
     world.wait_phase("j", JobPhase::Completed, 20_000).await?;
-    ran_once(&world, "j", &spec)?;
-    kept(&world)
+    check_ran_once(&world, "j", &spec)?;
+    check_invariants(&world)
 }
 
 /// There is room for all but one; the missing runner comes after seconds.
@@ -127,8 +127,8 @@
     );
     world.begin_runner("vm-9");
     world.wait_phase("j", JobPhase::Completed, 3_000).await?;
-    ran_once(&world, "j", &spec)?;
-    kept(&world)
+    check_ran_once(&world, "j", &spec)?;
+    check_invariants(&world)
 }
 
 /// Runners have room for one gang and all but one of another.
@@ -141,9 +141,9 @@
     }
     for id in ["j", "k", "l"] {
         world.wait_phase(id, JobPhase::Completed, 10_000).await?;
-        ran_once(&world, id, &spec)?;
+        check_ran_once(&world, id, &spec)?;
     }
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// Moments after the hand-in, in milliseconds: before the records, between
@@ -159,7 +159,7 @@
         world.kill_owner();
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
         ran_together(&world, "j", &spec)?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -177,7 +177,7 @@
         world.nodes[&owner].freeze(false);
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
         ran_together(&world, "j", &spec)?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -192,7 +192,7 @@
         world.nodes[&world.owner()].stop();
         world.wait_phase("j", JobPhase::Completed, 20_000).await?;
         ran_together(&world, "j", &spec)?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -215,7 +215,7 @@
         world.fleet.disturb();
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
         ran_together(&world, "j", &spec)?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -237,7 +237,7 @@
         world.begin_runner(&vm);
         world.wait_phase("j", JobPhase::Completed, 30_000).await?;
         ran_together(&world, "j", &spec)?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -255,7 +255,7 @@
         world.drain_runner(runners.first().unwrap_or(&living[0].0));
         world.wait_phase("j", JobPhase::Completed, 20_000).await?;
         ran_together(&world, "j", &spec)?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -273,7 +273,7 @@
     world.begin_runner("vm-9");
     world.wait_phase("j", JobPhase::Completed, 20_000).await?;
     ran_together(&world, "j", &spec)?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// Some orders are carried out seconds late, after newer ones.
@@ -293,7 +293,7 @@
         world.fleet.set_late(0);
         world.fleet.disturb();
         world.wait_phase("j", JobPhase::Completed, 60_000).await?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -317,7 +317,7 @@
         world.fleet.disturb();
         world.wait_phase("j", JobPhase::Completed, 60_000).await?;
         ran_together(&world, "j", &spec)?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -330,7 +330,7 @@
         world.cancel("j").await?;
         sleep_ms(3_500).await;
         ensure!(world.fleet.running().is_empty(), "{:?}", trace(&world, "j"));
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -359,8 +359,8 @@
             world.fleet.cut(runner, &[]);
         }
         sleep_ms(10_000).await;
-        ran_once(&world, "j", &spec)?;
-        kept(&world)?;
+        check_ran_once(&world, "j", &spec)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -374,7 +374,7 @@
         sleep_ms(moment).await;
         world.kill_owner();
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/harm.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/harm.rs
@@ -11,7 +11,7 @@
 use hoisthitch_tests::world::PaceFate;
 
 use crate::{
-    kept,
+    check_invariants,
     world::{
         TestWorld,
         lasting,
@@ -108,7 +108,7 @@
     come_back(&world, RISE_MS).await?;
     let harm = world.fleet.longest_harm();
     ensure!(harm < Duration::from_secs(3), "{harm:?}");
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn changes_load() -> Result<()> {
@@ -119,7 +119,7 @@
     }
     world.fleet.set_tails(QUIET_MS, FAINT_MS);
     come_back(&world, RISE_MS).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// Without the fillers the tail is over its target as well; once it is below,
@@ -130,7 +130,7 @@
     sleep_ms(6_000).await;
     world.fleet.set_tails(QUIET_MS, FAINT_MS);
     come_back(&world, RISE_MS).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// Fillers begin at full pace beside a tail that they disturb.
@@ -142,7 +142,7 @@
     world.submit("fill", fillers(2)).await?;
     sleep_ms(8_000).await;
     ensure!(world.fleet.paces().len() == 2, "{:?}", world.fleet.tasks());
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// The owner is lost right when the load rises.
@@ -155,7 +155,7 @@
         sleep_ms(14_000).await;
         world.fleet.set_tails(QUIET_MS, FAINT_MS);
         come_back(&world, RISE_MS).await?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -172,7 +172,7 @@
     world.fleet.set_tails(QUIET_MS, FAINT_MS);
     world.wait_owner(&owner).await?;
     come_back(&world, RISE_MS + 3_000).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn stops_owner_of_paced() -> Result<()> {
@@ -184,7 +184,7 @@
     world.fleet.set_tails(QUIET_MS, FAINT_MS);
     world.wait_owner(&owner).await?;
     come_back(&world, RISE_MS).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn loses_down() -> Result<()> {
@@ -193,7 +193,7 @@
     world.fleet.set_tails(QUIET_MS, LOUD_MS);
     sleep_ms(8_000).await;
     ensure!(world.fleet.pace_fates_left() == 0);
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn loses_up() -> Result<()> {
@@ -204,7 +204,7 @@
     world.fleet.set_tails(QUIET_MS, FAINT_MS);
     come_back(&world, RISE_MS + 4_000).await?;
     ensure!(world.fleet.pace_fates_left() == 0);
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// An order to come back is under way for seconds, and arrives after the fillers
@@ -220,7 +220,7 @@
         sleep_ms(1_000).await;
         world.fleet.set_tails(QUIET_MS, 400);
         sleep_ms(14_000).await;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -236,7 +236,7 @@
     world.fleet.set_tails(QUIET_MS, FAINT_MS);
     sleep_ms(8_000).await;
     come_back(&world, RISE_MS).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn freezes_owner() -> Result<()> {
@@ -252,7 +252,7 @@
         sleep_ms(12_000).await;
         world.fleet.set_tails(QUIET_MS, FAINT_MS);
         come_back(&world, RISE_MS).await?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/limits.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/limits.rs
@@ -24,7 +24,7 @@
 use hoisthitch_tests::world::StoreFaults;
 
 use crate::{
-    kept,
+    check_invariants,
     world::{
         TestNode,
         TestWorld,
@@ -124,7 +124,7 @@
     for id in ids {
         world.wait_phase(id, JobPhase::Completed, 5_000).await?;
     }
-    kept(world)?;
+    check_invariants(world)?;
     Ok(seen)
 }
 
@@ -207,5 +207,5 @@
         let id = format!("j{number}");
         world.wait_phase(&id, JobPhase::Completed, 5_000).await?;
     }
-    kept(&world)
+    check_invariants(&world)
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/main.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/main.rs
@@ -1,6 +1,8 @@
-//! What jobs ask for is kept while owners, runners and clocks fail: times and
-//! order, labels and spread, gangs, targets of serving tasks, leave of advisers,
-//! and one holder for each VM.
+//! Invariants of jobs on a simulated cluster while owners, runners and clocks fail.
+//!
+//! They cover the times of a schedule and the order of steps, labels and the limit of tasks
+//! per runner, gangs, latency targets of serving tasks, tickets of advisers, teams' limits,
+//! runners whose capacity changes, and orders about VMs, which come from one owner at a time.
 
 #[path = "../world/mod.rs"]
 mod world;
@@ -23,7 +25,7 @@
     sleep_ms, //
 };
 
-/// Names each case; every case is played on the paused clock.
+/// Declares one test per case; each runs on the paused clock.
 macro_rules! cases {
     ($($name:ident => $call:expr;)+) => {
         $(
@@ -44,14 +46,14 @@
 mod route;
 mod turns;
 
-/// Checks that nothing broke a rule.
-fn kept(world: &TestWorld) -> Result<()> {
+/// Checks that no invariant was violated.
+fn check_invariants(world: &TestWorld) -> Result<()> {
     let broken = world.fleet.broken();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
 
-/// Names of all tasks of a job, over all its times.
+/// Names of all tasks of a job, over all repetitions of its schedule.
 fn task_names(id: &str, spec: &JobSpec) -> Vec<String> {
     let mut names = Vec::new();
     for round in 0..spec.rounds() {
@@ -62,25 +64,24 @@
     names
 }
 
-/// Checks that each task of a job began once, and is done.
-fn ran_once(world: &TestWorld, id: &str, spec: &JobSpec) -> Result<()> {
+/// Checks that each task of a job was started once and is done.
+fn check_ran_once(world: &TestWorld, id: &str, spec: &JobSpec) -> Result<()> {
     for task in task_names(id, spec) {
         let starts = world.fleet.starts(&task);
-        ensure!(starts == 1, "{task} began {starts} times");
+        ensure!(starts == 1, "{task} was started {starts} times");
         ensure!(world.fleet.is_done(&task), "{task} is not done");
     }
     Ok(())
 }
 
-/// Waits for the end of the job `j`, and checks that all of it ran once.
+/// Waits until job `j` is completed, and checks that each of its tasks ran once.
 async fn finish(world: &TestWorld, spec: &JobSpec, limit_ms: u64) -> Result<()> {
     world.wait_phase("j", JobPhase::Completed, limit_ms).await?;
-    ran_once(world, "j", spec)?;
-    kept(world)
+    check_ran_once(world, "j", spec)?;
+    check_invariants(world)
 }
 
-/// Starts of each run of a job's tasks, by runner: what the trace of a failure
-/// needs.
+/// Starts of a job's runs by time of day (ms, last six digits), for failure messages.
 fn trace(world: &TestWorld, id: &str) -> BTreeMap<u64, Vec<String>> {
     let mut lines: BTreeMap<u64, Vec<String>> = BTreeMap::new();
     for note in world.fleet.start_notes() {
@@ -93,7 +94,7 @@
 }
 
 impl TestWorld {
-    /// Begins a life of a VM's runner with a label.
+    /// Starts a new runner instance with a label on a VM.
     fn begin_labelled(&self, vm: &str, label: &str) -> String {
         let name = self.fleet.begin_kind(vm, label);
         let record = format!("{vm}{LABELLED}{label}");
@@ -102,7 +103,8 @@
         name
     }
 
-    /// Kills the owner; the rules with a time bound wait for its successor.
+    /// Kills the owner and notes the disturbance, so that invariants with a time bound wait for
+    /// its successor.
     fn kill_owner(&self) -> String {
         let owner = self.owner();
         self.nodes[&owner].kill();
--- a/crates/hoisthitch-scheduler/tests/contracts/order.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/order.rs
@@ -12,8 +12,8 @@
 };
 
 use crate::{
+    check_invariants,
     finish,
-    kept,
     trace,
     world::{
         TestWorld,
@@ -209,7 +209,7 @@
     sleep_ms(INTERVAL_MS * u64::from(TIMES)).await;
     ensure!(world.fleet.start_notes().len() == begun);
     world.wait_phase("j", JobPhase::Cancelled, 1_000).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// The owner is lost right after the cancel was accepted, at moments around the
@@ -226,7 +226,7 @@
         sleep_ms(INTERVAL_MS * u64::from(TIMES)).await;
         ensure!(world.fleet.running().is_empty(), "{:?}", trace(&world, "j"));
         world.wait_phase("j", JobPhase::Cancelled, 1_000).await?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/rooms.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/rooms.rs
@@ -10,8 +10,8 @@
 use hoisthitch_jobs::JobPhase;
 
 use crate::{
+    check_invariants,
     finish,
-    kept,
     world::{
         TestWorld,
         job,
@@ -73,7 +73,7 @@
             world.wait_phase(&id, JobPhase::Completed, 60_000).await?;
         }
     }
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// What runs goes on, for nobody asks for its end.
@@ -109,7 +109,7 @@
         }
     }
     sleep_ms(30_000).await;
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn changes_owner() -> Result<()> {
@@ -121,7 +121,7 @@
     let before = world.kill_owner();
     world.wait_owner(&before).await?;
     world.wait_phase("j", JobPhase::Completed, 60_000).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 async fn restarts_smaller() -> Result<()> {
@@ -136,5 +136,5 @@
         world.set_room(&name, &vm, 1_000);
     }
     world.wait_phase("j", JobPhase::Completed, 60_000).await?;
-    kept(&world)
+    check_invariants(&world)
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/route.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/route.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
+    check_invariants,
     finish,
-    kept,
     trace,
     world::{
         TestWorld,
@@ -132,7 +132,7 @@
         sleep_ms(500).await;
         change_kinds(&world, pause_ms).await;
         world.wait_phase("j", JobPhase::Completed, 20_000).await?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -157,7 +157,7 @@
             "{at_work} at work: {:?}",
             trace(&world, "long")
         );
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -187,7 +187,7 @@
         sleep_ms(frozen_ms).await;
         world.nodes[&owner].freeze(false);
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -203,7 +203,7 @@
     sleep_ms(2_500).await;
     let after = world.fleet.runners_of("long");
     ensure!(after.len() == 2 && !after.contains(&before[0]), "{after:?}");
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// All runners of the kind hold a task: what leaves has no place to go.
@@ -229,7 +229,7 @@
         "{:?}",
         trace(&world, "long")
     );
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// A wave takes all VMs down; each comes back as the kind it was.
@@ -256,7 +256,7 @@
         "{:?}",
         trace(&world, "long")
     );
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// Each third order is carried out seconds late, beside an owner that is lost.
@@ -269,7 +269,7 @@
     sleep_ms(6_000).await;
     world.fleet.set_late(0);
     world.wait_phase("j", JobPhase::Completed, 60_000).await?;
-    kept(&world)
+    check_invariants(&world)
 }
 
 /// The owner is lost while a wave moves tasks, one of which is on each runner.
@@ -288,7 +288,7 @@
         }
         ensure!(world.fleet.upkeeps().0 == 4, "{:?}", world.fleet.upkeeps());
         ensure!(world.fleet.runners_of("long").len() == 3);
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/turns.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/turns.rs
@@ -11,7 +11,7 @@
 use hoisthitch_tests::world::StoreFaults;
 
 use crate::{
-    kept,
+    check_invariants,
     world::{
         TestWorld,
         job,
@@ -77,7 +77,7 @@
     sleep_ms(3_000).await;
     let at_work = world.fleet.runners_of("long").len();
     ensure!(at_work == 2, "{at_work} at work");
-    kept(world)
+    check_invariants(world)
 }
 
 /// The order takes long to arrive, is lost, or is done without an answer.
@@ -250,7 +250,7 @@
         world.wait_phase("j", JobPhase::Completed, STILL_MS).await?;
         unhear(&world, &[]);
         sleep_ms(3_000).await;
-        kept(&world)?;
+        check_invariants(&world)?;
     }
     Ok(())
 }
@@ -268,5 +268,5 @@
     world.wait_phase("j", JobPhase::Completed, STILL_MS).await?;
     world.store.set_faults(StoreFaults::default());
     sleep_ms(3_000).await;
-    kept(&world)
+    check_invariants(&world)
 }
