--- a/crates/hoisthitch-scheduler/tests/contracts/advice.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/advice.rs
@@ -1,5 +1,5 @@
-//! Queues with an adviser: tasks start only with leave that holds, and their jobs
-//! go on whatever becomes of the adviser.
+//! Queues with an adviser: tasks start only with a valid ticket, and their jobs go on whatever
+//! happens to the adviser.
 
 use std::time::Duration;
 
@@ -49,17 +49,17 @@
     lasting_task_finds_leave_elsewhere_when_its_runner_leaves => drains();
 }
 
-/// VMs of the cases, and those whose runners have leave.
+/// VMs of the cases, and those for whose runners the adviser gives tickets.
 const VMS: usize = 6;
-const GOOD: [&str; 3] = ["vm-1", "vm-3", "vm-5"];
+const TICKET_VMS: [&str; 3] = ["vm-1", "vm-3", "vm-5"];
 
-/// Calls for advice that a job of one step may cost where nothing is wrong.
-const CALLS_MOST: u64 = 12;
+/// Most requests to the adviser for a job of one step, without faults.
+const MAX_CALLS: u64 = 12;
 
-async fn advised_world() -> Result<(TestWorld, MemoryAdviser)> {
+async fn start_advised() -> Result<(TestWorld, MemoryAdviser)> {
     let world = TestWorld::start(3, VMS).await?;
     let adviser = world.fleet.adviser();
-    adviser.set_good(&GOOD);
+    adviser.set_good(&TICKET_VMS);
     Ok((world, adviser))
 }
 
@@ -68,17 +68,17 @@
 }
 
 async fn starts_with_leave() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     let spec = job("work 300", &[20]);
     submit(&world, &spec).await?;
     finish(&world, &spec, 5_000).await?;
     ensure!(adviser.refused() == 0, "{} were refused", adviser.refused());
-    ensure!(adviser.calls() <= CALLS_MOST, "{} calls", adviser.calls());
+    ensure!(adviser.calls() <= MAX_CALLS, "{} calls", adviser.calls());
     Ok(())
 }
 
 async fn asks_each_step() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     let mut spec = job("work 200", &[4, 4, 4]);
     spec.schedule = Some(hoisthitch_jobs::JobSchedule {
         first_ms: world.fleet.unix_ms() + 200,
@@ -91,9 +91,9 @@
     Ok(())
 }
 
-/// Tasks take longer than a ticket holds, and there is no room for all at once.
+/// Tasks run for longer than a ticket is valid, and there is no capacity for all at once.
 async fn runs_out() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     adviser.set_validity(Duration::from_millis(600));
     let spec = job("work 1500", &[60]);
     submit(&world, &spec).await?;
@@ -102,9 +102,9 @@
     Ok(())
 }
 
-/// Records take longer than what is left of a ticket.
+/// Writing the records takes longer than a ticket stays valid.
 async fn runs_out_under_way() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     adviser.set_validity(Duration::from_millis(500));
     world.store.set_faults(StoreFaults {
         delay: Duration::from_millis(600),
@@ -117,9 +117,9 @@
     finish(&world, &spec, 10_000).await
 }
 
-/// All tickets given so far hold no more, and a runner refuses what brings them.
+/// All tickets given so far become invalid, and runners refuse starts that carry them.
 async fn refuses_tickets() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     adviser.set_validity(Duration::from_secs(30));
     let spec = job("work 800", &[60]);
     submit(&world, &spec).await?;
@@ -136,7 +136,7 @@
 }
 
 async fn goes_silent() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     adviser.set_mood(AdviserMood::Silent);
     let spec = job("work 300", &[6]);
     submit(&world, &spec).await?;
@@ -155,9 +155,9 @@
     finish(&world, &spec, 6_000).await
 }
 
-/// The adviser refuses every call for seconds.
+/// The adviser refuses every request for seconds.
 async fn is_crowded() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     adviser.set_mood(AdviserMood::Crowded);
     let spec = job("work 300", &[6]);
     submit(&world, &spec).await?;
@@ -171,9 +171,9 @@
     finish(&world, &spec, 3_000).await
 }
 
-/// Forty jobs ask an adviser that takes half a second for each step.
+/// Forty jobs need tickets of an adviser that takes half a second for each step.
 async fn is_slow() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     adviser.set_mood(AdviserMood::Answers {
         call: Duration::from_millis(500),
         each: Duration::from_millis(10),
@@ -193,17 +193,18 @@
     check_invariants(&world)
 }
 
-/// Runners with leave crash and come back; leave for the earlier life is none.
+/// Runners with a ticket crash and come back; a ticket for the earlier instance is not valid
+/// for the new one.
 async fn changes_life() -> Result<()> {
     for pause_ms in [0, 50, 1_000] {
-        let (world, adviser) = advised_world().await?;
+        let (world, adviser) = start_advised().await?;
         adviser.set_validity(Duration::from_secs(30));
         let spec = job("work 1000", &[60]);
         submit(&world, &spec).await?;
         sleep_ms(500).await;
         world.fleet.disturb();
         for (runner, vm) in world.fleet.living() {
-            if GOOD.contains(&vm.as_str()) {
+            if TICKET_VMS.contains(&vm.as_str()) {
                 world.fleet.crash(&runner);
                 sleep_ms(pause_ms).await;
                 world.begin_runner(&vm);
@@ -217,7 +218,7 @@
 }
 
 async fn kills_owner() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     let spec = job("work 1000", &[60]);
     submit(&world, &spec).await?;
     sleep_ms(1_300).await;
@@ -229,7 +230,7 @@
 
 async fn kills_owner_that_asks() -> Result<()> {
     for offset in [0, 20, 50, 75, 85, 100] {
-        let (world, _) = advised_world().await?;
+        let (world, _) = start_advised().await?;
         let spec = job("work 500", &[6, 2]);
         submit(&world, &spec).await?;
         sleep_ms(offset).await;
@@ -241,7 +242,7 @@
 
 /// Only three of six runners may run it, each with one member.
 async fn starts_gang() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     adviser.set_validity(Duration::from_millis(600));
     let mut spec = job("work 800", &[3]);
     spec.steps[0].gang = true;
@@ -250,9 +251,9 @@
     finish(&world, &spec, 8_000).await
 }
 
-/// A runner with leave says that it leaves; another one with leave has room.
+/// A runner with a ticket announces its shutdown; another one with a ticket has capacity.
 async fn drains() -> Result<()> {
-    let (world, adviser) = advised_world().await?;
+    let (world, adviser) = start_advised().await?;
     submit(&world, &lasting(2, 1)).await?;
     sleep_ms(3_000).await;
     let before = world.fleet.runners_of("j");
@@ -270,9 +271,9 @@
     check_invariants(&world)
 }
 
-/// A suspect waits for a free runner that it has leave for.
+/// A task that may have crashed its runner waits for a free runner that it has a ticket for.
 async fn crashes_runners() -> Result<()> {
-    let (world, _) = advised_world().await?;
+    let (world, _) = start_advised().await?;
     world.keep_begun(1_500, true);
     let killer = Duration::from_millis(20);
     world.fleet.set_killer("j.0.0.1", killer);
--- a/crates/hoisthitch-scheduler/tests/contracts/gang.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/gang.rs
@@ -1,5 +1,5 @@
-//! Gangs: all members of a run are there at once and share its number, none
-//! waits in vain for the others, and one that is done stands for all.
+//! Gangs: all members of a run exist at the same time and share its run number, none waits
+//! forever for missing members, and one member that is done completes the whole gang.
 
 use std::time::Duration;
 
@@ -48,20 +48,20 @@
 /// Members of a gang.
 const MEMBERS: u32 = 4;
 
-/// Runners where there is room for two gangs, one on the others' heels.
+/// Number of runners: two gangs fit, one started right after the other, with one to spare.
 const RUNNERS: usize = 2 * MEMBERS as usize + 1;
 
-/// Time that runners take for a stop.
+/// Time that runners take to stop a task.
 const STOP_TIME: Duration = Duration::from_millis(700);
 
-/// A world with such runners.
+/// Starts a simulated cluster with such runners.
 async fn gang_world() -> Result<TestWorld> {
     let world = TestWorld::start(3, RUNNERS).await?;
     world.fleet.set_stop_time(STOP_TIME);
     Ok(world)
 }
 
-/// A gang of which one member fits on a runner.
+/// A gang with at most one member per runner.
 fn gang(payload: &str) -> JobSpec {
     let mut spec = job(payload, &[MEMBERS]);
     spec.steps[0].gang = true;
@@ -69,9 +69,9 @@
     spec
 }
 
-/// Checks that the members of a job's gang began under the same runs, and all
-/// of them are done.
-fn ran_together(world: &TestWorld, id: &str, spec: &JobSpec) -> Result<()> {
+/// Checks that the last starts of all members of a job's gang have the same run number, and
+/// that all members are done.
+fn check_ran_together(world: &TestWorld, id: &str, spec: &JobSpec) -> Result<()> {
     for task in task_names(id, spec) {
         ensure!(world.fleet.is_done(&task), "{task}: {:?}", trace(world, id));
     }
@@ -94,7 +94,7 @@
     world.submit("j", spec.clone()).await?;
     world.wait_phase("j", JobPhase::Completed, 3_000).await?;
     check_ran_once(&world, "j", &spec)?;
-    ran_together(&world, "j", &spec)?;
+    check_ran_together(&world, "j", &spec)?;
     check_invariants(&world)
 }
 
@@ -114,7 +114,7 @@
     check_invariants(&world)
 }
 
-/// There is room for all but one; the missing runner comes after seconds.
+/// There is capacity for all members but one; the missing runner joins seconds later.
 async fn waits_for_room() -> Result<()> {
     let world = TestWorld::start(3, MEMBERS as usize - 1).await?;
     let spec = gang("work 800");
@@ -131,7 +131,7 @@
     check_invariants(&world)
 }
 
-/// Runners have room for one gang and all but one of another.
+/// The runners have capacity for one gang only, not for two beside each other.
 async fn takes_turns() -> Result<()> {
     let world = TestWorld::start(3, MEMBERS as usize).await?;
     let mut spec = gang("work 1200");
@@ -146,65 +146,65 @@
     check_invariants(&world)
 }
 
-/// Moments after the hand-in, in milliseconds: before the records, between
-/// records and orders, between the orders of two members, at work.
-const MOMENTS: [u64; 10] = [0, 4, 6, 8, 10, 12, 16, 30, 100, 600];
+/// Times after the submission, in milliseconds: before the records, between records and
+/// orders, between the orders of two members, while the members run.
+const FAULT_DELAYS_MS: [u64; 10] = [0, 4, 6, 8, 10, 12, 16, 30, 100, 600];
 
 async fn kills_owner() -> Result<()> {
-    for moment in MOMENTS {
+    for delay_ms in FAULT_DELAYS_MS {
         let world = gang_world().await?;
         let spec = gang("work 1500");
         world.submit("j", spec.clone()).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         world.kill_owner();
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
-        ran_together(&world, "j", &spec)?;
+        check_ran_together(&world, "j", &spec)?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
 async fn freezes_owner() -> Result<()> {
-    for moment in MOMENTS {
+    for delay_ms in FAULT_DELAYS_MS {
         let world = gang_world().await?;
         let spec = gang("work 1500");
         world.submit("j", spec.clone()).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         let owner = world.owner();
         world.nodes[&owner].freeze(true);
         world.fleet.disturb();
         sleep_ms(4_500).await;
         world.nodes[&owner].freeze(false);
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
-        ran_together(&world, "j", &spec)?;
+        check_ran_together(&world, "j", &spec)?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
-/// A planned stop disturbs nobody: no member may end alone.
+/// A planned shutdown of the owner is no disturbance: no member may end without the others.
 async fn stops_owner() -> Result<()> {
-    for moment in MOMENTS {
+    for delay_ms in FAULT_DELAYS_MS {
         let world = gang_world().await?;
         let spec = gang("work 1500");
         world.submit("j", spec.clone()).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         world.nodes[&world.owner()].stop();
         world.wait_phase("j", JobPhase::Completed, 20_000).await?;
-        ran_together(&world, "j", &spec)?;
+        check_ran_together(&world, "j", &spec)?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
-/// A runner is cut off from all nodes while its member is started, or works.
+/// A runner is cut off from all nodes while its member is started or runs.
 async fn cuts_runner() -> Result<()> {
-    for moment in MOMENTS {
+    for delay_ms in FAULT_DELAYS_MS {
         let world = gang_world().await?;
         let nodes: Vec<String> = world.nodes.keys().cloned().collect();
         let spec = gang("work 6000");
         world.submit("j", spec.clone()).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         let runners = world.fleet.runners_of("j");
         let living = world.fleet.living();
         let cut = runners.first().unwrap_or(&living[0].0);
@@ -214,18 +214,18 @@
         world.fleet.cut(cut, &[]);
         world.fleet.disturb();
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
-        ran_together(&world, "j", &spec)?;
+        check_ran_together(&world, "j", &spec)?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
 async fn crashes_runner() -> Result<()> {
-    for moment in MOMENTS {
+    for delay_ms in FAULT_DELAYS_MS {
         let world = gang_world().await?;
         let spec = gang("work 2000");
         world.submit("j", spec.clone()).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         let runners = world.fleet.runners_of("j");
         let living = world.fleet.living();
         let lost = runners.first().unwrap_or(&living[0].0);
@@ -236,32 +236,32 @@
         sleep_ms(1_000).await;
         world.begin_runner(&vm);
         world.wait_phase("j", JobPhase::Completed, 30_000).await?;
-        ran_together(&world, "j", &spec)?;
+        check_ran_together(&world, "j", &spec)?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
-/// A runner says that it leaves while its member is started, and serves on for
-/// long enough.
+/// A runner announces its shutdown while its member is started, and keeps running for long
+/// enough.
 async fn drains_runner() -> Result<()> {
-    for moment in MOMENTS {
+    for delay_ms in FAULT_DELAYS_MS {
         let world = gang_world().await?;
         let spec = gang("work 1500");
         world.submit("j", spec.clone()).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         let runners = world.fleet.runners_of("j");
         let living = world.fleet.living();
         world.drain_runner(runners.first().unwrap_or(&living[0].0));
         world.wait_phase("j", JobPhase::Completed, 20_000).await?;
-        ran_together(&world, "j", &spec)?;
+        check_ran_together(&world, "j", &spec)?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
-/// One runner is sick and refuses each start; another comes later. The others
-/// must not be left to wait for a member that is not there.
+/// One runner refuses each start, and another one joins later. The other members must not
+/// be left waiting for a member that does not exist.
 async fn refuses_member() -> Result<()> {
     let world = TestWorld::start(3, MEMBERS as usize).await?;
     world.fleet.set_stop_time(STOP_TIME);
@@ -272,7 +272,7 @@
     sleep_ms(8_000).await;
     world.begin_runner("vm-9");
     world.wait_phase("j", JobPhase::Completed, 20_000).await?;
-    ran_together(&world, "j", &spec)?;
+    check_ran_together(&world, "j", &spec)?;
     check_invariants(&world)
 }
 
@@ -298,7 +298,7 @@
     Ok(())
 }
 
-/// Some writes are done seconds late, and not answered.
+/// Some writes to the store are applied seconds late and get no response.
 async fn writes_late() -> Result<()> {
     for every in [2, 3, 5] {
         let world = gang_world().await?;
@@ -316,17 +316,17 @@
         world.store.set_faults(StoreFaults::default());
         world.fleet.disturb();
         world.wait_phase("j", JobPhase::Completed, 60_000).await?;
-        ran_together(&world, "j", &spec)?;
+        check_ran_together(&world, "j", &spec)?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
 async fn cancels() -> Result<()> {
-    for moment in MOMENTS {
+    for delay_ms in FAULT_DELAYS_MS {
         let world = gang_world().await?;
         world.submit("j", gang("work 9000")).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         world.cancel("j").await?;
         sleep_ms(3_500).await;
         ensure!(world.fleet.running().is_empty(), "{:?}", trace(&world, "j"));
@@ -335,8 +335,8 @@
     Ok(())
 }
 
-/// All but one of the runners are cut off while the gang works, or crash once it
-/// is done: their ends are never heard.
+/// All runners but one are cut off while the gang runs, or crash once it is done, so that the
+/// ends of their members are never reported.
 async fn stands_for_all() -> Result<()> {
     for crashes in [false, true] {
         let world = gang_world().await?;
@@ -366,12 +366,12 @@
 }
 
 async fn orders_steps() -> Result<()> {
-    for moment in [0, 20, 700, 1_000, 1_020, 1_100] {
+    for delay_ms in [0, 20, 700, 1_000, 1_020, 1_100] {
         let world = gang_world().await?;
         let mut spec = job("work 1000", &[MEMBERS, 3]);
         spec.steps[0].gang = true;
         world.submit("j", spec.clone()).await?;
-        sleep_ms(moment).await;
+        sleep_ms(delay_ms).await;
         world.kill_owner();
         world.wait_phase("j", JobPhase::Completed, 40_000).await?;
         check_invariants(&world)?;
--- a/crates/hoisthitch-scheduler/tests/contracts/limits.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/limits.rs
@@ -1,9 +1,9 @@
-//! A team's limit: what it has running never passes it, whoever owns the pool, and others
-//! go on beside it.
+//! A team's limit: its running tasks never exceed it, whoever owns the pool, and other teams'
+//! tasks go on beside them.
 //!
-//! Seen: a team had up to 42 starts beyond its limit in a day of a grown fleet.
-//! Cause: nothing read the limits.
-//! What proved it: the same cases on the code before, where all of a team's tasks run at once.
+//! The failure: a team had up to 42 starts beyond its limit in a simulated day of a grown
+//! fleet, as nothing read the limits. On the code before the fix, all of a team's tasks run at
+//! once in these cases.
 
 use std::time::Duration;
 
@@ -48,19 +48,19 @@
     many_teams_that_come_at_once_are_served => many_teams();
 }
 
-/// Limit of the team, in cores; its tasks take one each.
+/// Limit of the team, in cores; each of its tasks requests one.
 const LIMIT: usize = 6;
 
-/// Tasks beyond the limit that the users allow: a tenth, and one more.
-const BEYOND: usize = LIMIT / 10 + 1;
+/// Tasks beyond the limit that the users allow: a tenth of it, and one more.
+const TOLERANCE: usize = LIMIT / 10 + 1;
 
-/// Puts a configuration in force by which each team may have so many cores running.
-fn limit_choirs(world: &TestWorld, version: u64, cores: usize) {
+/// Writes a configuration that limits each team to `cores`.
+fn limit_teams(world: &TestWorld, version: u64, cores: usize) {
     let text = format!("{version}{LIMITED}{cores}");
     world.store.put("op/policy", Some(text.as_bytes()), 0);
 }
 
-/// Hands a job of a team in.
+/// Submits a team's job.
 async fn submit_for(world: &TestWorld, team: &str, id: &str, spec: JobSpec) -> Result<()> {
     let node = world.nodes.values().next();
     submit_by(node.ok_or_eyre("there is no node")?, team, id, spec).await
@@ -79,13 +79,13 @@
 
 async fn start(nodes: usize) -> Result<TestWorld> {
     let world = TestWorld::start(nodes, 4).await?;
-    limit_choirs(&world, 2, LIMIT);
+    limit_teams(&world, 2, LIMIT);
     sleep_ms(500).await;
     Ok(world)
 }
 
-/// Hands in more than the team may have running, and some of no team beside it.
-async fn hand_in(world: &TestWorld) -> Result<Vec<String>> {
+/// Submits more of one team's tasks than its limit allows, and jobs without a team beside them.
+async fn submit_jobs(world: &TestWorld) -> Result<Vec<String>> {
     let mut ids = Vec::new();
     for number in 0..6 {
         let id = format!("choir{number}");
@@ -106,8 +106,8 @@
         .count()
 }
 
-/// Follows the jobs to their end; answers with the most that the team had running.
-async fn follow(world: &TestWorld, ids: &[String], most: usize) -> Result<usize> {
+/// Waits until the jobs are completed, and returns the most tasks that the team had running.
+async fn wait_within(world: &TestWorld, ids: &[String], most: usize) -> Result<usize> {
     let mut seen = 0;
     for _ in 0..3_000 {
         let now = running(world);
@@ -130,19 +130,19 @@
 
 async fn keeps() -> Result<()> {
     let world = start(1).await?;
-    let ids = hand_in(&world).await?;
-    let seen = follow(&world, &ids, LIMIT + BEYOND).await?;
+    let ids = submit_jobs(&world).await?;
+    let seen = wait_within(&world, &ids, LIMIT + TOLERANCE).await?;
     ensure!(seen == LIMIT, "the limit is used: {seen}");
     Ok(())
 }
 
 async fn owners_in_turn() -> Result<()> {
     let mut world = start(3).await?;
-    let ids = hand_in(&world).await?;
+    let ids = submit_jobs(&world).await?;
     for _ in 0..3 {
         for _ in 0..100 {
             let now = running(&world);
-            ensure!(now <= LIMIT + BEYOND, "{now} tasks of the team run");
+            ensure!(now <= LIMIT + TOLERANCE, "{now} tasks of the team run");
             sleep_ms(10).await;
         }
         let owner = world.owner();
@@ -151,7 +151,7 @@
         }
         world.start_node(&owner)?;
     }
-    follow(&world, &ids, LIMIT + BEYOND).await?;
+    wait_within(&world, &ids, LIMIT + TOLERANCE).await?;
     Ok(())
 }
 
@@ -162,34 +162,34 @@
         late: Duration::from_millis(700),
         ..StoreFaults::default()
     });
-    let ids = hand_in(&world).await?;
-    follow(&world, &ids, LIMIT + BEYOND).await?;
+    let ids = submit_jobs(&world).await?;
+    wait_within(&world, &ids, LIMIT + TOLERANCE).await?;
     Ok(())
 }
 
 async fn lowers() -> Result<()> {
     let world = start(1).await?;
-    let ids = hand_in(&world).await?;
+    let ids = submit_jobs(&world).await?;
     sleep_ms(600).await;
-    limit_choirs(&world, 3, 2);
+    limit_teams(&world, 3, 2);
     sleep_ms(1_500).await;
-    let seen = follow(&world, &ids, 3).await?;
+    let seen = wait_within(&world, &ids, 3).await?;
     ensure!(seen == 2, "the lower limit is used: {seen}");
     Ok(())
 }
 
 async fn raises() -> Result<()> {
     let world = start(1).await?;
-    let ids = hand_in(&world).await?;
+    let ids = submit_jobs(&world).await?;
     sleep_ms(600).await;
-    limit_choirs(&world, 3, 12);
-    let seen = follow(&world, &ids, 14).await?;
+    limit_teams(&world, 3, 12);
+    let seen = wait_within(&world, &ids, 14).await?;
     ensure!(seen == 12, "the higher limit is used: {seen}");
     Ok(())
 }
 
-/// A new owner finds jobs of so many teams that one write of the store does not take the
-/// changes of all their parts.
+/// A new owner finds jobs of so many teams that the changes of all their quota allocations do
+/// not fit into one write to the store.
 async fn many_teams() -> Result<()> {
     let world = start(2).await?;
     let owner = world.owner();
--- a/crates/hoisthitch-scheduler/tests/contracts/main.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/main.rs
@@ -81,7 +81,7 @@
     check_invariants(world)
 }
 
-/// Starts of a job's runs by time of day (ms, last six digits), for failure messages.
+/// Starts of a job's runs by Unix time (ms, last six digits), for failure messages.
 fn trace(world: &TestWorld, id: &str) -> BTreeMap<u64, Vec<String>> {
     let mut lines: BTreeMap<u64, Vec<String>> = BTreeMap::new();
     for note in world.fleet.start_notes() {
--- a/crates/hoisthitch-scheduler/tests/contracts/rooms.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/rooms.rs
@@ -1,5 +1,5 @@
-//! Room that shrinks and grows while runners run: no start brings a runner over it, also
-//! where runners start whatever they are told.
+//! Capacity of runners that shrinks and grows while tasks run: no start takes a runner over
+//! its capacity, even where runners carry out every start that they receive.
 
 use std::time::Duration;
 
@@ -30,10 +30,10 @@
     new_life_is_used_by_its_own_room => restarts_smaller();
 }
 
-/// Time after which a room that has shrunk counts, and some to spare.
-const COUNTS_MS: u64 = 5_000;
+/// Time after which a reduced capacity counts, with a margin.
+const REDUCTION_APPLIES_MS: u64 = 5_000;
 
-/// Sets the room of all runners, in thousandths of a core.
+/// Sets the capacity of all runners, in thousandths of a core.
 fn set_rooms(world: &TestWorld, cpu_milli: u64) {
     for (name, vm) in world.fleet.living() {
         world.set_room(&name, &vm, cpu_milli);
@@ -43,7 +43,7 @@
 async fn shrinks_and_grows() -> Result<()> {
     let world = TestWorld::start(1, 2).await?;
     set_rooms(&world, 2_000);
-    sleep_ms(COUNTS_MS).await;
+    sleep_ms(REDUCTION_APPLIES_MS).await;
     let spec = job("work 500", &[16]);
     world.submit("j", spec.clone()).await?;
     sleep_ms(700).await;
@@ -62,7 +62,7 @@
             world.submit(&id, job("work 900", &[4, 4])).await?;
         }
         set_rooms(&world, 3_000);
-        sleep_ms(COUNTS_MS + 1_500).await;
+        sleep_ms(REDUCTION_APPLIES_MS + 1_500).await;
         set_rooms(&world, 8_000);
         sleep_ms(1_000).await;
     }
@@ -76,7 +76,7 @@
     check_invariants(&world)
 }
 
-/// What runs goes on, for nobody asks for its end.
+/// Running tasks go on, as nothing requires them to end.
 async fn shrinks_below() -> Result<()> {
     let world = TestWorld::start(1, 2).await?;
     world.submit("long", lasting(2, 1)).await?;
@@ -92,13 +92,13 @@
     Ok(())
 }
 
-/// Starts that got no answer are carried out late, elsewhere than their tasks run now, and
-/// take a while to stop.
+/// Starts that got no response are carried out late, on other runners than those where their
+/// tasks run by then, and those runs take a while to stop.
 async fn late_strays() -> Result<()> {
     let world = TestWorld::start(2, 3).await?;
     set_rooms(&world, 3_000);
     world.fleet.set_stop_time(Duration::from_millis(900));
-    sleep_ms(COUNTS_MS).await;
+    sleep_ms(REDUCTION_APPLIES_MS).await;
     for number in 0..30 {
         world.fleet.set_late(if number < 20 { 2 } else { 0 });
         let id = format!("j{number}");
--- a/crates/hoisthitch-scheduler/tests/contracts/route.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/route.rs
@@ -1,5 +1,5 @@
-//! Tasks go only to runners with the label that their step asks for, and no
-//! runner holds more of a step than it allows.
+//! Labels and the limit of tasks per runner: tasks run only on runners with the label that
+//! their step requires, and no runner has more tasks of a step than the step allows.
 
 use eyre::{
     Result,
@@ -39,8 +39,8 @@
     late_orders_break_neither_label_nor_spread => orders_late();
 }
 
-/// A world of two kinds, three VMs of each.
-async fn kinds() -> Result<TestWorld> {
+/// Starts a simulated cluster with runners of two labels, three VMs for each.
+async fn start_labelled() -> Result<TestWorld> {
     let world = TestWorld::start(3, 0).await?;
     for vm in 0..6 {
         let label = if vm < 3 { "big" } else { "small" };
@@ -50,24 +50,24 @@
     Ok(world)
 }
 
-/// A job for one kind, with at most `spread` tasks on a runner.
-fn labelled(payload: &str, count: u32, spread: u32) -> JobSpec {
+/// A job for one label, with at most `max_per_runner` tasks on a runner.
+fn labelled(payload: &str, count: u32, max_per_runner: u32) -> JobSpec {
     let mut spec = job(payload, &[count]);
     spec.steps[0].label = Some("big".to_owned());
-    spec.steps[0].max_per_runner = spread;
+    spec.steps[0].max_per_runner = max_per_runner;
     spec
 }
 
-/// Lasting tasks for one kind, one on a runner.
-fn lasting_labelled(count: u32) -> JobSpec {
+/// Long-running tasks for one label, one on a runner.
+fn long_running_labelled(count: u32) -> JobSpec {
     let mut spec = lasting(count, 1);
     spec.steps[0].label = Some("big".to_owned());
     spec
 }
 
-/// More tasks than the kind has room for, beside idle runners of the other.
+/// More tasks than runners of the label have capacity for, beside idle runners of the other.
 async fn runs_labelled() -> Result<()> {
-    let world = kinds().await?;
+    let world = start_labelled().await?;
     let spec = labelled("work 300", 60, 0);
     world.submit("j", spec.clone()).await?;
     finish(&world, &spec, 20_000).await
@@ -89,7 +89,7 @@
 
 /// Ten tasks on six runners, one at a time on each.
 async fn spreads() -> Result<()> {
-    let world = kinds().await?;
+    let world = start_labelled().await?;
     let mut spec = job("work 500", &[10]);
     spec.steps[0].max_per_runner = 1;
     world.submit("j", spec.clone()).await?;
@@ -99,9 +99,9 @@
     finish(&world, &spec, 10_000).await
 }
 
-/// What counts against the limit is of one time: two that overlap share runners.
+/// The limit counts tasks of one repetition: repetitions that overlap share runners.
 async fn spreads_times() -> Result<()> {
-    let world = kinds().await?;
+    let world = start_labelled().await?;
     let mut spec = labelled("work 1500", 3, 1);
     spec.schedule = Some(hoisthitch_jobs::JobSchedule {
         first_ms: world.fleet.unix_ms() + 200,
@@ -115,8 +115,8 @@
     finish(&world, &spec, 10_000).await
 }
 
-/// Ends the lives of all VMs of the kind but one; they come back as the other.
-async fn change_kinds(world: &TestWorld, pause_ms: u64) {
+/// Crashes the runners of all VMs of the label but one; they come back with the other label.
+async fn change_labels(world: &TestWorld, pause_ms: u64) {
     for (runner, vm) in &world.fleet.living()[..2] {
         world.fleet.crash(runner);
         sleep_ms(pause_ms).await;
@@ -127,34 +127,34 @@
 
 async fn changes_kind() -> Result<()> {
     for pause_ms in [0, 30, 1_000] {
-        let world = kinds().await?;
+        let world = start_labelled().await?;
         world.submit("j", labelled("work 1000", 20, 0)).await?;
         sleep_ms(500).await;
-        change_kinds(&world, pause_ms).await;
+        change_labels(&world, pause_ms).await;
         world.wait_phase("j", JobPhase::Completed, 20_000).await?;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
-/// The new owner finds records of runs on lives that are over, beside new ones
-/// of another kind at the same place.
+/// The new owner finds records of runs on instances that have ended, beside new instances
+/// with another label on the same VMs.
 async fn changes_kind_and_owner() -> Result<()> {
     for offset in [0, 30, 120, 600] {
-        let world = kinds().await?;
-        world.submit("long", lasting_labelled(2)).await?;
+        let world = start_labelled().await?;
+        world.submit("long", long_running_labelled(2)).await?;
         world.submit("j", labelled("work 1000", 20, 0)).await?;
         sleep_ms(700).await;
         world.kill_owner();
         sleep_ms(offset).await;
-        change_kinds(&world, 30).await;
+        change_labels(&world, 30).await;
         world.wait_phase("j", JobPhase::Completed, 30_000).await?;
         sleep_ms(9_000).await;
-        // One runner of the kind is left, and holds one of the two.
-        let at_work = world.fleet.runners_of("long").len();
+        // One runner of the label is left, and runs one of the two tasks.
+        let available = world.fleet.runners_of("long").len();
         ensure!(
-            at_work == 1,
-            "{at_work} at work: {:?}",
+            available == 1,
+            "{available} available: {:?}",
             trace(&world, "long")
         );
         check_invariants(&world)?;
@@ -162,10 +162,10 @@
     Ok(())
 }
 
-/// The owner is lost while tasks that must not share a runner are started.
+/// The owner is killed while tasks that must not share a runner are started.
 async fn changes_owner() -> Result<()> {
     for offset in [0, 10, 20, 30, 45, 60, 100, 300, 900] {
-        let world = kinds().await?;
+        let world = start_labelled().await?;
         let spec = labelled("work 2000", 9, 1);
         world.submit("j", spec.clone()).await?;
         sleep_ms(offset).await;
@@ -175,10 +175,10 @@
     Ok(())
 }
 
-/// The owner stands still while tasks end and its successor starts others.
+/// The owner is frozen while tasks end and its successor starts others.
 async fn freezes_owner() -> Result<()> {
     for frozen_ms in [600, 2_500, 4_000, 6_000] {
-        let world = kinds().await?;
+        let world = start_labelled().await?;
         world.submit("j", labelled("work 700", 12, 1)).await?;
         sleep_ms(300).await;
         let owner = world.owner();
@@ -192,10 +192,10 @@
     Ok(())
 }
 
-/// Two of three runners of the kind hold a task, and one of them leaves.
+/// Two of three runners of the label run a task, and one of them drains.
 async fn drains() -> Result<()> {
-    let world = kinds().await?;
-    world.submit("long", lasting_labelled(2)).await?;
+    let world = start_labelled().await?;
+    world.submit("long", long_running_labelled(2)).await?;
     sleep_ms(3_000).await;
     let before = world.fleet.runners_of("long");
     ensure!(before.len() == 2, "{before:?}");
@@ -206,10 +206,10 @@
     check_invariants(&world)
 }
 
-/// All runners of the kind hold a task: what leaves has no place to go.
+/// All runners of the label run a task: the task of one that drains can't move.
 async fn drains_without_room() -> Result<()> {
-    let world = kinds().await?;
-    world.submit("long", lasting_labelled(3)).await?;
+    let world = start_labelled().await?;
+    world.submit("long", long_running_labelled(3)).await?;
     sleep_ms(3_000).await;
     let before = world.fleet.runners_of("long");
     ensure!(before.len() == 3, "{before:?}");
@@ -232,10 +232,10 @@
     check_invariants(&world)
 }
 
-/// A wave takes all VMs down; each comes back as the kind it was.
+/// A wave takes all VMs down; each comes back with the label that it had.
 async fn takes_wave() -> Result<()> {
-    let world = kinds().await?;
-    world.submit("long", lasting_labelled(2)).await?;
+    let world = start_labelled().await?;
+    world.submit("long", long_running_labelled(2)).await?;
     sleep_ms(3_000).await;
     let vms = "vm-0,vm-1,vm-2,vm-3,vm-4,vm-5";
     world.store.put("op/wave/1", Some(vms.as_bytes()), 0);
@@ -259,9 +259,9 @@
     check_invariants(&world)
 }
 
-/// Each third order is carried out seconds late, beside an owner that is lost.
+/// Each third order is carried out seconds late, and the owner is killed.
 async fn orders_late() -> Result<()> {
-    let world = kinds().await?;
+    let world = start_labelled().await?;
     world.fleet.set_late(3);
     world.submit("j", labelled("work 700", 12, 1)).await?;
     sleep_ms(1_500).await;
@@ -272,7 +272,7 @@
     check_invariants(&world)
 }
 
-/// The owner is lost while a wave moves tasks, one of which is on each runner.
+/// The owner is killed while a wave moves tasks that must not share a runner.
 async fn loses_owner_in_wave() -> Result<()> {
     for offset in [300, 700, 1_500, 2_600] {
         let world = TestWorld::start(3, 4).await?;
--- a/crates/hoisthitch-scheduler/tests/contracts/turns.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/turns.rs
@@ -1,5 +1,5 @@
-//! Orders about a VM: they never come from two holders in turn, whatever becomes
-//! of an owner that has one under way.
+//! Orders about a VM: they never alternate between two owners, whatever happens to an owner
+//! with an order in flight.
 
 use std::time::Duration;
 
@@ -37,12 +37,12 @@
 /// VMs of the cases.
 const VMS: usize = 4;
 
-/// Longest time that a job may stand still while its owner hears no answers:
-/// some leases of members, and an election.
-const STILL_MS: u64 = 12_000;
+/// Longest time that a job may make no progress while its owner receives no responses: a few
+/// member leases and an election.
+const MAX_STALL_MS: u64 = 12_000;
 
-/// A world with a wave of all VMs that is about to begin.
-async fn waving() -> Result<TestWorld> {
+/// Starts a simulated cluster with a wave of all VMs that is about to begin.
+async fn start_wave() -> Result<TestWorld> {
     let world = TestWorld::start(4, VMS).await?;
     world.submit("long", lasting(2, 1)).await?;
     sleep_ms(4_000).await;
@@ -52,7 +52,7 @@
     Ok(world)
 }
 
-/// Waits until an order about some VM was given.
+/// Waits until an order about any VM was sent.
 async fn wait_order(world: &TestWorld) -> Result<()> {
     for _ in 0..2_000 {
         if (0..VMS).any(|vm| world.fleet.was_ordered(&format!("vm-{vm}"))) {
@@ -63,8 +63,9 @@
     eyre::bail!("no order in 4 s")
 }
 
-/// Lets the wave end; each VM has had its upkeep and no rule was broken.
-async fn finish(world: &TestWorld) -> Result<()> {
+/// Waits until the wave is completed, and checks that each VM had its maintenance and that no
+/// invariant was violated.
+async fn finish_wave(world: &TestWorld) -> Result<()> {
     for _ in 0..900 {
         sleep_ms(100).await;
         world.revive();
@@ -75,27 +76,28 @@
     let (vms, most) = world.fleet.upkeeps();
     ensure!(vms == VMS && most <= 2, "{vms} VMs, {most} at once");
     sleep_ms(3_000).await;
-    let at_work = world.fleet.runners_of("long").len();
-    ensure!(at_work == 2, "{at_work} at work");
+    let available = world.fleet.runners_of("long").len();
+    ensure!(available == 2, "{available} available");
     check_invariants(world)
 }
 
-/// The order takes long to arrive, is lost, or is done without an answer.
+/// The order is carried out without a response, is lost, or takes long to arrive, and its
+/// owner is killed.
 async fn kills_owner() -> Result<()> {
-    for (way_ms, lost) in [(0, false), (0, true), (300, false), (800, false)] {
-        let world = waving().await?;
-        world.fleet.slow_vm_orders(Duration::from_millis(way_ms));
+    for (delay_ms, lost) in [(0, false), (0, true), (300, false), (800, false)] {
+        let world = start_wave().await?;
+        world.fleet.slow_vm_orders(Duration::from_millis(delay_ms));
         world.fleet.lose_vm_orders(lost);
         wait_order(&world).await?;
         world.kill_owner();
         world.fleet.lose_vm_orders(false);
-        finish(&world).await?;
+        finish_wave(&world).await?;
     }
     Ok(())
 }
 
 async fn kills_in_series() -> Result<()> {
-    let mut world = waving().await?;
+    let mut world = start_wave().await?;
     world.fleet.lose_vm_orders(true);
     wait_order(&world).await?;
     for _ in 0..3 {
@@ -105,14 +107,14 @@
         world.start_node(&owner)?;
     }
     world.fleet.lose_vm_orders(false);
-    finish(&world).await
+    finish_wave(&world).await
 }
 
-/// The owner stands still right after it gave an order, and wakes before or
-/// after it is replaced.
+/// The owner is frozen right after it sent an order, and resumes before or after it is
+/// replaced.
 async fn freezes_owner() -> Result<()> {
     for frozen_ms in [500, 1_500, 2_200, 3_000, 5_000] {
-        let world = waving().await?;
+        let world = start_wave().await?;
         world.fleet.slow_vm_orders(Duration::from_millis(200));
         wait_order(&world).await?;
         let owner = world.owner();
@@ -120,61 +122,62 @@
         world.fleet.disturb();
         sleep_ms(frozen_ms).await;
         world.nodes[&owner].freeze(false);
-        finish(&world).await?;
+        finish_wave(&world).await?;
     }
     Ok(())
 }
 
-/// The owner's VM is suspended right after it gave an order: its steady clock does not tell
-/// it how long.
+/// The owner's VM is suspended right after it sent an order; its monotonic clock does not
+/// count that time.
 async fn suspends_owner() -> Result<()> {
-    for asleep_ms in [500, 1_500, 2_200, 3_000, 5_000] {
-        let world = waving().await?;
+    for suspended_ms in [500, 1_500, 2_200, 3_000, 5_000] {
+        let world = start_wave().await?;
         world.fleet.slow_vm_orders(Duration::from_millis(200));
         wait_order(&world).await?;
         let owner = world.owner();
         world.fleet.disturb();
-        world.nodes[&owner].suspend(asleep_ms).await;
-        finish(&world).await?;
+        world.nodes[&owner].suspend(suspended_ms).await;
+        finish_wave(&world).await?;
     }
     Ok(())
 }
 
-/// The same, at moments before its first order, for longer than it takes to be replaced.
+/// The owner's VM is suspended at moments before its first order, for longer than it takes to
+/// replace the owner.
 async fn suspends_before() -> Result<()> {
     let first = first_order_ms().await?;
     for before in [1, 8, 22, 38, 55, 90] {
-        let world = waving_slowly().await?;
+        let world = start_slow_wave().await?;
         sleep_ms(first.saturating_sub(before)).await;
         let owner = world.owner();
         world.fleet.disturb();
         world.nodes[&owner].suspend(6_500).await;
-        finish(&world).await?;
+        finish_wave(&world).await?;
     }
     Ok(())
 }
 
-/// Time that answers of the store are under way, in milliseconds: an owner can be
-/// frozen between the record of an order and the order.
-const BACK_MS: u64 = 40;
+/// Delay of the store's responses, in milliseconds, so that an owner can be frozen between
+/// the record of an order and the order.
+const RESPONSE_DELAY_MS: u64 = 40;
 
-/// A world with a wave that is about to begin, where the store's answers take
-/// their time.
-async fn waving_slowly() -> Result<TestWorld> {
-    let world = waving().await?;
+/// Starts a simulated cluster with a wave that is about to begin, where the store's responses
+/// are delayed.
+async fn start_slow_wave() -> Result<TestWorld> {
+    let world = start_wave().await?;
     world.store.set_faults(StoreFaults {
-        back: Duration::from_millis(BACK_MS),
+        back: Duration::from_millis(RESPONSE_DELAY_MS),
         ..StoreFaults::default()
     });
     Ok(world)
 }
 
-/// The owner stands still at moments before its first order; its successor gives
-/// its own, and the first one wakes.
+/// The owner is frozen at moments before its first order; its successor sends its own orders,
+/// then the first owner resumes.
 async fn freezes_before() -> Result<()> {
     let first = first_order_ms().await?;
     for before in [1, 4, 8, 15, 22, 30, 38, 45, 55, 70, 90, 150] {
-        let world = waving_slowly().await?;
+        let world = start_slow_wave().await?;
         sleep_ms(first.saturating_sub(before)).await;
         let owner = world.owner();
         world.nodes[&owner].freeze(true);
@@ -182,23 +185,23 @@
         world.wait_owner(&owner).await?;
         sleep_ms(3_500).await;
         world.nodes[&owner].freeze(false);
-        finish(&world).await?;
+        finish_wave(&world).await?;
     }
     Ok(())
 }
 
-/// Time from the wave's order to the first order about a VM.
+/// Time from the request for the wave to the first order about a VM, in milliseconds.
 async fn first_order_ms() -> Result<u64> {
-    let world = waving_slowly().await?;
+    let world = start_slow_wave().await?;
     let from = world.fleet.unix_ms();
     wait_order(&world).await?;
     Ok(world.fleet.unix_ms() - from)
 }
 
-/// The owner reaches the VMs' side and not the store.
+/// The owner reaches the platform's VM interface but not the store.
 async fn cuts_owner() -> Result<()> {
     for offset in [0, 100, 400, 1_000] {
-        let world = waving().await?;
+        let world = start_wave().await?;
         sleep_ms(offset).await;
         let owner = world.owner();
         world.store.set_faults(StoreFaults {
@@ -208,14 +211,14 @@
         world.fleet.disturb();
         sleep_ms(7_000).await;
         world.store.set_faults(StoreFaults::default());
-        finish(&world).await?;
+        finish_wave(&world).await?;
     }
     Ok(())
 }
 
-/// What the owner sends arrives, and no answer comes back: neither from the
-/// store nor from runners, nor about VMs.
-fn unhear(world: &TestWorld, nodes: &[String]) {
+/// Loses all responses to those nodes, of the store, of runners and about VMs, while their
+/// requests arrive.
+fn lose_responses(world: &TestWorld, nodes: &[String]) {
     world.fleet.unhear(nodes);
     world.fleet.disturb();
     world.store.set_faults(StoreFaults {
@@ -226,36 +229,38 @@
 
 async fn unhears_owner() -> Result<()> {
     for offset in [0, 100, 400, 700, 1_000, 1_500] {
-        let world = waving().await?;
+        let world = start_wave().await?;
         sleep_ms(offset).await;
-        unhear(&world, &[world.owner()]);
+        lose_responses(&world, &[world.owner()]);
         for _ in 0..80 {
             sleep_ms(100).await;
             world.revive();
         }
-        unhear(&world, &[]);
-        finish(&world).await?;
+        lose_responses(&world, &[]);
+        finish_wave(&world).await?;
     }
     Ok(())
 }
 
-/// Whoever asks another node finds the job completed though the owner hears
-/// nothing for all that time.
+/// Other nodes report the job as completed although its owner receives no responses for the
+/// whole time.
 async fn unhears_with_jobs() -> Result<()> {
     for offset in [0, 10, 100, 500] {
         let world = TestWorld::start(4, VMS).await?;
         world.submit("j", job("work 500", &[6, 3])).await?;
         sleep_ms(offset).await;
-        unhear(&world, &[world.owner()]);
-        world.wait_phase("j", JobPhase::Completed, STILL_MS).await?;
-        unhear(&world, &[]);
+        lose_responses(&world, &[world.owner()]);
+        world
+            .wait_phase("j", JobPhase::Completed, MAX_STALL_MS)
+            .await?;
+        lose_responses(&world, &[]);
         sleep_ms(3_000).await;
         check_invariants(&world)?;
     }
     Ok(())
 }
 
-/// Only the store's answers are lost; runners are heard.
+/// Only the store's responses are lost; those of runners arrive.
 async fn unhears_store() -> Result<()> {
     let world = TestWorld::start(4, VMS).await?;
     world.submit("j", job("work 500", &[6, 3])).await?;
@@ -265,7 +270,9 @@
         ..StoreFaults::default()
     });
     world.fleet.disturb();
-    world.wait_phase("j", JobPhase::Completed, STILL_MS).await?;
+    world
+        .wait_phase("j", JobPhase::Completed, MAX_STALL_MS)
+        .await?;
     world.store.set_faults(StoreFaults::default());
     sleep_ms(3_000).await;
     check_invariants(&world)
