--- a/crates/hoisthitch-scheduler/tests/policy.rs
+++ b/crates/hoisthitch-scheduler/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Which queue a request is for: the index finds what a look at all queues does.
+//! Routing of requests to queues: the index finds the same queue as a scan of all queues.
 
 use hoisthitch_jobs::QueuePolicy;
 use hoisthitch_scheduler::platform::{
@@ -7,7 +7,7 @@
 };
 use quickcheck::quickcheck;
 
-/// Hosts of the cases; some differ by case alone.
+/// Hosts of the generated cases; two differ only in letter case.
 const HOSTS: [&str; 5] = [
     "halls.example",
     "Halls.Example",
@@ -16,9 +16,10 @@
     "",
 ];
 
-/// Parts of the cases' paths and prefixes, which start with each other often.
+/// Parts of the generated paths and prefixes, which are often prefixes of each other.
 const PARTS: [&str; 6] = ["/", "/hold", "/hold/", "é", "hold", ""];
 
+/// A path or prefix of at most three parts.
 fn text(parts: &[u8]) -> String {
     let parts = parts.iter().take(3);
     parts
@@ -47,7 +48,8 @@
     }
 }
 
-/// Looks at all queues; of equal ones the last counts.
+/// The queue of the longest matching prefix, by a scan of all queues, and the rest of the path;
+/// of equal prefixes the last queue counts.
 fn scan<'a>(queues: &[QueueRoute], host: &str, path: &'a str) -> Option<(String, &'a str)> {
     queues
         .iter()
@@ -62,13 +64,13 @@
 }
 
 quickcheck! {
-    fn index_finds_what_a_scan_finds(rows: Vec<(u8, Vec<u8>)>, asks: Vec<(u8, Vec<u8>)>) -> bool {
+    fn index_finds_what_a_scan_finds(rows: Vec<(u8, Vec<u8>)>, calls: Vec<(u8, Vec<u8>)>) -> bool {
         let rows = rows.iter().enumerate();
         let queues: Vec<QueueRoute> = rows
             .map(|(name, (number, parts))| queue(name, host(*number), text(parts)))
             .collect();
         let policy = policy(queues.clone());
-        asks.iter().all(|(number, parts)| {
+        calls.iter().all(|(number, parts)| {
             let path = text(parts);
             let found = policy.find_queue(host(*number), &path);
             let found = found.map(|(queue, rest)| (queue.name.clone(), rest));
--- a/crates/hoisthitch-scheduler/tests/teams.rs
+++ b/crates/hoisthitch-scheduler/tests/teams.rs
@@ -1,4 +1,5 @@
-//! Teams' keys: who is let in, which tables are refused, and that no key shows.
+//! Authentication by teams' keys: which callers are accepted, which tables are rejected, and
+//! that keys do not appear in debug output or error texts.
 
 use std::{
     collections::HashMap,
@@ -30,12 +31,12 @@
 use quickcheck::quickcheck;
 
 cases! {
-    callers_are_told_apart_by_their_keys => tells_apart();
-    open_queues_need_no_key => opens();
-    tables_without_teams_let_all_in => lets_in();
-    bad_tables_are_refused => refuses();
-    keys_are_not_shown => hides();
-    large_tables_are_looked_up => looks_up();
+    callers_are_told_apart_by_their_keys => distinguishes_keys();
+    open_queues_need_no_key => accepts_anonymous();
+    tables_without_teams_let_all_in => accepts_all();
+    bad_tables_are_refused => rejects_tables();
+    keys_are_not_shown => hides_keys();
+    large_tables_are_looked_up => looks_up_keys();
 }
 
 fn entry(name: &str, keys: &[&str]) -> TeamEntry {
@@ -74,13 +75,13 @@
     FleetPolicy::new(1, Vec::new(), Vec::new(), 1_000).with_teams(table)
 }
 
-fn choirs() -> Result<TeamTable> {
+fn two_teams() -> Result<TeamTable> {
     let teams = vec![entry("choir", &["k1", "k2"]), entry("band", &["k3"])];
     Ok(TeamTable::new(teams)?)
 }
 
-async fn tells_apart() -> Result<()> {
-    let policy = policy(choirs()?);
+async fn distinguishes_keys() -> Result<()> {
+    let policy = policy(two_teams()?);
     let queue = queue(false);
     for (key, team) in [("k1", "choir"), ("k2", "choir"), ("k3", "band")] {
         ensure!(policy.authenticate(&queue, Some(key)) == Ok(CallerTeam(Some(team.into()))));
@@ -95,8 +96,8 @@
     Ok(())
 }
 
-async fn opens() -> Result<()> {
-    let policy = policy(choirs()?);
+async fn accepts_anonymous() -> Result<()> {
+    let policy = policy(two_teams()?);
     let queue = queue(true);
     ensure!(policy.authenticate(&queue, None) == Ok(CallerTeam(None)));
     ensure!(policy.authenticate(&queue, Some("no key")) == Ok(CallerTeam(None)));
@@ -104,21 +105,21 @@
     Ok(())
 }
 
-async fn lets_in() -> Result<()> {
+async fn accepts_all() -> Result<()> {
     let policy = FleetPolicy::new(1, Vec::new(), Vec::new(), 1_000);
     ensure!(policy.authenticate(&queue(false), None) == Ok(CallerTeam(None)));
     Ok(())
 }
 
-async fn refuses() -> Result<()> {
-    let twice = || vec![entry("choir", &["k1", "k1"])];
+async fn rejects_tables() -> Result<()> {
+    let repeated = || vec![entry("choir", &["k1", "k1"])];
     let shared = || vec![entry("choir", &["k1"]), entry("band", &["k2", "k1"])];
-    let doubled = |team: &str, place| TeamError::DuplicateKey {
+    let duplicate = |team: &str, place| TeamError::DuplicateKey {
         team: team.to_owned(),
         place,
     };
-    ensure!(TeamTable::new(twice()) == Err(doubled("choir", 1)));
-    ensure!(TeamTable::new(shared()) == Err(doubled("band", 1)));
+    ensure!(TeamTable::new(repeated()) == Err(duplicate("choir", 1)));
+    ensure!(TeamTable::new(shared()) == Err(duplicate("band", 1)));
     let unnamed = vec![entry("choir", &[]), entry("", &["k1"])];
     ensure!(TeamTable::new(unnamed) == Err(TeamError::MissingName(1)));
     let empty = vec![entry("choir", &[""])];
@@ -133,25 +134,25 @@
     Ok(())
 }
 
-async fn hides() -> Result<()> {
+async fn hides_keys() -> Result<()> {
     let secret = "pqk8bdk9eevyxq2yyaza";
     let entry = entry("choir", &[secret]);
-    let told = format!("{entry:?}");
-    ensure!(!told.contains(secret), "{told}");
+    let text = format!("{entry:?}");
+    ensure!(!text.contains(secret), "{text}");
     let policy = policy(TeamTable::new(vec![entry])?);
-    let told = format!("{policy:?}");
-    ensure!(!told.contains(secret), "{told}");
-    ensure!(told.contains("hidden"), "{told}");
-    let doubled = TeamError::DuplicateKey {
+    let text = format!("{policy:?}");
+    ensure!(!text.contains(secret), "{text}");
+    ensure!(text.contains("hidden"), "{text}");
+    let duplicate = TeamError::DuplicateKey {
         team: "choir".to_owned(),
         place: 0,
     };
-    ensure!(!doubled.to_string().contains(secret));
+    ensure!(!duplicate.to_string().contains(secret));
     Ok(())
 }
 
-/// Ten thousand teams with ten keys each; the times are printed, not judged.
-async fn looks_up() -> Result<()> {
+/// Ten thousand teams with ten keys each; the times are printed, not checked.
+async fn looks_up_keys() -> Result<()> {
     let keys = |team: usize| (0..10).map(move |key| format!("key-{team}-{key}"));
     let teams = (0..10_000).map(|team| {
         let mut entry = entry(&format!("team-{team}"), &[]);
@@ -175,14 +176,14 @@
 }
 
 quickcheck! {
-    /// The table lets in whom a plain map of keys lets in, or is refused where that map
-    /// would hide a key.
-    fn table_agrees_with_a_map(teams: Vec<Vec<String>>, asked: Vec<String>) -> bool {
+    /// The table finds the same teams as a plain map of keys, or is rejected where keys are empty
+    /// or occur twice.
+    fn table_agrees_with_a_map(teams: Vec<Vec<String>>, requested: Vec<String>) -> bool {
         let mut map = HashMap::new();
-        let mut whole = true;
+        let mut valid = true;
         for (team, keys) in teams.iter().enumerate() {
             for key in keys {
-                whole &= !key.is_empty() && map.insert(key.clone(), team.to_string()).is_none();
+                valid &= !key.is_empty() && map.insert(key.clone(), team.to_string()).is_none();
             }
         }
         let entries = teams.iter().enumerate().map(|(team, keys)| {
@@ -191,9 +192,9 @@
         });
         let table = TeamTable::new(entries.collect());
         let Ok(table) = table else {
-            return !whole;
+            return !valid;
         };
-        whole && asked.iter().chain(map.keys()).all(|key| {
+        valid && requested.iter().chain(map.keys()).all(|key| {
             table.find_by_key(key).map(|team| team.name.to_string()) == map.get(key).cloned()
         })
     }
