--- a/crates/hoisthitch-scheduler/tests/contracts/limits.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/limits.rs
@@ -77,6 +77,7 @@
     Ok(())
 }
 
+/// Starts a simulated cluster with four runners and the limit in effect.
 async fn start(nodes: usize) -> Result<TestWorld> {
     let world = TestWorld::start(nodes, 4).await?;
     limit_teams(&world, 2, LIMIT);
--- a/crates/hoisthitch-scheduler/tests/contracts/rooms.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/rooms.rs
@@ -34,7 +34,7 @@
 const REDUCTION_APPLIES_MS: u64 = 5_000;
 
 /// Sets the capacity of all runners, in thousandths of a core.
-fn set_rooms(world: &TestWorld, cpu_milli: u64) {
+fn set_capacities(world: &TestWorld, cpu_milli: u64) {
     for (name, vm) in world.fleet.living() {
         world.set_room(&name, &vm, cpu_milli);
     }
@@ -42,14 +42,14 @@
 
 async fn shrinks_and_grows() -> Result<()> {
     let world = TestWorld::start(1, 2).await?;
-    set_rooms(&world, 2_000);
+    set_capacities(&world, 2_000);
     sleep_ms(REDUCTION_APPLIES_MS).await;
     let spec = job("work 500", &[16]);
     world.submit("j", spec.clone()).await?;
     sleep_ms(700).await;
     let running = world.fleet.running().len();
     ensure!(running <= 4, "{running} tasks on two runners of two cores");
-    set_rooms(&world, 8_000);
+    set_capacities(&world, 8_000);
     finish(&world, &spec, 5_000).await
 }
 
@@ -61,9 +61,9 @@
             let id = format!("j{round}-{number}");
             world.submit(&id, job("work 900", &[4, 4])).await?;
         }
-        set_rooms(&world, 3_000);
+        set_capacities(&world, 3_000);
         sleep_ms(REDUCTION_APPLIES_MS + 1_500).await;
-        set_rooms(&world, 8_000);
+        set_capacities(&world, 8_000);
         sleep_ms(1_000).await;
     }
     world.fleet.set_late(0);
@@ -83,7 +83,7 @@
     let spec = job("work 6000", &[10]);
     world.submit("j", spec.clone()).await?;
     sleep_ms(1_000).await;
-    set_rooms(&world, 1_000);
+    set_capacities(&world, 1_000);
     finish(&world, &spec, 20_000).await?;
     for task in ["long.0.0.0", "long.0.0.1"] {
         let starts = world.fleet.starts(task);
@@ -96,7 +96,7 @@
 /// tasks run by then, and those runs take a while to stop.
 async fn late_strays() -> Result<()> {
     let world = TestWorld::start(2, 3).await?;
-    set_rooms(&world, 3_000);
+    set_capacities(&world, 3_000);
     world.fleet.set_stop_time(Duration::from_millis(900));
     sleep_ms(REDUCTION_APPLIES_MS).await;
     for number in 0..30 {
@@ -117,7 +117,7 @@
     let spec = job("work 700", &[40]);
     world.submit("j", spec.clone()).await?;
     sleep_ms(300).await;
-    set_rooms(&world, 2_000);
+    set_capacities(&world, 2_000);
     let before = world.kill_owner();
     world.wait_owner(&before).await?;
     world.wait_phase("j", JobPhase::Completed, 60_000).await?;
--- a/crates/hoisthitch-scheduler/tests/ownership/killers.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/killers.rs
@@ -32,35 +32,35 @@
 };
 
 cases! {
-    killer_is_given_up_and_others_go_on => one_killer(KillerWorld::default());
-    killer_of_runners_that_keep_their_names_is_given_up => one_killer(KillerWorld {
+    killer_is_given_up_and_others_go_on => one_killer(KillerConditions::default());
+    killer_of_runners_that_keep_their_names_is_given_up => one_killer(KillerConditions {
         named: true,
-        ..KillerWorld::default()
+        ..KillerConditions::default()
     });
-    killer_that_takes_its_time_is_given_up => one_killer(KillerWorld {
+    killer_that_takes_its_time_is_given_up => one_killer(KillerConditions {
         delay_ms: 900,
-        ..KillerWorld::default()
+        ..KillerConditions::default()
     });
-    killer_whose_runners_are_back_at_once_is_given_up => one_killer(KillerWorld {
+    killer_whose_runners_are_back_at_once_is_given_up => one_killer(KillerConditions {
         down_ms: 200,
-        ..KillerWorld::default()
+        ..KillerConditions::default()
     });
-    killer_after_150_ms_is_given_up => one_killer(KillerWorld {
+    killer_after_150_ms_is_given_up => one_killer(KillerConditions {
         delay_ms: 150,
-        ..KillerWorld::default()
+        ..KillerConditions::default()
     });
-    killer_after_150_ms_on_runners_back_at_once_is_given_up => one_killer(KillerWorld {
+    killer_after_150_ms_on_runners_back_at_once_is_given_up => one_killer(KillerConditions {
         delay_ms: 150,
         down_ms: 200,
-        ..KillerWorld::default()
+        ..KillerConditions::default()
     });
-    killer_beside_late_orders_is_given_up => one_killer(KillerWorld {
+    killer_beside_late_orders_is_given_up => one_killer(KillerConditions {
         late_every: 5,
-        ..KillerWorld::default()
+        ..KillerConditions::default()
     });
-    killer_on_runners_whose_room_changes_is_given_up => one_killer(KillerWorld {
-        rooms_change: true,
-        ..KillerWorld::default()
+    killer_on_runners_whose_room_changes_is_given_up => one_killer(KillerConditions {
+        capacity_changes: true,
+        ..KillerConditions::default()
     });
     killer_is_given_up_by_owners_in_turn => owners_in_turn();
     killers_of_one_step_cost_few_runners => many_killers();
@@ -79,7 +79,7 @@
 const JOBS: u32 = 40;
 
 /// Conditions under which a crashing task runs.
-struct KillerWorld {
+struct KillerConditions {
     /// Time from the task's start to the crash, in milliseconds.
     delay_ms: u64,
     /// Time that a runner is down, in milliseconds.
@@ -89,17 +89,17 @@
     /// Every n-th order gets no response and is carried out late; zero for none.
     late_every: u64,
     /// Whether every other runner has half of its capacity, in turn.
-    rooms_change: bool,
+    capacity_changes: bool,
 }
 
-impl Default for KillerWorld {
+impl Default for KillerConditions {
     fn default() -> Self {
         Self {
             delay_ms: 10,
             down_ms: 1_500,
             named: false,
             late_every: 0,
-            rooms_change: false,
+            capacity_changes: false,
         }
     }
 }
@@ -122,7 +122,7 @@
     Ok(ids)
 }
 
-async fn all_done(world: &TestWorld, ids: &[String]) -> Result<()> {
+async fn wait_completed(world: &TestWorld, ids: &[String]) -> Result<()> {
     for id in ids {
         world.wait_phase(id, JobPhase::Completed, LIMIT_MS).await?;
     }
@@ -142,7 +142,7 @@
     eyre::bail!("long-running tasks run: {:?}", world.fleet.running())
 }
 
-async fn one_killer(conditions: KillerWorld) -> Result<()> {
+async fn one_killer(conditions: KillerConditions) -> Result<()> {
     let world = TestWorld::start(1, 6).await?;
     world.keep_begun(conditions.down_ms, conditions.named);
     world.submit("long", lasting(2, 1)).await?;
@@ -154,14 +154,14 @@
         let id = format!("k{number}");
         world.submit(&id, job("work 400", &[4, 2])).await?;
         ids.push(id);
-        if conditions.rooms_change {
-            change_rooms(&world, number);
+        if conditions.capacity_changes {
+            alternate_capacities(&world, number);
         }
         sleep_ms(150).await;
     }
     world.wait_phase("bad", JobPhase::Failed, LIMIT_MS).await?;
     world.fleet.set_late(0);
-    all_done(&world, &ids).await?;
+    wait_completed(&world, &ids).await?;
     wait_long_running(&world, 2).await?;
     let kills = world.fleet.kills();
     ensure!(kills <= 4, "{kills} runners were lost to one task");
@@ -173,7 +173,7 @@
 }
 
 /// Halves the capacity of every other runner, alternating with `turn`.
-fn change_rooms(world: &TestWorld, turn: u32) {
+fn alternate_capacities(world: &TestWorld, turn: u32) {
     for (place, (name, vm)) in (turn..).zip(world.fleet.living()) {
         let room = if place % 2 == 0 { 4_000 } else { 8_000 };
         world.set_room(&name, &vm, room);
@@ -218,7 +218,7 @@
     world.submit("bad", job("work 1200", &[40])).await?;
     let ids = submit_jobs(&world, 20, 200).await?;
     world.wait_phase("bad", JobPhase::Failed, LIMIT_MS).await?;
-    all_done(&world, &ids).await?;
+    wait_completed(&world, &ids).await?;
     let kills = world.fleet.kills();
     ensure!(kills <= 10, "{kills} runners were lost to one step");
     wait_long_running(&world, 2).await?;
@@ -233,7 +233,7 @@
     world.submit("bad", lasting(3, 1)).await?;
     let ids = submit_jobs(&world, JOBS, 200).await?;
     world.wait_phase("bad", JobPhase::Failed, LIMIT_MS).await?;
-    all_done(&world, &ids).await?;
+    wait_completed(&world, &ids).await?;
     wait_long_running(&world, 2).await?;
     check_invariants(&world)
 }
@@ -249,7 +249,7 @@
     world.submit("bad", spec).await?;
     let ids = submit_jobs(&world, 20, 200).await?;
     world.wait_phase("bad", JobPhase::Failed, LIMIT_MS).await?;
-    all_done(&world, &ids).await?;
+    wait_completed(&world, &ids).await?;
     check_invariants(&world)
 }
 
@@ -272,7 +272,7 @@
         world.begin_runner(&vm);
         sleep_ms(400).await;
     }
-    all_done(&world, &ids).await?;
+    wait_completed(&world, &ids).await?;
     wait_long_running(&world, 4).await?;
     check_invariants(&world)
 }
@@ -300,7 +300,7 @@
         }
         sleep_ms(2_000).await;
     }
-    all_done(&world, &ids).await?;
+    wait_completed(&world, &ids).await?;
     wait_long_running(&world, 4).await?;
     check_invariants(&world)
 }
