--- a/crates/hoisthitch-load/src/driver.rs
+++ b/crates/hoisthitch-load/src/driver.rs
@@ -1,5 +1,9 @@
-//! The load driver: open loop, with latencies from the time that a request was
-//! due, so that a stalled server does not hide its stalls.
+//! Open-loop load driver.
+//!
+//! Given [`LoadStream`]s, [`drive`] sends each one's requests at a fixed rate,
+//! whether or not earlier requests have completed, and returns a [`LoadReport`]
+//! for each. Latency is measured from the time at which a request was due, not
+//! from when it was sent, so that a stalled server does not hide its stalls.
 
 use std::{
     rc::Rc,
@@ -20,52 +24,52 @@
 
 use crate::report::LoadReport;
 
-/// Highest rate, in requests a second.
-const RATE_LIMIT: u32 = 50_000;
+/// Highest rate of a stream, in requests per second.
+const MAX_REQUESTS_PER_S: u32 = 50_000;
 
-/// Longest load.
-const TIME_LIMIT: Duration = Duration::from_secs(120);
+/// Longest duration of a stream.
+const MAX_DURATION: Duration = Duration::from_secs(120);
 
-/// Longest time that an answer is waited for.
-const ANSWER_LIMIT: Duration = Duration::from_secs(30);
+/// Time to wait for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Threads of one stream of requests.
-const THREADS: u32 = 2;
+/// Worker threads per stream.
+const THREADS_PER_STREAM: u32 = 2;
 
-/// One stream of requests.
+/// Requests sent at a fixed rate.
 #[derive(Clone, Debug)]
 pub struct LoadStream {
     /// Name in reports.
     pub name: String,
-    /// Addresses, used in turn.
+    /// URLs, used in turn.
     pub urls: Vec<String>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Headers of each request.
     pub headers: Vec<(String, String)>,
     /// Body of each request.
     pub body: Vec<u8>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
-    /// Time from the first request due to the last.
-    pub time: Duration,
+    /// Duration of the load; every request is due within it.
+    pub duration: Duration,
 }
 
 impl LoadStream {
-    /// A stream of GETs.
-    pub fn get(name: &str, urls: Vec<String>, rate: u32, time: Duration) -> Self {
+    /// Creates a stream of GET requests, within the limits of rate and duration.
+    pub fn get(name: &str, urls: Vec<String>, rate: u32, duration: Duration) -> Self {
         Self {
             name: name.to_owned(),
             urls,
             method: Method::GET,
             headers: Vec::new(),
             body: Vec::new(),
-            rate: rate.min(RATE_LIMIT),
-            time: time.min(TIME_LIMIT),
+            rate: rate.min(MAX_REQUESTS_PER_S),
+            duration: duration.min(MAX_DURATION),
         }
     }
 
-    /// Adds a header.
+    /// Adds a header to every request.
     #[must_use]
     pub fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
@@ -73,83 +77,84 @@
     }
 }
 
-/// Sends all streams at once; answers with a report for each.
+/// Sends all streams concurrently and returns one report per stream, in order.
 ///
 /// # Errors
 ///
-/// Fails when a thread can't be started.
+/// Fails if a thread cannot be started or panics.
 pub fn drive(streams: &[LoadStream]) -> Result<Vec<LoadReport>> {
     let mut threads = Vec::new();
     for stream in streams {
-        for part in 0..THREADS {
+        for worker in 0..THREADS_PER_STREAM {
             let stream = stream.clone();
             let thread = thread::Builder::new()
-                .name(format!("load-{part}"))
-                .spawn(move || actix_rt::System::new().block_on(send_part(stream, part)))?;
+                .name(format!("load-{worker}"))
+                .spawn(move || actix_rt::System::new().block_on(run_worker(stream, worker)))?;
             threads.push(thread);
         }
     }
-    let mut parts = Vec::new();
+    let mut reports = Vec::new();
     for thread in threads {
-        let part = thread.join().map_err(|_| eyre!("a load thread failed"))?;
-        parts.push(part);
+        let report = thread.join().map_err(|_| eyre!("a load thread panicked"))?;
+        reports.push(report);
     }
-    let reports = parts.chunks(THREADS as usize).zip(streams);
+    let reports = reports.chunks(THREADS_PER_STREAM as usize).zip(streams);
     Ok(reports
-        .map(|(parts, stream)| LoadReport::merged(&stream.name, stream.time, parts))
+        .map(|(reports, stream)| LoadReport::merge(&stream.name, stream.duration, reports))
         .collect())
 }
 
-/// Sends each `THREADS`-th request of a stream, starting with number `part`.
-async fn send_part(stream: LoadStream, part: u32) -> LoadReport {
+/// Sends every [`THREADS_PER_STREAM`]th request of a stream, starting with number
+/// `worker`.
+async fn run_worker(stream: LoadStream, worker: u32) -> LoadReport {
     let client = Client::builder()
-        .timeout(ANSWER_LIMIT)
-        .connector(awc::Connector::new().limit(0).timeout(ANSWER_LIMIT))
+        .timeout(RESPONSE_TIMEOUT)
+        .connector(awc::Connector::new().limit(0).timeout(RESPONSE_TIMEOUT))
         .finish();
     let stream = Rc::new(stream);
     let start = Instant::now();
     let interval = Duration::from_secs(1) / stream.rate.max(1);
     let mut sends = Vec::new();
-    let mut number = part;
+    let mut number = worker;
     loop {
         let due = interval * number;
-        if due >= stream.time {
+        if due >= stream.duration {
             break;
         }
         tokio::time::sleep_until(start + due).await;
         let send = send_one(client.clone(), stream.clone(), number, start, start + due);
         sends.push(actix_rt::spawn(send));
-        number += THREADS;
+        number += THREADS_PER_STREAM;
     }
-    let mut report = LoadReport::new(&stream.name, stream.time);
+    let mut report = LoadReport::new(&stream.name, stream.duration);
     for send in sends {
         match send.await {
-            Ok(sample) => report.add(&sample),
-            Err(_) => report.add(&LoadSample::failed()),
+            Ok(sample) => report.record_sample(&sample),
+            Err(_) => report.record_sample(&LoadSample::failed()),
         }
     }
     report
 }
 
-/// What came of one request.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSample {
-    /// Time from when it was due to the end of its answer.
+    /// Time from when the request was due to the end of its response.
     pub latency: Duration,
-    /// Time from when it was sent to the end of its answer.
-    pub service: Duration,
-    /// Time from the start of the load to the end of the answer.
-    pub ended: Duration,
-    /// Status; zero where there was no answer.
+    /// Time from when the request was sent to the end of its response.
+    pub service_time: Duration,
+    /// Time from the start of the load to the end of the response.
+    pub ended_after: Duration,
+    /// HTTP status; zero if there was no complete response.
     pub status: u16,
 }
 
 impl LoadSample {
     fn failed() -> Self {
         Self {
-            latency: ANSWER_LIMIT,
-            service: ANSWER_LIMIT,
-            ended: Duration::ZERO,
+            latency: RESPONSE_TIMEOUT,
+            service_time: RESPONSE_TIMEOUT,
+            ended_after: Duration::ZERO,
             status: 0,
         }
     }
@@ -177,13 +182,13 @@
     }
     LoadSample {
         latency: due.elapsed(),
-        service: sent.elapsed(),
-        ended: start.elapsed(),
+        service_time: sent.elapsed(),
+        ended_after: start.elapsed(),
         status,
     }
 }
 
-/// send GETs at a steady rate to addresses in turn
+/// send GET requests at a fixed rate, to each address in turn
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -191,10 +196,10 @@
     example = "hoisthitch-load drive --rate 500 --seconds 10 http://127.0.0.1:8080/quotes/1"
 )]
 pub struct DriveCommand {
-    /// requests a second (at most 50000)
+    /// requests per second (at most 50000)
     #[argh(option, default = "100")]
     rate: u32,
-    /// time of the load, in seconds (at most 120)
+    /// duration of the load, in seconds (at most 120)
     #[argh(option, default = "10")]
     seconds: u64,
     /// header of each request, as name=value
@@ -210,10 +215,11 @@
     ///
     /// # Errors
     ///
-    /// Fails on an address that is not on loopback.
+    /// Fails if there is no address, an address is not on loopback, a header is not
+    /// `name=value` or a thread cannot be started.
     pub fn run(self) -> Result<()> {
         if self.urls.is_empty() {
-            return Err(eyre!("name at least one address"));
+            return Err(eyre!("at least one address is required"));
         }
         for url in &self.urls {
             if !url.starts_with("http://127.") {
@@ -222,8 +228,8 @@
                 ));
             }
         }
-        let time = Duration::from_secs(self.seconds);
-        let mut stream = LoadStream::get("drive", self.urls, self.rate, time);
+        let duration = Duration::from_secs(self.seconds);
+        let mut stream = LoadStream::get("drive", self.urls, self.rate, duration);
         for header in &self.header {
             let (name, value) = header
                 .split_once('=')
--- a/crates/hoisthitch-load/src/experiments/connections.rs
+++ b/crates/hoisthitch-load/src/experiments/connections.rs
@@ -1,4 +1,4 @@
-//! `connections`: memory of an entry with many open connections.
+//! `connections`: memory of an entry as the number of open connections grows.
 
 use argh::FromArgs;
 use eyre::Result;
@@ -17,10 +17,10 @@
 
 use crate::fit::LineFit;
 
-/// Sizes that are measured, up to the number asked for.
+/// Number of measurements, in equal steps up to the requested connections.
 const STEPS: usize = 4;
 
-/// A request that leaves its connection open.
+/// Request that leaves its connection open.
 const REQUEST: &[u8] = b"GET /quotes/1 HTTP/1.1\r\nhost: x\r\n\r\n";
 
 /// measure the memory of an entry with many open connections of callers
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the fleet does not come up or a connection is refused.
+    /// Fails if the fleet does not start or a connection is refused.
     pub async fn run(self) -> Result<()> {
         let fleet = Fleet::start(FleetPlan {
             entries: 1,
@@ -56,22 +56,22 @@
             println!("{:>6} connections: {resident:.1} MB resident", open.len());
             points.push((open.len() as f64, resident));
         }
-        let fit = LineFit::through(&points);
+        let fit = LineFit::least_squares(&points);
         println!(
             "{:.1} MB and {:.2} KB for each connection, r2 {:.4}",
-            fit.base,
+            fit.intercept,
             fit.slope * 1_000.0,
             fit.r_squared
         );
-        let answer = TestRequest::get(&fleet.caller_url(0, "/quotes/1"))
+        let response = TestRequest::get(&fleet.caller_url(0, "/quotes/1"))
             .send()
             .await?;
-        println!("a further request is answered with {}", answer.status);
+        println!("a further request is answered with {}", response.status);
         Ok(())
     }
 }
 
-/// Opens a connection and has one request answered on it.
+/// Opens a connection, sends one request and reads from its response.
 async fn open_connection(fleet: &Fleet) -> Result<TcpStream> {
     let mut stream = TcpStream::connect(fleet.caller_address(0)).await?;
     stream.write_all(REQUEST).await?;
--- a/crates/hoisthitch-load/src/experiments/mod.rs
+++ b/crates/hoisthitch-load/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments, one per file.
+//! Experiments, one subcommand per file.
 
 mod connections;
 mod overhead;
--- a/crates/hoisthitch-load/src/experiments/overhead.rs
+++ b/crates/hoisthitch-load/src/experiments/overhead.rs
@@ -1,4 +1,5 @@
-//! `overhead`: what an entry adds to a direct call, and what its decisions cost.
+//! `overhead`: latency that an entry adds to a direct call of a runner, and CPU
+//! cost of the decisions of an entry.
 
 use std::time::Duration;
 
@@ -21,33 +22,35 @@
 /// Working time of a request, in microseconds.
 const WORK_US: u64 = 2_000;
 
-/// measure what an entry adds to a direct call, and requests a second of its
-/// processor time with the decisions on and off
+/// measure the latency that an entry adds to a direct call, and its requests per
+/// second of CPU time with the decisions on and off
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "overhead")]
 pub struct OverheadCommand {
-    /// time of each load, in seconds (default 5)
+    /// duration of each load, in seconds (default 5)
     #[argh(option, default = "5")]
     seconds: u64,
-    /// rounds, of which the medians are told (default 3)
+    /// rounds; the median of each figure is printed (default 3)
     #[argh(option, default = "3")]
     rounds: usize,
-    /// requests a second of the latency loads (default 500)
+    /// requests per second of the latency loads (default 500)
     #[argh(option, default = "500")]
     rate: u32,
-    /// requests a second of the processor loads (default 6000)
+    /// requests per second of the CPU loads (default 6000)
     #[argh(option, default = "6000")]
     high_rate: u32,
-    /// least level that the entries log (default info)
+    /// lowest level that the entries log (default info)
     #[argh(option, default = "\"info\".to_owned()")]
     log_level: String,
 }
 
-/// What one round showed.
+/// Figures of one round.
 struct OverheadRound {
     added_p50_ms: f64,
     added_p99_ms: f64,
+    /// Good responses per second of CPU time, with the decisions on.
     decided_per_core: f64,
+    /// The same with the decisions off.
     bypassed_per_core: f64,
 }
 
@@ -56,13 +59,13 @@
     ///
     /// # Errors
     ///
-    /// Fails when the fleet does not come up.
+    /// Fails if a fleet does not start or a thread cannot be started.
     pub async fn run(self) -> Result<()> {
         let decided = Fleet::start(plan("", &self.log_level)).await?;
         let bypassed = Fleet::start(plan("bypass = true", &self.log_level)).await?;
         let mut rounds = Vec::new();
         for _ in 0..self.rounds {
-            rounds.push(self.round(&decided, &bypassed)?);
+            rounds.push(self.measure_round(&decided, &bypassed)?);
         }
         let median = |value: fn(&OverheadRound) -> f64| {
             let mut values: Vec<f64> = rounds.iter().map(value).collect();
@@ -84,33 +87,34 @@
         Ok(())
     }
 
-    fn round(&self, decided: &Fleet, bypassed: &Fleet) -> Result<OverheadRound> {
-        let time = Duration::from_secs(self.seconds);
-        let stream = |name, urls| LoadStream::get(name, urls, self.rate, time);
+    fn measure_round(&self, decided: &Fleet, bypassed: &Fleet) -> Result<OverheadRound> {
+        let duration = Duration::from_secs(self.seconds);
+        let stream = |name, urls| LoadStream::get(name, urls, self.rate, duration);
         let direct = stream("direct", direct_urls(decided));
         let entry = stream("entry", vec![decided.caller_url(0, "/quotes/1")]);
         let reports = drive(&[direct, entry])?;
-        let added = |quantile| reports[1].service_ms(quantile) - reports[0].service_ms(quantile);
+        let added =
+            |quantile| reports[1].service_time_ms(quantile) - reports[0].service_time_ms(quantile);
         for report in &reports {
             println!(
                 "{report}  from sending p50 {:.3} ms",
-                report.service_ms(0.5)
+                report.service_time_ms(0.5)
             );
         }
         Ok(OverheadRound {
             added_p50_ms: added(0.5),
             added_p99_ms: added(0.99),
-            decided_per_core: self.per_core("decisions on", decided)?,
-            bypassed_per_core: self.per_core("decisions off", bypassed)?,
+            decided_per_core: self.measure_per_core("decisions on", decided)?,
+            bypassed_per_core: self.measure_per_core("decisions off", bypassed)?,
         })
     }
 
-    /// Good answers for each second of the entry's processor time.
-    fn per_core(&self, name: &str, fleet: &Fleet) -> Result<f64> {
-        let time = Duration::from_secs(self.seconds);
+    /// Good responses per second of CPU time of the entry.
+    fn measure_per_core(&self, name: &str, fleet: &Fleet) -> Result<f64> {
+        let duration = Duration::from_secs(self.seconds);
         let urls = vec![fleet.caller_url(0, "/quotes/1")];
         let before = fleet.entries[0].processor_time()?;
-        let stream = LoadStream::get(name, urls, self.high_rate, time).header("x-work-us", "0");
+        let stream = LoadStream::get(name, urls, self.high_rate, duration).header("x-work-us", "0");
         let reports = drive(&[stream])?;
         let used = fleet.entries[0].processor_time()? - before;
         println!("{}  processor {:.2} s", reports[0], used.as_secs_f64());
--- a/crates/hoisthitch-load/src/experiments/overload.rs
+++ b/crates/hoisthitch-load/src/experiments/overload.rs
@@ -1,5 +1,5 @@
-//! `overload`: how long urgent requests wait beside background ones, and how
-//! much of the capacity is still used well, when more comes than can be served.
+//! `overload`: wait of urgent requests with background load beside them, and
+//! goodput as a fraction of the capacity, when the load exceeds the capacity.
 
 use std::{
     path::PathBuf,
@@ -33,24 +33,25 @@
 /// Runners of the pool.
 const RUNNERS: usize = 4;
 
-/// Slots of a runner.
+/// Slots per runner.
 const SLOTS: u32 = 8;
 
 /// Working time of a request, in microseconds.
 const WORK_US: u64 = 20_000;
 
-/// Share of the capacity that urgent requests ask for.
+/// Urgent load by itself and at 2 times the capacity, as a fraction of the
+/// capacity.
 const URGENT_SHARE: f64 = 0.6;
 
 /// measure urgent wait and goodput at 2 and 3 times the capacity
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "overload")]
 pub struct OverloadCommand {
-    /// time of each load, in seconds (default 8)
+    /// duration of each load, in seconds (default 8)
     #[argh(option, default = "8")]
     seconds: u64,
-    /// share of the slots that background work may fill, in percent; several
-    /// may be named (default 100, 90 and 80)
+    /// share of the slots that background work may fill, in percent; may be
+    /// repeated (default 100, 90 and 80)
     #[argh(option)]
     background_percent: Vec<u32>,
     /// file that the rows are written to
@@ -58,7 +59,7 @@
     csv: Option<PathBuf>,
 }
 
-/// A row of the experiment's CSV.
+/// Row of the CSV file: one stream of a load.
 #[derive(Debug, Serialize)]
 struct OverloadRow {
     background_percent: u32,
@@ -73,15 +74,15 @@
     wait_p99_ms: f64,
 }
 
-/// Waits for a slot, read from the entry's log.
+/// Waits for a slot, read from the log of the entry: sorted, in microseconds, by
+/// priority.
 struct SlotWaits {
-    /// Waits by priority's name, sorted, in microseconds.
     urgent: Vec<u64>,
     background: Vec<u64>,
 }
 
 impl SlotWaits {
-    /// Reads the waits that the log tells of after its first `skip` bytes.
+    /// Reads the waits that are logged after the first `skip` bytes of the log.
     fn read(fleet: &Fleet, skip: usize) -> Result<Self> {
         let log = fleet.entries[0].log()?;
         let waits = |priority: &str| {
@@ -98,7 +99,7 @@
         })
     }
 
-    fn of(&self, stream: &str) -> &[u64] {
+    fn of_stream(&self, stream: &str) -> &[u64] {
         if stream == "urgent" {
             &self.urgent
         } else {
@@ -112,7 +113,7 @@
     wait.split(' ').next()?.parse().ok()
 }
 
-/// A quantile of sorted times, in milliseconds.
+/// Percentile of sorted times in microseconds, in milliseconds.
 fn quantile_ms(sorted: &[u64], percent: usize) -> f64 {
     let index = sorted.len() * percent / 100;
     sorted.get(index).copied().unwrap_or(0) as f64 / 1_000.0
@@ -123,7 +124,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the fleet does not come up.
+    /// Fails if a fleet does not start, a thread cannot be started or the CSV file
+    /// cannot be written.
     pub async fn run(self) -> Result<()> {
         let mut rows = Vec::new();
         let percents = match self.background_percent.as_slice() {
@@ -145,27 +147,30 @@
         println!("background_percent {percent}, capacity {capacity:.0}/s");
         let urgent = |load: f64| self.stream(fleet, "urgent", capacity * load);
         let background = |load: f64| self.stream(fleet, "background", capacity * load);
-        let alone = self.load(fleet, percent, URGENT_SHARE, &[urgent(URGENT_SHARE)], rows)?;
-        let beside = [urgent(URGENT_SHARE), background(2.0 - URGENT_SHARE)];
-        self.load(fleet, percent, 2.0, &beside, rows)?;
+        let urgent_only =
+            self.run_load(fleet, percent, URGENT_SHARE, &[urgent(URGENT_SHARE)], rows)?;
+        let with_background = [urgent(URGENT_SHARE), background(2.0 - URGENT_SHARE)];
+        self.run_load(fleet, percent, 2.0, &with_background, rows)?;
         let mixed = [urgent(1.5), background(1.5)];
-        let mixed = self.load(fleet, percent, 3.0, &mixed, rows)?;
+        let mixed = self.run_load(fleet, percent, 3.0, &mixed, rows)?;
         let good: f64 = mixed.iter().map(LoadReport::good_rate).sum();
-        // What busy slots do in fact, timers and all, not what they are asked for.
-        let served = f64::from(SLOTS) * RUNNERS as f64 * 1e3 / alone[0].service_ms(0.5);
+        // Rate of busy slots by the measured service time, which includes delays of
+        // timers, rather than by the configured working time.
+        let served = f64::from(SLOTS) * RUNNERS as f64 * 1e3 / urgent_only[0].service_time_ms(0.5);
         let share = good / served;
         println!("goodput at 3 times the load: {share:.3} of {served:.0}/s by busy slots\n");
         Ok(())
     }
 
     fn stream(&self, fleet: &Fleet, team: &str, rate: f64) -> LoadStream {
-        let time = Duration::from_secs(self.seconds);
+        let duration = Duration::from_secs(self.seconds);
         let urls = vec![fleet.caller_url(0, "/quotes/1")];
         // CAST: rates are a few thousand a second.
-        LoadStream::get(team, urls, rate as u32, time).header("hoisthitch-team", team)
+        LoadStream::get(team, urls, rate as u32, duration).header("hoisthitch-team", team)
     }
 
-    fn load(
+    /// Sends the streams, prints a line for each and adds its row.
+    fn run_load(
         &self,
         fleet: &Fleet,
         percent: u32,
@@ -177,7 +182,7 @@
         let reports = drive(streams)?;
         let waits = SlotWaits::read(fleet, skip)?;
         for report in &reports {
-            let waits = waits.of(&report.name);
+            let waits = waits.of_stream(&report.name);
             let (wait_p50_ms, wait_p99_ms) = (quantile_ms(waits, 50), quantile_ms(waits, 99));
             println!("{load:.1}x {report}  wait p50 {wait_p50_ms:.3} ms p99 {wait_p99_ms:.3} ms");
             rows.push(OverloadRow {
--- a/crates/hoisthitch-load/src/experiments/sharing.rs
+++ b/crates/hoisthitch-load/src/experiments/sharing.rs
@@ -1,4 +1,5 @@
-//! `sharing`: ways of sharing the runners' slots among the entries, on one load.
+//! `sharing`: compares the policies that share the slots of the runners among the
+//! entries, each under the same load.
 
 use std::{
     path::PathBuf,
@@ -25,32 +26,32 @@
     }, //
 };
 
-/// Entries.
+/// Entries of the fleet.
 const ENTRIES: usize = 6;
 
 /// Runners of the pool.
 const RUNNERS: usize = 8;
 
-/// Slots of a runner.
+/// Slots per runner.
 const SLOTS: u32 = 8;
 
 /// Working time of a request, in microseconds.
 const WORK_US: u64 = 50_000;
 
-/// Ways of sharing.
+/// Sharing policies, separated by commas.
 const POLICIES: &str = "local,even,demand";
 
-/// compare ways of sharing slots among 6 entries
+/// compare policies that share slots among 6 entries
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "sharing")]
 pub struct SharingCommand {
-    /// time of each load, in seconds (default 8)
+    /// duration of each load, in seconds (default 8)
     #[argh(option, default = "8")]
     seconds: u64,
-    /// load, as a share of the capacity (default 0.8)
+    /// load, as a fraction of the capacity (default 0.8)
     #[argh(option, default = "0.8")]
     load: f64,
-    /// ways of sharing to measure, separated by commas (default all)
+    /// sharing policies to measure, separated by commas (default all)
     #[argh(option, default = "POLICIES.to_owned()")]
     ways: String,
     /// file that the rows are written to
@@ -58,7 +59,7 @@
     csv: Option<PathBuf>,
 }
 
-/// A row of the experiment's CSV.
+/// Row of the CSV file: one policy under one spread of the load.
 #[derive(Debug, Serialize)]
 struct SharingRow {
     policy: String,
@@ -76,7 +77,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the fleet does not come up.
+    /// Fails if a fleet does not start, a thread cannot be started or the CSV file
+    /// cannot be written.
     pub async fn run(self) -> Result<()> {
         let mut rows = Vec::new();
         for policy in self.ways.split(',') {
@@ -92,21 +94,21 @@
 
     async fn measure(&self, policy: &str, skewed: bool) -> Result<SharingRow> {
         let fleet = Fleet::start(plan(policy)).await?;
-        let time = Duration::from_secs(self.seconds);
+        let duration = Duration::from_secs(self.seconds);
         let capacity = f64::from(SLOTS) * RUNNERS as f64 * 1e6 / WORK_US as f64;
         // CAST: rates are a few thousand a second.
         let rate = (capacity * self.load) as u32;
-        let stream = LoadStream::get("sharing", urls(&fleet, skewed), rate, time)
+        let stream = LoadStream::get("sharing", urls(&fleet, skewed), rate, duration)
             .header("x-request-name", "sharing");
         let report = drive(&[stream])?.remove(0);
-        let waited = runner_wait_p99_ms(&fleet).await?;
+        let wait_p99_ms = runner_wait_p99_ms(&fleet).await?;
         let spread = if skewed { "half through one" } else { "even" };
-        println!("{policy:<7} {spread:<17} {report}  wait at runners p99 {waited:.3} ms");
-        Ok(row(policy, spread, self.load, &report, waited))
+        println!("{policy:<7} {spread:<17} {report}  wait at runners p99 {wait_p99_ms:.3} ms");
+        Ok(row(policy, spread, self.load, &report, wait_p99_ms))
     }
 }
 
-fn row(policy: &str, spread: &str, load: f64, report: &LoadReport, waited: f64) -> SharingRow {
+fn row(policy: &str, spread: &str, load: f64, report: &LoadReport, wait_p99_ms: f64) -> SharingRow {
     SharingRow {
         policy: policy.to_owned(),
         spread: spread.to_owned(),
@@ -115,17 +117,18 @@
         refused: report.refused,
         p50_ms: report.quantile_ms(0.5),
         p99_ms: report.quantile_ms(0.99),
-        runner_wait_p99_ms: waited,
+        runner_wait_p99_ms: wait_p99_ms,
     }
 }
 
-/// Entries in turn; with a skew, every second request goes through the first.
+/// URLs of all entries in turn; if `skewed`, about every second request goes to
+/// the first entry.
 fn urls(fleet: &Fleet, skewed: bool) -> Vec<String> {
     let url = |entry| fleet.caller_url(entry, "/quotes/1");
     if !skewed {
         return (0..ENTRIES).map(url).collect();
     }
-    // An odd number of addresses, so that each thread meets all of them.
+    // An odd number of URLs, so that each thread of the driver uses all of them.
     let others = (1..ENTRIES).flat_map(|entry| [url(0), url(entry)]);
     others.chain([url(0)]).collect()
 }
--- a/crates/hoisthitch-load/src/experiments/slopes.rs
+++ b/crates/hoisthitch-load/src/experiments/slopes.rs
@@ -1,5 +1,7 @@
-//! `slopes`: what an entry and a steward spend on control as the fleet grows: processor
-//! time, memory, bytes on the mesh and calls to the store.
+//! `slopes`: cost of control in an entry and a steward as the fleet grows: CPU
+//! time, memory, mesh traffic and store calls.
+//!
+//! Measures fleets of several sizes and fits a line through each of the figures.
 
 use std::{
     path::PathBuf,
@@ -38,30 +40,30 @@
     report::write_csv, //
 };
 
-/// VMs of a data hall at the target's size: 10,000 in 14.
+/// VMs per data hall, as at the target size of 10,000 VMs in 14 halls.
 const VMS_PER_HALL: usize = 715;
 
-/// VMs of the fleets that are measured.
-const SIZES: [usize; 5] = [250, 1_000, 2_500, 5_000, 10_000];
+/// Sizes of the measured fleets, in VMs.
+const FLEET_SIZES: [usize; 5] = [250, 1_000, 2_500, 5_000, 10_000];
 
-/// VMs of a pool: 10,000 in 124.
+/// VMs per pool, as at the target size of 10,000 VMs in 124 pools.
 const VMS_PER_POOL: usize = 80;
 
-/// Stewards of the fleets that are measured.
+/// Stewards of each fleet.
 const STEWARDS: usize = 2;
 
-/// Time between two looks of a steward: its default.
+/// Time between two passes of a steward; the default.
 const STEWARD_INTERVAL: &str = "500ms";
 
-/// Changes of the table that are made while measuring, a second; the target is
-/// 6,800 a day, or 0.08 a second.
+/// Configuration changes per second while measuring. The target is 6,800 a day,
+/// or 0.08 a second.
 const CHANGES_PER_S: f64 = 1.0;
 
-/// measure what control costs an entry as the fleet grows
+/// measure the cost of control in an entry and a steward as the fleet grows
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "slopes")]
 pub struct SlopesCommand {
-    /// time of each measurement, in seconds (default 10)
+    /// duration of each measurement, in seconds (default 10)
     #[argh(option, default = "10")]
     seconds: u64,
     /// entries of each fleet (default 6)
@@ -72,8 +74,10 @@
     csv: Option<PathBuf>,
 }
 
-/// A row of the experiment's CSV: one fleet; figures for one entry and one
-/// steward, but the store's, which are for all of them together.
+/// Row of the CSV file: the figures of one fleet.
+///
+/// They are those of one entry and one steward; only the figures of the store
+/// cover all processes together.
 #[derive(Clone, Debug, Serialize)]
 struct SlopeRow {
     vms: usize,
@@ -86,7 +90,9 @@
     mesh_kb_per_s: f64,
     store_reads_per_s: f64,
     store_writes_per_s: f64,
+    /// Median time until a configuration change was in effect in all entries.
     in_force_p50_ms: f64,
+    /// Longest time until a configuration change was in effect in all entries.
     in_force_max_ms: f64,
 }
 
@@ -95,26 +101,27 @@
     ///
     /// # Errors
     ///
-    /// Fails when a fleet does not come up.
+    /// Fails if a fleet does not start, a configuration change is refused or the CSV
+    /// file cannot be written.
     pub async fn run(self) -> Result<()> {
         let mut rows = Vec::new();
-        for vms in SIZES {
+        for vms in FLEET_SIZES {
             let row = self.measure(vms).await?;
             println!("{row:?}");
             rows.push(row);
         }
-        tell_fit("idle core percent", &rows, |row| row.idle_core_percent);
-        tell_fit("changing core percent", &rows, |row| {
+        print_fit("idle core percent", &rows, |row| row.idle_core_percent);
+        print_fit("changing core percent", &rows, |row| {
             row.changing_core_percent
         });
-        tell_fit("resident MB", &rows, |row| row.resident_mb);
-        tell_fit("steward core percent", &rows, |row| {
+        print_fit("resident MB", &rows, |row| row.resident_mb);
+        print_fit("steward core percent", &rows, |row| {
             row.steward_core_percent
         });
-        tell_fit("steward MB", &rows, |row| row.steward_mb);
-        tell_fit("mesh KB/s", &rows, |row| row.mesh_kb_per_s);
-        tell_fit("store reads/s", &rows, |row| row.store_reads_per_s);
-        tell_fit("in force max ms", &rows, |row| row.in_force_max_ms);
+        print_fit("steward MB", &rows, |row| row.steward_mb);
+        print_fit("mesh KB/s", &rows, |row| row.mesh_kb_per_s);
+        print_fit("store reads/s", &rows, |row| row.store_reads_per_s);
+        print_fit("in force max ms", &rows, |row| row.in_force_max_ms);
         if let Some(path) = &self.csv {
             write_csv(path, &rows)?;
         }
@@ -124,14 +131,14 @@
     async fn measure(&self, vms: usize) -> Result<SlopeRow> {
         let pools = vms.div_ceil(VMS_PER_POOL);
         let fleet = self.start(vms, pools).await?;
-        // The fleet settles before it is measured.
+        // Let the fleet settle before measuring.
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let time = Duration::from_secs(self.seconds);
-        let before = Reading::take(&fleet).await?;
-        tokio::time::sleep(time).await;
-        let idle = Reading::take(&fleet).await?;
-        let delays = self.change_table(&fleet).await?;
-        let changed = Reading::take(&fleet).await?;
+        let duration = Duration::from_secs(self.seconds);
+        let before = UsageSample::read(&fleet).await?;
+        tokio::time::sleep(duration).await;
+        let idle = UsageSample::read(&fleet).await?;
+        let delays = self.change_configuration(&fleet).await?;
+        let changed = UsageSample::read(&fleet).await?;
         let seconds = (idle.at - before.at).as_secs_f64();
         Ok(SlopeRow {
             vms,
@@ -139,7 +146,7 @@
             idle_core_percent: idle.core_percent_since(&before),
             changing_core_percent: changed.core_percent_since(&idle),
             resident_mb: changed.resident_mb,
-            steward_core_percent: percent(idle.steward - before.steward, seconds),
+            steward_core_percent: percent(idle.steward_cpu - before.steward_cpu, seconds),
             steward_mb: changed.steward_mb,
             mesh_kb_per_s: (idle.mesh_bytes - before.mesh_bytes) / seconds / 1_000.0,
             store_reads_per_s: (idle.reads - before.reads) / seconds,
@@ -163,11 +170,11 @@
         };
         let fleet = Fleet::start(plan).await?;
         write_halls(&fleet, vms).await?;
-        let answer = TestRequest::put_json(&fleet.platform_url("/standin/vms"), &listing(vms))?
+        let response = TestRequest::put_json(&fleet.platform_url("/standin/vms"), &listing(vms))?
             .send()
             .await?;
-        if answer.status != 204 {
-            return Err(eyre!("list: {}", answer.text()));
+        if response.status != 204 {
+            return Err(eyre!("setting the VM list failed: {}", response.text()));
         }
         for entry in 0..self.entries {
             wait_until("an entry to know all VMs", || async {
@@ -180,9 +187,11 @@
         Ok(fleet)
     }
 
-    /// Changes rows at a steady rate through the first entry; answers with the
-    /// sorted times until each change was in force everywhere, in milliseconds.
-    async fn change_table(&self, fleet: &Fleet) -> Result<Vec<f64>> {
+    /// Changes the configuration at a fixed rate through the first entry.
+    ///
+    /// Returns the sorted times until each change was in effect in all entries, in
+    /// milliseconds.
+    async fn change_configuration(&self, fleet: &Fleet) -> Result<Vec<f64>> {
         let mut delays = Vec::new();
         let interval = Duration::from_secs_f64(1.0 / CHANGES_PER_S);
         let start = Instant::now();
@@ -191,11 +200,11 @@
             tokio::time::sleep_until(start + interval * number as u32).await;
             let began = Instant::now();
             let value = (100 + number).to_string();
-            let answer = fleet
+            let response = fleet
                 .set_cell(0, &pool_name(0), "queue_limit", &value)
                 .await?;
-            if answer.status != 200 {
-                return Err(eyre!("edit: {}", answer.text()));
+            if response.status != 200 {
+                return Err(eyre!("configuration change failed: {}", response.text()));
             }
             let revision = fleet.ready_revision(0).await?;
             for entry in 0..self.entries {
@@ -208,20 +217,21 @@
     }
 }
 
-/// Counters of the last entry, and of the store for all entries.
-struct Reading {
+/// Totals and memory of the last entry and the first steward at one time, and
+/// the store calls of all processes.
+struct UsageSample {
     at: Instant,
-    processor: Duration,
+    entry_cpu: Duration,
     resident_mb: f64,
-    steward: Duration,
+    steward_cpu: Duration,
     steward_mb: f64,
     mesh_bytes: f64,
     reads: f64,
     writes: f64,
 }
 
-impl Reading {
-    async fn take(fleet: &Fleet) -> Result<Self> {
+impl UsageSample {
+    async fn read(fleet: &Fleet) -> Result<Self> {
         let last = fleet.entries.len() - 1;
         let url = fleet.platform_url("/standin/calls");
         let calls: serde_json::Value = TestRequest::get(&url).send().await?.json()?;
@@ -230,9 +240,9 @@
         let number = |name: &str| calls[name].as_f64().unwrap_or(0.0);
         Ok(Self {
             at: Instant::now(),
-            processor: fleet.entries[last].processor_time()?,
+            entry_cpu: fleet.entries[last].processor_time()?,
             resident_mb: fleet.entries[last].resident_bytes()? as f64 / 1e6,
-            steward: fleet.stewards[0].processor_time()?,
+            steward_cpu: fleet.stewards[0].processor_time()?,
             steward_mb: fleet.stewards[0].resident_bytes()? as f64 / 1e6,
             mesh_bytes: metric(&metrics, "hoisthitch_mesh_bytes_total"),
             reads: number("reads"),
@@ -242,16 +252,16 @@
 
     fn core_percent_since(&self, before: &Self) -> f64 {
         let seconds = (self.at - before.at).as_secs_f64();
-        percent(self.processor - before.processor, seconds)
+        percent(self.entry_cpu - before.entry_cpu, seconds)
     }
 }
 
-/// Processor time as a share of a time, in percent.
+/// CPU time used within a period, in percent of one core.
 fn percent(used: Duration, seconds: f64) -> f64 {
     100.0 * used.as_secs_f64() / seconds
 }
 
-/// Sum of a metric over its labels.
+/// Sum of a metric over all its labels.
 fn metric(text: &str, name: &str) -> f64 {
     text.lines()
         .filter(|line| line.starts_with(name))
@@ -300,7 +310,7 @@
             vm: format!("vm-{index:05}"),
             hall: hall_name(index / VMS_PER_HALL),
             rack: format!("rack-{:04}", index / 4),
-            // Nobody listens there: these VMs are only known, never called.
+            // Nothing listens on this address: these VMs are listed but never called.
             address: ([127, 0, 0, 1], 1).into(),
             state: VmState::Live,
             boots: 1,
@@ -316,17 +326,17 @@
     format!("hall-{hall:02}")
 }
 
-fn tell_fit(name: &str, rows: &[SlopeRow], value: fn(&SlopeRow) -> f64) {
+fn print_fit(name: &str, rows: &[SlopeRow], value: fn(&SlopeRow) -> f64) {
     let points: Vec<(f64, f64)> = rows
         .iter()
         .map(|row| (row.vms as f64, value(row)))
         .collect();
-    let fit = LineFit::through(&points);
+    let fit = LineFit::least_squares(&points);
     println!(
         "{name}: {:.4} + {:.4} for each 1,000 VMs, r2 {:.3}; at 10,000 VMs {:.3}",
-        fit.base,
+        fit.intercept,
         fit.slope * 1_000.0,
         fit.r_squared,
-        fit.at(10_000.0)
+        fit.value_at(10_000.0)
     );
 }
--- a/crates/hoisthitch-load/src/fit.rs
+++ b/crates/hoisthitch-load/src/fit.rs
@@ -1,19 +1,20 @@
-//! Straight lines through measured points.
+//! Least-squares line through measured points.
 
-/// A line `value = base + slope * size`.
+/// The line `value = intercept + slope * size`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LineFit {
     /// Value at size zero.
-    pub base: f64,
-    /// Value for each unit of size.
+    pub intercept: f64,
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// Share of the variance that the line explains.
+    /// Coefficient of determination: the fraction of the variance that the line
+    /// explains; 1 if all values are equal.
     pub r_squared: f64,
 }
 
 impl LineFit {
     /// Fits a line by least squares.
-    pub fn through(points: &[(f64, f64)]) -> Self {
+    pub fn least_squares(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
@@ -30,7 +31,7 @@
         };
         let explained = slope * covariance;
         Self {
-            base: mean_y - slope * mean_x,
+            intercept: mean_y - slope * mean_x,
             slope,
             r_squared: if variance_y > 0.0 {
                 explained / variance_y
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Value of the line at a size.
-    pub fn at(self, size: f64) -> f64 {
-        self.base + self.slope * size
+    /// Value of the line at the given size.
+    pub fn value_at(self, size: f64) -> f64 {
+        self.intercept + self.slope * size
     }
 }
--- a/crates/hoisthitch-load/src/main.rs
+++ b/crates/hoisthitch-load/src/main.rs
@@ -1,8 +1,9 @@
-//! The load and experiment tool.
+//! Load generator and experiments.
 //!
-//! `drive` sends an open-loop load to addresses that are given; each experiment
-//! starts a fleet of its own on loopback, measures one matter and writes a CSV.
-//! Loads are bounded in rate and time.
+//! `drive` sends an open-loop load to the given addresses. Every other
+//! subcommand is an experiment: it starts its own fleet on loopback, measures
+//! one property and prints the figures; some also write them to a CSV file.
+//! The rate and the duration of every load are limited.
 
 mod driver;
 mod experiments;
--- a/crates/hoisthitch-load/src/report.rs
+++ b/crates/hoisthitch-load/src/report.rs
@@ -1,4 +1,5 @@
-//! Reports of a load.
+//! Report of a load: counts by outcome and latency histograms, and CSV output of
+//! the experiments.
 
 use std::{
     fmt::{
@@ -15,45 +16,46 @@
 
 use crate::driver::LoadSample;
 
-/// Longest latency that is told apart, in microseconds.
-const LATENCY_LIMIT_US: u64 = 60_000_000;
+/// Longest latency that the histograms record, in microseconds; a longer one
+/// counts as this.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Digits that latencies are kept to.
-const DIGITS: u8 = 3;
+/// Significant digits of the recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What came of one stream of requests.
+/// Results of one stream of requests.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     /// Name of the stream.
     pub name: String,
-    /// Requests answered with 200.
+    /// Requests with status 200.
     pub good: u64,
-    /// Requests refused with 429 or 503.
+    /// Requests refused with status 429 or 503.
     pub refused: u64,
-    /// Requests with another status or no answer.
+    /// Requests with another status or without a response.
     pub failed: u64,
-    /// Time until the last good answer, and no less than that of the load.
-    time: Duration,
+    /// Time until the last good response, at least the duration of the load.
+    duration: Duration,
     latencies: Option<Histogram<u64>>,
-    services: Option<Histogram<u64>>,
+    service_times: Option<Histogram<u64>>,
 }
 
 impl LoadReport {
-    /// Starts empty.
-    pub fn new(name: &str, time: Duration) -> Self {
+    /// Creates an empty report.
+    pub fn new(name: &str, duration: Duration) -> Self {
         Self {
             name: name.to_owned(),
             good: 0,
             refused: 0,
             failed: 0,
-            time,
+            duration,
             latencies: new_histogram(),
-            services: new_histogram(),
+            service_times: new_histogram(),
         }
     }
 
-    /// Adds one request.
-    pub fn add(&mut self, sample: &LoadSample) {
+    /// Records the outcome of one request.
+    pub fn record_sample(&mut self, sample: &LoadSample) {
         match sample.status {
             200 => self.good += 1,
             429 | 503 => self.refused += 1,
@@ -61,44 +63,44 @@
         }
         if sample.status == 200 {
             record(&mut self.latencies, sample.latency);
-            record(&mut self.services, sample.service);
-            self.time = self.time.max(sample.ended);
+            record(&mut self.service_times, sample.service_time);
+            self.duration = self.duration.max(sample.ended_after);
         }
     }
 
-    /// One report of several.
-    pub fn merged(name: &str, time: Duration, parts: &[Self]) -> Self {
-        let mut whole = Self::new(name, time);
-        for part in parts {
-            whole.good += part.good;
-            whole.refused += part.refused;
-            whole.failed += part.failed;
-            whole.time = whole.time.max(part.time);
-            add(&mut whole.latencies, &part.latencies);
-            add(&mut whole.services, &part.services);
+    /// Merges the reports of a stream's workers into one.
+    pub fn merge(name: &str, duration: Duration, reports: &[Self]) -> Self {
+        let mut merged = Self::new(name, duration);
+        for report in reports {
+            merged.good += report.good;
+            merged.refused += report.refused;
+            merged.failed += report.failed;
+            merged.duration = merged.duration.max(report.duration);
+            add_histogram(&mut merged.latencies, &report.latencies);
+            add_histogram(&mut merged.service_times, &report.service_times);
         }
-        whole
+        merged
     }
 
-    /// Latency of good answers at a quantile, in milliseconds.
+    /// Quantile of the latency of good responses, in milliseconds.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         quantile_ms(&self.latencies, quantile)
     }
 
-    /// Time from sending to the end of good answers at a quantile, in
+    /// Quantile of the time from sending to the end of good responses, in
     /// milliseconds.
-    pub fn service_ms(&self, quantile: f64) -> f64 {
-        quantile_ms(&self.services, quantile)
+    pub fn service_time_ms(&self, quantile: f64) -> f64 {
+        quantile_ms(&self.service_times, quantile)
     }
 
-    /// Good answers a second.
+    /// Good responses per second.
     pub fn good_rate(&self) -> f64 {
-        self.good as f64 / self.time.as_secs_f64()
+        self.good as f64 / self.duration.as_secs_f64()
     }
 }
 
 fn new_histogram() -> Option<Histogram<u64>> {
-    Histogram::new_with_bounds(1, LATENCY_LIMIT_US, DIGITS).ok()
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok()
 }
 
 fn record(histogram: &mut Option<Histogram<u64>>, time: Duration) {
@@ -108,10 +110,10 @@
     }
 }
 
-fn add(whole: &mut Option<Histogram<u64>>, part: &Option<Histogram<u64>>) {
-    if let (Some(whole), Some(part)) = (whole, part) {
-        // Both have the same bounds, so that adding can't fail.
-        let _ = whole.add(part);
+fn add_histogram(total: &mut Option<Histogram<u64>>, part: &Option<Histogram<u64>>) {
+    if let (Some(total), Some(part)) = (total, part) {
+        // Can't fail, as both histograms have the same bounds.
+        let _ = total.add(part);
     }
 }
 
@@ -138,11 +140,11 @@
     }
 }
 
-/// Writes rows to a CSV file, with a head.
+/// Writes rows to a CSV file with a header line.
 ///
 /// # Errors
 ///
-/// Fails when the file can't be written.
+/// Fails if the file cannot be written.
 pub fn write_csv<R: Serialize>(path: &Path, rows: &[R]) -> Result<()> {
     let mut writer = csv::Writer::from_path(path)?;
     for row in rows {
