--- a/crates/hoisthitch-standin/src/main.rs
+++ b/crates/hoisthitch-standin/src/main.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what surrounds hoisthitch, for tests and for trying it out:
-//! the platform's store and VM list, runners, and a proxy that injects faults.
+//! Stand-ins for the environment of hoisthitch, for tests and demos: the
+//! platform's store and VM list, runners, and a proxy that injects faults.
 //!
-//! Each is a plain process of its own, steered over HTTP below `/standin`.
+//! Each subcommand runs one of them as a separate process, which is controlled
+//! over HTTP under `/standin`.
 
 mod platform;
 mod proxy;
--- a/crates/hoisthitch-standin/src/platform/faults.rs
+++ b/crates/hoisthitch-standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the store, set and cleared by tests.
+//! Injected faults of the store, set and cleared by tests, and call counters.
 
 use std::{
     sync::{
@@ -23,21 +23,21 @@
     values::StoreValues, //
 };
 
-/// Faults in force.
+/// Faults to inject.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultPlan {
-    /// Whether every call fails and watches end.
+    /// Whether every call fails and open watches end.
     pub outage: bool,
-    /// Time that each answer is held back, in milliseconds.
+    /// Delay of each call before it takes effect, in milliseconds.
     pub delay_ms: u64,
-    /// Writes to come that take effect and whose answers are lost.
+    /// Number of coming writes that take effect but whose responses are lost.
     pub lose_answers: u32,
-    /// Whether watches stay open and tell nothing.
+    /// Whether watches stay open but report no changes.
     pub silent_watches: bool,
 }
 
-/// Calls counted, as the platform's bill would.
+/// Number of calls, counted as for the platform's bill.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct CallTotals {
     /// Reads.
@@ -48,7 +48,7 @@
     pub watches: u64,
 }
 
-/// Faults in force and calls counted.
+/// Current faults, call counters and the saved copy of the store.
 #[derive(Default)]
 pub struct StoreFaults {
     plan: Mutex<FaultPlan>,
@@ -56,14 +56,14 @@
     saved: Mutex<Option<StoreValues>>,
 }
 
-/// What a call meets.
-pub enum CallFate {
-    /// The call is answered.
-    Answer,
+/// Outcome of a call.
+pub enum CallOutcome {
+    /// The call takes effect and its response is sent.
+    Respond,
     /// The call fails before it takes effect.
     Fail,
-    /// The call takes effect and its answer is lost.
-    Lose,
+    /// The call takes effect but its response is lost.
+    LoseResponse,
 }
 
 /// Kinds of calls.
@@ -78,8 +78,9 @@
 }
 
 impl StoreFaults {
-    /// Counts a call, holds it back as long as told, and decides its fate.
-    pub async fn meet(&self, kind: CallKind) -> CallFate {
+    /// Counts a call, waits for the configured delay and returns the outcome that
+    /// the call is to have.
+    pub async fn begin_call(&self, kind: CallKind) -> CallOutcome {
         self.count(kind);
         let delay = lock(&self.plan).delay_ms;
         if delay > 0 {
@@ -87,16 +88,16 @@
         }
         let mut plan = lock(&self.plan);
         if plan.outage {
-            return CallFate::Fail;
+            return CallOutcome::Fail;
         }
         if kind == CallKind::Write && plan.lose_answers > 0 {
             plan.lose_answers -= 1;
-            return CallFate::Lose;
+            return CallOutcome::LoseResponse;
         }
-        CallFate::Answer
+        CallOutcome::Respond
     }
 
-    /// Faults in force.
+    /// Returns the current faults.
     pub fn plan(&self) -> FaultPlan {
         lock(&self.plan).clone()
     }
@@ -111,7 +112,7 @@
     }
 }
 
-/// Adds the handlers.
+/// Registers the handlers.
 pub fn configure(config: &mut web::ServiceConfig) {
     config
         .route("/standin/faults", web::put().to(put_faults))
--- a/crates/hoisthitch-standin/src/platform/gateway.rs
+++ b/crates/hoisthitch-standin/src/platform/gateway.rs
@@ -1,4 +1,4 @@
-//! Handlers of the etcd v3 JSON gateway.
+//! Handlers of the etcd v3 JSON gateway, with the injected faults.
 
 use std::{
     convert::Infallible,
@@ -28,17 +28,17 @@
 use crate::platform::{
     PlatformState,
     faults::{
-        CallFate,
-        CallKind, //
+        CallKind,
+        CallOutcome, //
     }, //
 };
 
 type State = web::Data<PlatformState>;
 
-/// How often a watch looks whether an outage should end it.
-const WATCH_CHECK: Duration = Duration::from_millis(50);
+/// Time after which a waiting watch checks for an outage, which ends it.
+const OUTAGE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Adds the handlers.
+/// Registers the handlers.
 pub fn configure(config: &mut web::ServiceConfig) {
     config
         .route("/v3/kv/range", web::post().to(range))
@@ -54,9 +54,9 @@
     let Ok(request) = serde_json::from_slice::<RangeRequest>(&body) else {
         return malformed();
     };
-    match state.faults.meet(CallKind::Read).await {
-        CallFate::Answer => HttpResponse::Ok().json(state.values.range(&request)),
-        CallFate::Fail | CallFate::Lose => outage(),
+    match state.faults.begin_call(CallKind::Read).await {
+        CallOutcome::Respond => HttpResponse::Ok().json(state.values.range(&request)),
+        CallOutcome::Fail | CallOutcome::LoseResponse => outage(),
     }
 }
 
@@ -108,18 +108,19 @@
     .await
 }
 
-async fn write<A, E>(state: &State, act: impl FnOnce() -> Result<A, E>) -> HttpResponse
+/// Runs a write with the injected faults; a refused write gets status 413.
+async fn write<R, E>(state: &State, run: impl FnOnce() -> Result<R, E>) -> HttpResponse
 where
-    A: Serialize,
+    R: Serialize,
 {
-    match state.faults.meet(CallKind::Write).await {
-        CallFate::Fail => outage(),
-        CallFate::Answer => match act() {
-            Ok(answer) => HttpResponse::Ok().json(answer),
+    match state.faults.begin_call(CallKind::Write).await {
+        CallOutcome::Fail => outage(),
+        CallOutcome::Respond => match run() {
+            Ok(response) => HttpResponse::Ok().json(response),
             Err(_) => HttpResponse::PayloadTooLarge().finish(),
         },
-        CallFate::Lose => {
-            let _ = act();
+        CallOutcome::LoseResponse => {
+            let _ = run();
             outage()
         }
     }
@@ -129,7 +130,9 @@
     let Ok(request) = serde_json::from_slice::<WatchRequest>(&body) else {
         return malformed();
     };
-    if let CallFate::Fail | CallFate::Lose = state.faults.meet(CallKind::Watch).await {
+    if let CallOutcome::Fail | CallOutcome::LoseResponse =
+        state.faults.begin_call(CallKind::Watch).await
+    {
         return outage();
     }
     let request = request.create_request;
@@ -140,12 +143,12 @@
             range_end: request.range_end,
             keys_only: false,
         },
-        next: if request.start_revision > 0 {
+        next_revision: if request.start_revision > 0 {
             request.start_revision
         } else {
             revision + 1
         },
-        opened: false,
+        confirmed: false,
         changed: state.values.subscribe(),
         state,
     };
@@ -157,20 +160,22 @@
         }))
 }
 
-/// Where a watch stands.
+/// Position of one watch in the changes of its range.
 struct WatchCursor {
     range: RangeRequest,
-    next: i64,
-    opened: bool,
+    /// Revision from which changes are still to be sent.
+    next_revision: i64,
+    /// Whether the line that confirms the watch was sent.
+    confirmed: bool,
     changed: tokio::sync::watch::Receiver<i64>,
     state: State,
 }
 
 impl WatchCursor {
-    /// The next line; `None` when an outage ends the watch.
+    /// Waits for the next line; returns `None` if an outage ends the watch.
     async fn next_line(&mut self) -> Option<Bytes> {
-        if !self.opened {
-            self.opened = true;
+        if !self.confirmed {
+            self.confirmed = true;
             return Some(self.line(true, Vec::new()));
         }
         loop {
@@ -179,13 +184,13 @@
                 return None;
             }
             if !plan.silent_watches {
-                let (events, revision) = self.state.values.changes(&self.range, self.next);
-                self.next = self.next.max(revision + 1);
+                let (events, revision) = self.state.values.changes(&self.range, self.next_revision);
+                self.next_revision = self.next_revision.max(revision + 1);
                 if !events.is_empty() {
                     return Some(self.line(false, events));
                 }
             }
-            let _ = tokio::time::timeout(WATCH_CHECK, self.changed.changed()).await;
+            let _ = tokio::time::timeout(OUTAGE_CHECK_INTERVAL, self.changed.changed()).await;
         }
     }
 
--- a/crates/hoisthitch-standin/src/platform/list.rs
+++ b/crates/hoisthitch-standin/src/platform/list.rs
@@ -1,4 +1,5 @@
-//! The platform's list of VMs, which may lag.
+//! The platform's list of VMs and its reboots; changes can be made to show with
+//! a lag.
 
 use std::{
     collections::VecDeque,
@@ -26,10 +27,10 @@
 
 use crate::platform::PlatformState;
 
-/// Versions of the list kept for the lag.
-const VERSION_LIMIT: usize = 1_000;
+/// Versions of the list that are kept, as a lag shows earlier ones.
+const MAX_VERSIONS: usize = 1_000;
 
-/// The list, with the versions that a lag still shows.
+/// The list, with the earlier versions that a lag can still show.
 #[derive(Default)]
 pub struct VmList {
     inner: Mutex<ListState>,
@@ -42,33 +43,33 @@
     reboot: Duration,
     lost: Vec<String>,
     versions: VecDeque<ListVersion>,
-    /// Versions so far.
-    count: u64,
+    /// Number of versions so far; the source of the entity tags.
+    version_count: u64,
 }
 
 #[derive(Clone)]
 struct ListVersion {
-    since: Instant,
-    /// Entity tag.
+    added_at: Instant,
+    /// Entity tag of the HTTP response.
     tag: String,
     vms: Vec<ListedVm>,
 }
 
-/// How the list behaves.
+/// Behaviour of the list.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListPlan {
-    /// Time until a change shows, in milliseconds.
+    /// Time until a change becomes visible, in milliseconds.
     lag_ms: u64,
     /// Whether every call fails.
     outage: bool,
-    /// Time that a reboot takes, in milliseconds.
+    /// Duration of a reboot, in milliseconds.
     reboot_ms: u64,
-    /// VMs that don't come back from a reboot.
+    /// VMs that stay in the state `Rebooting` once they are rebooted.
     lost: Vec<String>,
 }
 
-/// Adds the handlers.
+/// Registers the handlers.
 pub fn configure(config: &mut web::ServiceConfig) {
     config
         .route("/vms", web::get().to(get_vms))
@@ -83,22 +84,22 @@
         return HttpResponse::ServiceUnavailable().finish();
     }
     let now = Instant::now();
-    let Some(shown) = list.shown(now) else {
+    let Some(version) = list.visible_version(now) else {
         return HttpResponse::Ok().json(Vec::<ListedVm>::new());
     };
     let known = request.headers().get(header::IF_NONE_MATCH);
-    if known.is_some_and(|known| known.as_bytes() == shown.tag.as_bytes()) {
+    if known.is_some_and(|known| known.as_bytes() == version.tag.as_bytes()) {
         return HttpResponse::NotModified().finish();
     }
     HttpResponse::Ok()
-        .insert_header((header::ETAG, shown.tag.as_str()))
-        .json(&shown.vms)
+        .insert_header((header::ETAG, version.tag.as_str()))
+        .json(&version.vms)
 }
 
 async fn put_vms(state: web::Data<PlatformState>, vms: web::Json<Vec<ListedVm>>) -> HttpResponse {
     let mut list = state.list.lock();
-    list.add(vms.into_inner());
-    if list.versions.len() > VERSION_LIMIT {
+    list.push_version(vms.into_inner());
+    if list.versions.len() > MAX_VERSIONS {
         list.versions.pop_front();
     }
     HttpResponse::NoContent().finish()
@@ -106,11 +107,11 @@
 
 async fn reboot(state: web::Data<PlatformState>, call: web::Json<RebootRequest>) -> HttpResponse {
     let RebootRequest { vm, boots } = call.into_inner();
-    let Some(time) = state.list.begin_reboot(&vm, boots) else {
+    let Some(duration) = state.list.begin_reboot(&vm, boots) else {
         return HttpResponse::Ok().finish();
     };
     actix_web::rt::spawn(async move {
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         state.list.end_reboot(&vm);
     });
     HttpResponse::Ok().finish()
@@ -126,18 +127,21 @@
 }
 
 impl VmList {
-    /// Begins a reboot; none where the VM was started since or is not known.
+    /// Begins a reboot and returns its duration.
+    ///
+    /// Returns `None` if the VM is not listed, has already been rebooted (its number
+    /// of boots is not `boots`) or is rebooting.
     fn begin_reboot(&self, vm: &str, boots: u64) -> Option<Duration> {
         let mut list = self.lock();
-        let time = list.reboot;
-        let changed = list.change(vm, |listed| {
-            let fits = listed.boots == boots && listed.state != VmState::Rebooting;
-            if fits {
+        let duration = list.reboot;
+        let changed = list.update_vm(vm, |listed| {
+            let can_reboot = listed.boots == boots && listed.state != VmState::Rebooting;
+            if can_reboot {
                 listed.state = VmState::Rebooting;
             }
-            fits
+            can_reboot
         });
-        changed.then_some(time)
+        changed.then_some(duration)
     }
 
     fn end_reboot(&self, vm: &str) {
@@ -145,7 +149,7 @@
         if list.lost.iter().any(|lost| lost == vm) {
             return;
         }
-        list.change(vm, |listed| {
+        list.update_vm(vm, |listed| {
             listed.state = VmState::Live;
             listed.boots += 1;
             true
@@ -158,8 +162,11 @@
 }
 
 impl ListState {
-    /// Changes a VM in a new version of the list.
-    fn change(&mut self, vm: &str, change: impl FnOnce(&mut ListedVm) -> bool) -> bool {
+    /// Adds a version of the list in which one VM is updated.
+    ///
+    /// Returns `false`, and adds none, if the VM is not listed or `update` returns
+    /// `false`.
+    fn update_vm(&mut self, vm: &str, update: impl FnOnce(&mut ListedVm) -> bool) -> bool {
         let mut vms = self
             .versions
             .back()
@@ -167,28 +174,29 @@
         let Some(listed) = vms.iter_mut().find(|listed| listed.vm == vm) else {
             return false;
         };
-        if !change(listed) {
+        if !update(listed) {
             return false;
         }
-        self.add(vms);
+        self.push_version(vms);
         true
     }
 
-    /// Adds a version.
-    fn add(&mut self, vms: Vec<ListedVm>) {
-        self.count += 1;
+    /// Adds a version of the list.
+    fn push_version(&mut self, vms: Vec<ListedVm>) {
+        self.version_count += 1;
         self.versions.push_back(ListVersion {
-            since: Instant::now(),
-            tag: format!("\"{}\"", self.count),
+            added_at: Instant::now(),
+            tag: format!("\"{}\"", self.version_count),
             vms,
         });
     }
 
-    /// The version that shows, with the lag.
-    fn shown(&self, now: Instant) -> Option<&ListVersion> {
+    /// Returns the newest version that is at least as old as the lag, else the
+    /// oldest.
+    fn visible_version(&self, now: Instant) -> Option<&ListVersion> {
         let mut versions = self.versions.iter().rev();
         versions
-            .find(|version| version.since + self.lag <= now)
+            .find(|version| version.added_at + self.lag <= now)
             .or(self.versions.front())
     }
 }
--- a/crates/hoisthitch-standin/src/platform/mod.rs
+++ b/crates/hoisthitch-standin/src/platform/mod.rs
@@ -1,8 +1,9 @@
 //! Stand-in for the platform: the store behind an etcd v3 JSON gateway, and the
 //! list of VMs.
 //!
-//! Faults are set below `/standin`: outages, slow answers, answers lost after a
-//! write took effect, and a store that comes back older.
+//! Requests under `/standin` set the list and inject faults: outages, slow
+//! responses, responses lost after a write took effect, and a store that returns
+//! to an earlier state.
 
 mod faults;
 mod gateway;
@@ -29,8 +30,8 @@
     values::ValueStore, //
 };
 
-/// Largest request: a value of 1 MB in base64, with its frame.
-const REQUEST_LIMIT: usize = 4 << 20;
+/// Largest request, in bytes: a value of 1 MB in base64 and its envelope.
+const MAX_REQUEST_BYTES: usize = 4 << 20;
 
 /// Stand-in for the platform's store and its list of VMs.
 #[derive(Debug, FromArgs)]
@@ -41,18 +42,18 @@
     listen: SocketAddr,
 }
 
-/// What the handlers share.
+/// State shared by the handlers.
 pub struct PlatformState {
     values: ValueStore,
     list: VmList,
     faults: StoreFaults,
 }
 
-/// Runs until the process is told to stop.
+/// Serves until the process is stopped.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be listened on.
+/// Fails if the process cannot listen on the address.
 pub async fn run(args: PlatformArgs) -> Result<()> {
     let state = Arc::new(PlatformState {
         values: ValueStore::default(),
@@ -63,8 +64,8 @@
     HttpServer::new(move || {
         App::new()
             .app_data(web::Data::from(state.clone()))
-            .app_data(web::JsonConfig::default().limit(REQUEST_LIMIT))
-            .app_data(web::PayloadConfig::new(REQUEST_LIMIT))
+            .app_data(web::JsonConfig::default().limit(MAX_REQUEST_BYTES))
+            .app_data(web::PayloadConfig::new(MAX_REQUEST_BYTES))
             .configure(gateway::configure)
             .configure(list::configure)
             .configure(faults::configure)
--- a/crates/hoisthitch-standin/src/platform/values.rs
+++ b/crates/hoisthitch-standin/src/platform/values.rs
@@ -1,4 +1,9 @@
-//! Values of the store, with revisions, leases and watches.
+//! The store's values in memory, with the revisions, leases, transactions and
+//! watches of etcd.
+//!
+//! Every write and every deletion gets a revision of its own, unlike in etcd also
+//! within a transaction. An expired lease is removed at the next read, write,
+//! renewal or check of a watch.
 
 use std::{
     collections::{
@@ -32,13 +37,14 @@
     time::Instant, //
 };
 
-/// Largest value, as the platform documents it.
-const VALUE_LIMIT: usize = 1 << 20;
+/// Largest value, in bytes, as the platform documents it.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Changes kept for watches that resume.
-const HISTORY_LIMIT: usize = 100_000;
+/// Changes that are kept for watches that resume; beyond it, the older half is
+/// dropped.
+const MAX_HISTORY_EVENTS: usize = 100_000;
 
-/// The store's values.
+/// The store's values, shared by the handlers.
 pub struct ValueStore {
     inner: Mutex<StoreValues>,
     changed: watch::Sender<i64>,
@@ -60,20 +66,20 @@
     expires: Instant,
 }
 
-/// A value is larger than the store takes.
+/// A value is larger than the store accepts.
 #[derive(Debug)]
 pub struct ValueTooLarge;
 
-/// Why a transaction is refused.
+/// Reason for which a transaction is refused.
 #[derive(Debug)]
-pub enum TxnRefusal {
-    /// A value is larger than the store takes.
+pub enum TxnError {
+    /// A value is larger than the store accepts.
     ValueTooLarge,
-    /// One key is written twice.
-    KeyTwice,
+    /// A key is written more than once.
+    DuplicateKey,
 }
 
-impl From<ValueTooLarge> for TxnRefusal {
+impl From<ValueTooLarge> for TxnError {
     fn from(_: ValueTooLarge) -> Self {
         Self::ValueTooLarge
     }
@@ -90,14 +96,14 @@
 }
 
 impl ValueStore {
-    /// Reads a range.
+    /// Reads a range of keys.
     pub fn range(&self, request: &RangeRequest) -> RangeResponse {
         let mut values = self.lock();
         values.expire();
         values.range(request)
     }
 
-    /// Writes a value without a condition.
+    /// Writes a value unconditionally.
     pub fn put(&self, request: PutRequest) -> Result<ResponseHeader, ValueTooLarge> {
         check_size(&request)?;
         let mut values = self.lock();
@@ -108,10 +114,10 @@
 
     /// Runs a transaction.
     ///
-    /// Like etcd, refuses one that writes a key twice.
-    pub fn txn(&self, request: TxnRequest) -> Result<TxnResponse, TxnRefusal> {
-        if writes_twice(&request.success) || writes_twice(&request.failure) {
-            return Err(TxnRefusal::KeyTwice);
+    /// Like etcd, refuses a transaction that writes a key more than once.
+    pub fn txn(&self, request: TxnRequest) -> Result<TxnResponse, TxnError> {
+        if writes_key_twice(&request.success) || writes_key_twice(&request.failure) {
+            return Err(TxnError::DuplicateKey);
         }
         for operation in &request.success {
             if let Some(put) = &operation.request_put {
@@ -120,7 +126,7 @@
         }
         let mut values = self.lock();
         values.expire();
-        let succeeded = request.compare.iter().all(|compare| values.holds(compare));
+        let succeeded = request.compare.iter().all(|compare| values.is_met(compare));
         let operations = if succeeded {
             request.success
         } else {
@@ -154,7 +160,7 @@
         }
     }
 
-    /// Keeps a lease alive.
+    /// Renews a lease; the response has a TTL of zero if there is none.
     pub fn keep_alive(&self, id: i64) -> LeaseResponse {
         let mut values = self.lock();
         values.expire();
@@ -168,14 +174,14 @@
         }
     }
 
-    /// Ends a lease and removes its values.
+    /// Revokes a lease and deletes its values.
     pub fn revoke(&self, id: i64) {
         let mut values = self.lock();
         values.drop_lease(id);
         self.notify(&values);
     }
 
-    /// Changes of the range since a revision, and the revision reached.
+    /// Returns the changes of a range from a revision on, and the current revision.
     pub fn changes(&self, range: &RangeRequest, from: i64) -> (Vec<Event>, i64) {
         let mut values = self.lock();
         values.expire();
@@ -188,22 +194,22 @@
         (events, values.revision)
     }
 
-    /// Tells when the store changes.
+    /// Returns a receiver of the revision, which is notified of writes.
     pub fn subscribe(&self) -> watch::Receiver<i64> {
         self.changed.subscribe()
     }
 
-    /// Revision of the store.
+    /// Returns the current revision.
     pub fn revision(&self) -> i64 {
         self.lock().revision
     }
 
-    /// Copies all values.
+    /// Returns a copy of the values, revision, history and leases.
     pub fn snapshot(&self) -> StoreValues {
         self.lock().clone()
     }
 
-    /// Puts a copy back: the store comes back older.
+    /// Replaces the state with a copy, which returns the store to an earlier state.
     pub fn restore(&self, snapshot: StoreValues) {
         let mut values = self.lock();
         *values = snapshot;
@@ -244,7 +250,7 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_met(&self, compare: &Compare) -> bool {
         let revision = self
             .values
             .get(&compare.key)
@@ -291,20 +297,20 @@
 
     fn record(&mut self, kind: String, kv: KeyValue) {
         self.history.push(Event { kind, kv });
-        if self.history.len() > HISTORY_LIMIT {
-            self.history.drain(..HISTORY_LIMIT / 2);
+        if self.history.len() > MAX_HISTORY_EVENTS {
+            self.history.drain(..MAX_HISTORY_EVENTS / 2);
         }
     }
 
     fn expire(&mut self) {
         let now = Instant::now();
-        let lapsed: Vec<i64> = self
+        let expired: Vec<i64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.expires <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in lapsed {
+        for id in expired {
             self.drop_lease(id);
         }
     }
@@ -338,7 +344,8 @@
     key >= range.key.as_slice() && key < range.range_end.as_slice()
 }
 
-fn writes_twice(operations: &[RequestOp]) -> bool {
+/// Whether any key is written or deleted more than once.
+fn writes_key_twice(operations: &[RequestOp]) -> bool {
     let mut keys = HashSet::new();
     operations.iter().any(|operation| {
         let put = operation.request_put.as_ref().map(|put| &put.key);
@@ -349,7 +356,7 @@
 }
 
 fn check_size(request: &PutRequest) -> Result<(), ValueTooLarge> {
-    if request.value.len() > VALUE_LIMIT {
+    if request.value.len() > MAX_VALUE_BYTES {
         return Err(ValueTooLarge);
     }
     Ok(())
--- a/crates/hoisthitch-standin/src/proxy.rs
+++ b/crates/hoisthitch-standin/src/proxy.rs
@@ -1,8 +1,13 @@
-//! Proxy that injects faults between two processes: TCP streams and UDP
-//! datagrams are passed on, cut, held back, delayed or doubled, each direction
-//! by itself. All streams that are open can also be silenced for good, as where a
-//! network forgets them: nothing passes them any more and no end closes them,
-//! while new ones work.
+//! Proxy that injects network faults between two processes.
+//!
+//! It forwards TCP streams or UDP datagrams from the listening address (the near
+//! side) to the target (the far side) and back. Both can be cut, held back or
+//! delayed, and datagrams can be duplicated; holding back is set for each
+//! direction separately.
+//!
+//! All open streams can also be silenced for good, as when a network loses its
+//! connection state: they transfer nothing any more and neither end is closed,
+//! while new streams work.
 
 use std::{
     collections::BTreeMap,
@@ -37,38 +42,38 @@
     sync::watch, //
 };
 
-/// Largest piece passed on at once.
-const CHUNK: usize = 64 << 10;
+/// Size of the buffers, and so the largest piece that is forwarded at once.
+const BUFFER_BYTES: usize = 64 << 10;
 
-/// Proxy that injects faults.
+/// Proxy that injects network faults.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "proxy")]
 pub struct ProxyArgs {
     /// address to listen on, as ip:port
     #[argh(option)]
     listen: SocketAddr,
-    /// address to pass on to, as ip:port
+    /// address to forward to, as ip:port
     #[argh(option)]
     to: SocketAddr,
     /// address that faults are set on, as ip:port
     #[argh(option)]
     control: SocketAddr,
-    /// pass on UDP datagrams instead of TCP streams
+    /// forward UDP datagrams instead of TCP streams
     #[argh(switch)]
     udp: bool,
 }
 
-/// Faults in force.
+/// Faults to inject. Where a stream is held back, a datagram is dropped.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct ProxyPlan {
-    /// Whether connections are closed and new ones refused.
+    /// Whether streams are closed, new ones too, and datagrams dropped.
     cut: bool,
-    /// Whether what comes from the listening side is held back.
+    /// Whether data from the near side is held back.
     hold_forward: bool,
-    /// Whether what comes from the far side is held back.
+    /// Whether data from the far side is held back.
     hold_back: bool,
-    /// Time that each piece is held back, in milliseconds.
+    /// Delay of each piece of data, in milliseconds.
     delay_ms: u64,
     /// Whether datagrams are sent twice.
     double: bool,
@@ -76,20 +81,22 @@
 
 #[derive(Clone, Copy)]
 enum Direction {
+    /// From the near side to the far side.
     Forward,
+    /// From the far side to the near side.
     Back,
 }
 
 type PlanReceiver = watch::Receiver<ProxyPlan>;
 
-/// How many times the open streams were silenced.
+/// Number of times that the open streams have been silenced.
 type SilenceReceiver = watch::Receiver<u64>;
 
-/// Runs until the process is told to stop.
+/// Forwards until the process is stopped.
 ///
 /// # Errors
 ///
-/// Fails when an address can't be listened on.
+/// Fails if the process cannot listen on an address.
 pub async fn run(args: ProxyArgs) -> Result<()> {
     let (sender, plan) = watch::channel(ProxyPlan::default());
     let sender = Arc::new(sender);
@@ -97,10 +104,10 @@
     let silencer = Arc::new(silencer);
     if args.udp {
         let socket = UdpSocket::bind(args.listen).await?;
-        actix_web::rt::spawn(pass_datagrams(Arc::new(socket), args.to, plan));
+        actix_web::rt::spawn(forward_datagrams(Arc::new(socket), args.to, plan));
     } else {
         let listener = TcpListener::bind(args.listen).await?;
-        actix_web::rt::spawn(pass_streams(listener, args.to, plan, silence));
+        actix_web::rt::spawn(forward_streams(listener, args.to, plan, silence));
     }
     println!("standin=proxy listen={} to={}", args.listen, args.to);
     HttpServer::new(move || {
@@ -108,7 +115,7 @@
             .app_data(web::Data::from(sender.clone()))
             .app_data(web::Data::from(silencer.clone()))
             .route("/standin/plan", web::put().to(put_plan))
-            .route("/standin/silence", web::post().to(silence_open))
+            .route("/standin/silence", web::post().to(silence_streams))
     })
     .workers(1)
     .shutdown_timeout(1)
@@ -126,12 +133,12 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn silence_open(silencer: web::Data<watch::Sender<u64>>) -> HttpResponse {
+async fn silence_streams(silencer: web::Data<watch::Sender<u64>>) -> HttpResponse {
     silencer.send_modify(|times| *times += 1);
     HttpResponse::NoContent().finish()
 }
 
-async fn pass_streams(
+async fn forward_streams(
     listener: TcpListener,
     to: SocketAddr,
     plan: PlanReceiver,
@@ -145,13 +152,13 @@
             continue;
         }
         let mut silence = silence.clone();
-        // What was silenced before this stream came does not concern it.
+        // Earlier requests to silence streams do not apply to this one.
         silence.mark_unchanged();
-        actix_web::rt::spawn(pass_stream(near, to, plan.clone(), silence));
+        actix_web::rt::spawn(forward_stream(near, to, plan.clone(), silence));
     }
 }
 
-async fn pass_stream(
+async fn forward_stream(
     near: TcpStream,
     to: SocketAddr,
     plan: PlanReceiver,
@@ -177,18 +184,20 @@
     tokio::select! {
         () = &mut copies => {}
         _ = &mut cut => {}
-        // The copies are kept, and with them both ends open.
+        // `copies` is no longer polled but still owns both connections, so that they
+        // stay open until the proxy is cut.
         Ok(()) = silence.changed() => drop(cut.await),
     }
 }
 
+/// Forwards one direction of a stream until its end.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut plan: PlanReceiver,
     direction: Direction,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok(size) = from.read(&mut buffer).await else {
             return;
@@ -197,31 +206,33 @@
             let _ = to.shutdown().await;
             return;
         }
-        hold(&mut plan, direction).await;
+        wait_to_forward(&mut plan, direction).await;
         if to.write_all(&buffer[..size]).await.is_err() {
             return;
         }
     }
 }
 
-async fn hold(plan: &mut PlanReceiver, direction: Direction) {
+/// Waits for the delay and while the direction is held back.
+async fn wait_to_forward(plan: &mut PlanReceiver, direction: Direction) {
     let delay = plan.borrow().delay_ms;
     if delay > 0 {
         tokio::time::sleep(Duration::from_millis(delay)).await;
     }
-    let _ = plan.wait_for(|plan| !held(plan, direction)).await;
+    let _ = plan.wait_for(|plan| !is_held(plan, direction)).await;
 }
 
-fn held(plan: &ProxyPlan, direction: Direction) -> bool {
+fn is_held(plan: &ProxyPlan, direction: Direction) -> bool {
     match direction {
         Direction::Forward => plan.hold_forward,
         Direction::Back => plan.hold_back,
     }
 }
 
-async fn pass_datagrams(near: Arc<UdpSocket>, to: SocketAddr, plan: PlanReceiver) {
+/// Forwards datagrams, with a socket to the far side for each near peer.
+async fn forward_datagrams(near: Arc<UdpSocket>, to: SocketAddr, plan: PlanReceiver) {
     let mut links: BTreeMap<SocketAddr, Arc<UdpSocket>> = BTreeMap::new();
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok((size, peer)) = near.recv_from(&mut buffer).await else {
             continue;
@@ -237,7 +248,7 @@
             let datagram = buffer[..size].to_vec();
             let plan = plan.clone();
             actix_web::rt::spawn(async move {
-                for _ in 0..copies(&plan, Direction::Forward).await {
+                for _ in 0..send_count(&plan, Direction::Forward).await {
                     let _ = link.send(&datagram).await;
                 }
             });
@@ -245,6 +256,8 @@
     }
 }
 
+/// Opens the socket to the far side for a near peer and starts to forward the
+/// datagrams that come back on it.
 async fn open_link(
     near: Arc<UdpSocket>,
     peer: SocketAddr,
@@ -255,9 +268,9 @@
     link.connect(to).await?;
     let back = link.clone();
     actix_web::rt::spawn(async move {
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; BUFFER_BYTES];
         while let Ok(size) = back.recv(&mut buffer).await {
-            for _ in 0..copies(&plan, Direction::Back).await {
+            for _ in 0..send_count(&plan, Direction::Back).await {
                 let _ = near.send_to(&buffer[..size], peer).await;
             }
         }
@@ -265,10 +278,11 @@
     Ok(link)
 }
 
-/// How often a datagram is sent; zero when it is lost.
-async fn copies(plan: &PlanReceiver, direction: Direction) -> usize {
+/// Waits for the delay and returns how many times a datagram is sent; zero if it
+/// is dropped.
+async fn send_count(plan: &PlanReceiver, direction: Direction) -> usize {
     let plan = plan.borrow().clone();
-    if plan.cut || held(&plan, direction) {
+    if plan.cut || is_held(&plan, direction) {
         return 0;
     }
     if plan.delay_ms > 0 {
--- a/crates/hoisthitch-standin/src/runner.rs
+++ b/crates/hoisthitch-standin/src/runner.rs
@@ -1,7 +1,8 @@
-//! Stand-in for a runner: a service with a number of slots that works for as
-//! long as each request asks for, echoes its body, and keeps a journal.
+//! Stand-in for a runner: a service with a fixed number of slots that sleeps for
+//! the working time that each request names, echoes the body of the request and
+//! keeps a journal of the requests that have a name.
 //!
-//! Requests beyond the slots wait inside the runner, first come first served.
+//! Requests that find no free slot wait inside the runner, in order of arrival.
 
 use std::{
     net::SocketAddr,
@@ -34,14 +35,14 @@
 };
 use tokio::sync::Semaphore;
 
-/// Header that asks for working time, in microseconds.
+/// Header that sets the working time of a request, in microseconds.
 const WORK_HEADER: &str = "x-work-us";
 
 /// Header that names a request in the journal.
 const NAME_HEADER: &str = "x-request-name";
 
-/// Largest request body.
-const BODY_LIMIT: usize = 64 << 20;
+/// Largest request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// Stand-in for a runner of a pool's service.
 #[derive(Debug, FromArgs)]
@@ -61,20 +62,20 @@
     work_us: u64,
 }
 
-/// How the runner behaves.
+/// Behaviour of the runner.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunnerMode {
-    /// Works.
+    /// Serves requests.
     #[default]
     Healthy,
-    /// Answers 500 at once.
+    /// Responds with status 500 at once.
     Failing,
-    /// Takes requests and never answers.
+    /// Accepts requests and never responds.
     Hanging,
 }
 
-/// One run in the journal.
+/// Journal record of one request.
 #[derive(Clone, Debug, Serialize)]
 struct RunRecord {
     name: String,
@@ -87,21 +88,22 @@
 struct RunnerState {
     vm: String,
     slots: Semaphore,
-    work: Duration,
+    /// Working time of a request that names none.
+    default_work: Duration,
     mode: Mutex<RunnerMode>,
     journal: Mutex<Vec<RunRecord>>,
 }
 
-/// Runs until the process is told to stop.
+/// Serves until the process is stopped.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be listened on.
+/// Fails if the process cannot listen on the address.
 pub async fn run(args: RunnerArgs) -> Result<()> {
     let state = Arc::new(RunnerState {
         vm: args.vm,
         slots: Semaphore::new(args.slots),
-        work: Duration::from_micros(args.work_us),
+        default_work: Duration::from_micros(args.work_us),
         mode: Mutex::default(),
         journal: Mutex::default(),
     });
@@ -109,7 +111,7 @@
     HttpServer::new(move || {
         App::new()
             .app_data(web::Data::from(state.clone()))
-            .app_data(web::PayloadConfig::new(BODY_LIMIT))
+            .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
             .route("/standin/mode", web::put().to(put_mode))
             .route("/standin/journal", web::get().to(get_journal))
             .default_service(web::route().to(serve))
@@ -129,8 +131,9 @@
         RunnerMode::Failing => return HttpResponse::InternalServerError().body("failing"),
         RunnerMode::Hanging => return hang().await,
     }
-    // The work goes on when the client hangs up, as in a real service.
-    let work = actix_web::rt::spawn(work(state.clone(), WorkOrder::of(&state, &request)));
+    // The work continues if the client disconnects, as in a real service.
+    let order = WorkOrder::from_request(&state, &request);
+    let work = actix_web::rt::spawn(work(state.clone(), order));
     if work.await.is_err() {
         return HttpResponse::InternalServerError().finish();
     }
@@ -139,50 +142,52 @@
         .body(body)
 }
 
-/// What one request asks for.
+/// Work that one request asks for.
 struct WorkOrder {
     name: String,
     path: String,
-    time: Duration,
+    duration: Duration,
 }
 
 impl WorkOrder {
-    fn of(state: &RunnerState, request: &HttpRequest) -> Self {
+    fn from_request(state: &RunnerState, request: &HttpRequest) -> Self {
         let header = |name: &str| {
             let value = request.headers().get(name)?;
             value.to_str().ok()
         };
-        let time = header(WORK_HEADER)
+        let duration = header(WORK_HEADER)
             .and_then(|text| text.parse().ok())
-            .map_or(state.work, Duration::from_micros);
+            .map_or(state.default_work, Duration::from_micros);
         Self {
             name: header(NAME_HEADER).unwrap_or_default().to_owned(),
             path: request.path().to_owned(),
-            time,
+            duration,
         }
     }
 }
 
-async fn work(state: web::Data<RunnerState>, errand: WorkOrder) {
-    let asked = now_us();
+/// Waits for a slot and sleeps for the working time; records the run in the
+/// journal if the request has a name.
+async fn work(state: web::Data<RunnerState>, order: WorkOrder) {
+    let arrived_us = now_us();
     let Ok(_permit) = state.slots.acquire().await else {
         return;
     };
-    let start = now_us();
-    let journaled = !errand.name.is_empty();
-    let index = journaled.then(|| {
+    let start_us = now_us();
+    let is_journaled = !order.name.is_empty();
+    let index = is_journaled.then(|| {
         let mut journal = lock(&state.journal);
         journal.push(RunRecord {
-            name: errand.name,
-            path: errand.path,
-            start_us: start,
+            name: order.name,
+            path: order.path,
+            start_us,
             end_us: None,
-            waited_us: start - asked,
+            waited_us: start_us - arrived_us,
         });
         journal.len() - 1
     });
-    if !errand.time.is_zero() {
-        tokio::time::sleep(errand.time).await;
+    if !order.duration.is_zero() {
+        tokio::time::sleep(order.duration).await;
     }
     if let Some(index) = index {
         lock(&state.journal)[index].end_us = Some(now_us());
