--- a/crates/hoisthitch-load/src/experiments/overhead.rs
+++ b/crates/hoisthitch-load/src/experiments/overhead.rs
@@ -1,5 +1,8 @@
 //! `overhead`: latency that an entry adds to a direct call of a runner, and CPU
-//! cost of the decisions of an entry.
+//! cost of its decisions.
+//!
+//! For the cost, a second fleet runs with the setting `bypass`, under which the
+//! entry forwards requests without limits, queue or counts.
 
 use std::time::Duration;
 
--- a/crates/hoisthitch-load/src/experiments/sharing.rs
+++ b/crates/hoisthitch-load/src/experiments/sharing.rs
@@ -38,7 +38,7 @@
 /// Working time of a request, in microseconds.
 const WORK_US: u64 = 50_000;
 
-/// Sharing policies, separated by commas.
+/// Sharing policies (`hoisthitch_core::SharePolicy`), separated by commas.
 const POLICIES: &str = "local,even,demand";
 
 /// compare policies that share slots among 6 entries
--- a/crates/hoisthitch-load/src/experiments/slopes.rs
+++ b/crates/hoisthitch-load/src/experiments/slopes.rs
@@ -76,13 +76,15 @@
 
 /// Row of the CSV file: the figures of one fleet.
 ///
-/// They are those of one entry and one steward; only the figures of the store
-/// cover all processes together.
+/// They are those of one entry and one steward, but for the store's, which cover
+/// all processes together. CPU time is in percent of one core.
 #[derive(Clone, Debug, Serialize)]
 struct SlopeRow {
     vms: usize,
     pools: usize,
+    /// CPU time of the entry while the configuration does not change.
     idle_core_percent: f64,
+    /// CPU time of the entry while the configuration changes.
     changing_core_percent: f64,
     resident_mb: f64,
     steward_core_percent: f64,
