--- a/crates/hoisthitch-core/src/table.rs
+++ b/crates/hoisthitch-core/src/table.rs
@@ -339,8 +339,8 @@
     faults.push(CellError {
         row: row.to_owned(),
         column,
-        fault: format!("'{value}' appears in two rows"),
-        help: "use another value in one of them".to_owned(),
+        fault: format!("'{value}' stands in two rows"),
+        help: "give each row its own".to_owned(),
     });
 }
 
@@ -354,7 +354,7 @@
     faults.push(CellError {
         row: row.to_owned(),
         column,
-        fault: format!("'{value}' is not a valid name"),
+        fault: format!("'{value}' is not a plain name"),
         help: format!("use 1 to {NAME_LIMIT_BYTES} of a-z, 0-9 and '-'"),
     });
 }
--- a/crates/hoisthitch-scheduler/src/teams.rs
+++ b/crates/hoisthitch-scheduler/src/teams.rs
@@ -203,9 +203,9 @@
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum CallerError {
     /// It presents no key, or something that can't be one.
-    #[error("a team's key is required")]
+    #[error("a key of a team is needed")]
     NoKey,
     /// It presents a key of no team.
-    #[error("the key belongs to no team")]
+    #[error("the key is of no team")]
     UnknownKey,
 }
