--- a/crates/hoisthitch-scheduler/src/follow.rs
+++ b/crates/hoisthitch-scheduler/src/follow.rs
@@ -58,7 +58,7 @@
     /// Pause between two waits for changes.
     pub(crate) pause: FollowPause,
     /// How soon to report up to when the events are complete.
-    pub(crate) confirms: FollowProgress,
+    pub(crate) progress: FollowProgress,
     /// Waits after failed calls.
     pub(crate) retry: FollowRetry,
 }
@@ -237,9 +237,9 @@
 
 async fn next_change<W: WatchStream>(
     watch: &mut W,
-    confirms: FollowProgress,
+    progress: FollowProgress,
 ) -> Option<Result<WatchEvent, StoreError>> {
-    if confirms == FollowProgress::Often {
+    if progress == FollowProgress::Often {
         watch.shorten_next_wait();
     }
     watch.next().await
@@ -255,7 +255,7 @@
     let prefix = options.prefix.as_str();
     let mut suspends = SuspendMeter::start(&shared.clock);
     let mut watch = store.watch(prefix, StoreRevision::default()).await?;
-    while let Some(change) = next_change(&mut watch, options.confirms).await {
+    while let Some(change) = next_change(&mut watch, options.progress).await {
         let change = match change {
             Err(err) if watch.can_resume_after(&err) => {
                 wait_after_loss(lost, options, shared, &err).await;
@@ -272,7 +272,7 @@
         let sent = match change {
             WatchEvent::Snapshot(all) => events.send(FollowEvent::Snapshot(all)),
             WatchEvent::Put(stored) => {
-                if options.confirms == FollowProgress::AfterChange {
+                if options.progress == FollowProgress::AfterChange {
                     watch.shorten_next_wait();
                 }
                 events.send(FollowEvent::Put(stored))
@@ -283,7 +283,7 @@
         if sent.is_err() {
             break;
         }
-        if options.confirms != FollowProgress::Never
+        if options.progress != FollowProgress::Never
             && watch.is_buffer_empty()
             && let Some(at) = watch.complete_as_of()
         {
--- a/crates/hoisthitch-scheduler/src/node.rs
+++ b/crates/hoisthitch-scheduler/src/node.rs
@@ -107,7 +107,7 @@
     let mut group_changes = follow(FollowOptions {
         prefix: keys.group_prefix(),
         pause: FollowPause::ByNodes,
-        confirms: FollowProgress::Never,
+        progress: FollowProgress::Never,
         retry: FollowRetry::ByNodes,
     });
     let (listed, listed_receiver) = watch::channel(true);
@@ -161,7 +161,7 @@
             runner_changes = Some(follow(FollowOptions {
                 prefix: codec.runners_prefix(),
                 pause: FollowPause::Fixed(RUNNERS_PAUSE),
-                confirms: FollowProgress::Often,
+                progress: FollowProgress::Often,
                 retry: FollowRetry::Short,
             }));
         } else if !needs_runners && runner_changes.take().is_some() {
--- a/crates/hoisthitch-scheduler/src/operators.rs
+++ b/crates/hoisthitch-scheduler/src/operators.rs
@@ -57,7 +57,7 @@
         let options = FollowOptions {
             prefix: prefix.clone(),
             pause: FollowPause::None,
-            confirms: FollowProgress::AfterChange,
+            progress: FollowProgress::AfterChange,
             retry: FollowRetry::ByNodes,
         };
         let follow = follow_prefix(store.clone(), options, shared.clone(), changes.clone());
--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -284,7 +284,7 @@
     let order = FollowOptions {
         prefix: context.keys.inbox_prefix(&context.pool),
         pause: FollowPause::None,
-        confirms: FollowProgress::Never,
+        progress: FollowProgress::Never,
         retry: FollowRetry::Short,
     };
     let store = context.platform.store().clone();
--- a/crates/hoisthitch-scheduler/src/teams.rs
+++ b/crates/hoisthitch-scheduler/src/teams.rs
@@ -106,12 +106,12 @@
     #[error("team {0} has an empty key")]
     EmptyKey(String),
     /// A key is listed twice, for the same team or for two teams.
-    #[error("key {place} of team {team} is listed before")]
+    #[error("key {index} of team {team} is listed before")]
     DuplicateKey {
         /// The team.
         team: String,
         /// Index of the key among the team's keys, from 0.
-        place: usize,
+        index: usize,
     },
     /// A weight is negative, infinite or not a number.
     #[error("the weight of team {0} is not a finite number of at least zero")]
@@ -154,13 +154,13 @@
         if self.names.insert(name.clone(), team).is_some() {
             return Err(TeamError::DuplicateName(name.to_string()));
         }
-        for (place, key) in keys.iter().enumerate() {
+        for (index, key) in keys.iter().enumerate() {
             if key.0.is_empty() {
                 return Err(TeamError::EmptyKey(name.to_string()));
             }
             if self.keys.insert(key.hash(), team).is_some() {
                 let team = name.to_string();
-                return Err(TeamError::DuplicateKey { team, place });
+                return Err(TeamError::DuplicateKey { team, index });
             }
         }
         self.teams.push(policy);
--- a/crates/hoisthitch-scheduler/tests/teams.rs
+++ b/crates/hoisthitch-scheduler/tests/teams.rs
@@ -113,9 +113,9 @@
 async fn refuses() -> Result<()> {
     let twice = || vec![entry("choir", &["k1", "k1"])];
     let shared = || vec![entry("choir", &["k1"]), entry("band", &["k2", "k1"])];
-    let doubled = |team: &str, place| TeamError::DuplicateKey {
+    let doubled = |team: &str, index| TeamError::DuplicateKey {
         team: team.to_owned(),
-        place,
+        index,
     };
     ensure!(TeamTable::new(twice()) == Err(doubled("choir", 1)));
     ensure!(TeamTable::new(shared()) == Err(doubled("band", 1)));
@@ -144,7 +144,7 @@
     ensure!(told.contains("hidden"), "{told}");
     let doubled = TeamError::DuplicateKey {
         team: "choir".to_owned(),
-        place: 0,
+        index: 0,
     };
     ensure!(!doubled.to_string().contains(secret));
     Ok(())
