--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -440,7 +440,7 @@
         // journal can be written. To plan at each event, by the order of a thousand jobs and
         // the free capacity of hundreds of runners, takes a large pool's owner the processor
         // time that its starts need: it cost 4 percent of the attainable value on a fleet of
-        // 1,100 VMs (docs/MEASURED.md).
+        // 1,100 VMs (two simulated days, docs/MEASURED.md).
         self.update_quotas(now);
         if due && self.is_runner_list_valid(now) && self.may_write(now) && !self.awaits_policy(now)
         {
--- a/crates/hoisthitch-scheduler/src/owner/writes.rs
+++ b/crates/hoisthitch-scheduler/src/owner/writes.rs
@@ -33,7 +33,7 @@
 /// share a write. Records beyond one write are written without the interval: with it, an
 /// owner writes a thousand records a second at most, and the demand peaks of large pools
 /// produce more, which cost 11 percent of the attainable value on a fleet of 1,100 VMs
-/// (docs/MEASURED.md).
+/// (two simulated days, docs/MEASURED.md).
 const WRITE_INTERVAL_MS: Millis = 25;
 
 /// Maximum number of job records in one write; one more entry is left for the queues' counts.
--- a/crates/hoisthitch-scheduler/src/session/heartbeats.rs
+++ b/crates/hoisthitch-scheduler/src/session/heartbeats.rs
@@ -51,7 +51,7 @@
 /// The same for each runner of the pool: an owner of hundreds of runners otherwise spends the
 /// processor time that its starts need on heartbeats, one for each end. With 700 runners an
 /// end is read up to 70 ms later, and 5 percent more of the attainable value is reached on a
-/// fleet of 1,100 VMs (measured together with cheaper calls, docs/MEASURED.md).
+/// fleet of 1,100 VMs (two simulated days, together with cheaper calls, docs/MEASURED.md).
 const HEARTBEAT_INTERVAL_PER_RUNNER: Duration = Duration::from_micros(100);
 
 /// Age of the last response up to which the next heartbeat may acknowledge ends, in
--- a/crates/hoisthitch-scheduler/src/vms/mod.rs
+++ b/crates/hoisthitch-scheduler/src/vms/mod.rs
@@ -78,7 +78,7 @@
 /// Maximum number of VMs of a pool that are evacuated at once to be moved to other pools. An
 /// evacuation takes one to three seconds, in which the limit of moves admits two hundred VMs.
 /// With forty, pools of two hundred VMs released 20 a second, which cost 6 percent of the
-/// attainable value there (docs/decisions.md).
+/// attainable value there (10 simulated days, docs/decisions.md).
 pub(crate) const MAX_EVACUATING: usize = 200;
 
 /// Requests of the VM loops to the pool's owner.
