--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -41,15 +41,15 @@
     /// outage.
     Unlisted,
     /// The runner does not respond, or has no lease yet.
-    Closed,
+    NotReady,
     /// The runner's VM is being emptied.
     Evacuating,
     /// The runner's capacity has shrunk.
-    NoRoom,
+    NoCapacity,
     /// The adviser's ticket has expired.
     NoTicket,
     /// The task has become a suspect, and other tasks run beside it.
-    NotAlone,
+    NotIsolated,
     /// The team has more running than its quota allows.
     OverLimit,
 }
@@ -88,16 +88,16 @@
             return Some(StartObstacle::Unlisted);
         }
         if !runner.facts.capacity.covers(runner.used) {
-            return Some(StartObstacle::NoRoom);
+            return Some(StartObstacle::NoCapacity);
         }
         if !self.has_ticket(task, runner, now) {
             return Some(StartObstacle::NoTicket);
         }
         if self.needs_isolation(task) && !self.is_isolated_on(task, runner) {
-            return Some(StartObstacle::NotAlone);
+            return Some(StartObstacle::NotIsolated);
         }
         if is_first && !runner.ready {
-            return Some(StartObstacle::Closed);
+            return Some(StartObstacle::NotReady);
         }
         if !is_first && self.is_over_limit(task.job) {
             return Some(StartObstacle::OverLimit);
--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -317,7 +317,7 @@
         key: Option<RunnerKey>,
     ) {
         let others = lost.tasks.iter().filter(|other| **other != task);
-        let alone = others.clone().all(|other| self.share_gang(task, *other));
+        let isolated = others.clone().all(|other| self.share_gang(task, *other));
         let Some(entry) = self.task(task) else {
             return;
         };
@@ -332,9 +332,9 @@
             timed: lost.moment.known,
             long_running: self.is_long_running(task),
             // Members of a gang on the same runner count as one suspect.
-            share: if alone { 1.0 } else { share },
+            share: if isolated { 1.0 } else { share },
             silent: lost.moment.known && !lost.moment.reset,
-            alone,
+            isolated,
             concurrent_loss: self.has_concurrent_loss(task, lost.moment, key),
             rate: self.loss_rate(task, ran, lost.moment.at, key),
         };
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -103,7 +103,7 @@
         if entry.suspicion.is_suspect() {
             self.suspects.insert(task);
         }
-        must_fail |= evidence.alone && self.step_weight(task) >= STEP_LIMIT;
+        must_fail |= evidence.isolated && self.step_weight(task) >= STEP_LIMIT;
         let step = self.round_step(task).filter(|_| needs_isolation);
         if let Some(step) = step.filter(|step| self.was_lost_elsewhere(*step)) {
             self.suspect_steps.insert(step);
@@ -126,9 +126,9 @@
             if other.is_done() {
                 return 0;
             }
-            if other.suspicion.alone > 0 {
+            if other.suspicion.isolated_crashes > 0 {
                 weight += other.suspicion.weight();
-                span = RunSpan::join(span, other.suspicion.alone_span);
+                span = RunSpan::join(span, other.suspicion.isolated_span);
             }
         }
         if span.is_some_and(RunSpan::is_narrow) {
@@ -193,7 +193,7 @@
         };
         let ran = last_heartbeat_at.min(now).saturating_sub(entry.began_at);
         let cleared = ran >= entry.suspicion.clear_time();
-        let still_isolated = ran < entry.suspicion.alone_time();
+        let still_isolated = ran < entry.suspicion.isolation_time();
         if cleared {
             entry.suspicion.clear();
             self.drop_suspect(task);
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -114,10 +114,10 @@
     sum: i32,
     /// Number of crashes with reset connections while it ran in isolation.
     #[serde(rename = "a", skip_serializing_if = "is_default")]
-    pub alone: u32,
+    pub isolated_crashes: u32,
     /// Running times before these crashes, as far as they are known.
     #[serde(rename = "b", skip_serializing_if = "is_default")]
-    pub(crate) alone_span: Option<RunSpan>,
+    pub(crate) isolated_span: Option<RunSpan>,
     /// Number of the last run that was lost, so that a loss is counted once, whoever detects
     /// it.
     #[serde(rename = "u", skip_serializing_if = "is_default")]
@@ -187,7 +187,7 @@
     /// Whether the runner became unresponsive, and its connections were not reset.
     pub(crate) silent: bool,
     /// Whether nothing else ran there.
-    pub(crate) alone: bool,
+    pub(crate) isolated: bool,
     /// Whether other runners were lost at that moment.
     pub(crate) concurrent_loss: bool,
     /// Rate at which a runner of the pool is lost for reasons other than the task, per second.
@@ -212,10 +212,10 @@
             self.sum -= tenths_of_bits(seconds(time_of(None, evidence.long_running)));
         }
         let known = evidence.ran.is_some() || !evidence.long_running;
-        if evidence.alone && !evidence.silent && known {
-            self.alone += 1;
+        if evidence.isolated && !evidence.silent && known {
+            self.isolated_crashes += 1;
             let ran = evidence.ran.filter(|_| evidence.timed);
-            self.alone_span = RunSpan::join(self.alone_span, ran.map(RunSpan::of_run));
+            self.isolated_span = RunSpan::join(self.isolated_span, ran.map(RunSpan::of_run));
         }
         self.sum -= if evidence.silent {
             SILENCE_REDUCTION
@@ -227,14 +227,14 @@
 
     /// Weight from which the task is failed after such a loss, in tenths of a bit.
     fn limit(&self, evidence: LossEvidence) -> i32 {
-        let initial = match (evidence.alone, evidence.loss == RunnerLoss::Silent) {
+        let initial = match (evidence.isolated, evidence.loss == RunnerLoss::Silent) {
             (true, false) => ISOLATED_CRASH_LIMIT,
             (true, true) => ISOLATED_SILENCE_LIMIT,
             (false, _) => SHARED_LOSS_LIMIT,
         };
-        let alone = i32::try_from(self.alone).unwrap_or(i32::MAX);
-        let reduced = initial.saturating_sub(alone.saturating_mul(LIMIT_REDUCTION));
-        let decides = evidence.alone && self.recent >= DECIDING_LOSSES;
+        let crashes = i32::try_from(self.isolated_crashes).unwrap_or(i32::MAX);
+        let reduced = initial.saturating_sub(crashes.saturating_mul(LIMIT_REDUCTION));
+        let decides = evidence.isolated && self.recent >= DECIDING_LOSSES;
         let (deciding, least) = match (self.crashes_alike(), evidence.long_running) {
             (true, false) => (DECIDING_LIMIT, LIMIT_MIN),
             (true, true) => (LONG_RUNNING_DECIDING_LIMIT, LIMIT_MIN),
@@ -251,7 +251,7 @@
     /// Whether the crashes in isolation came after about the same running time each: crashes
     /// by chance come at any time.
     fn crashes_alike(&self) -> bool {
-        self.alone_span.is_some_and(RunSpan::is_narrow)
+        self.isolated_span.is_some_and(RunSpan::is_narrow)
     }
 
     /// Weight of the evidence against the task, in tenths of a bit: the shorter the time
@@ -290,7 +290,7 @@
     }
 
     /// Running time after which other tasks may be placed beside the task, in milliseconds.
-    pub(crate) fn alone_time(&self) -> Millis {
+    pub(crate) fn isolation_time(&self) -> Millis {
         if self.is_likely() {
             ISOLATION_MAX_MS
         } else {
--- a/crates/hoisthitch-scheduler/src/owner/quota.rs
+++ b/crates/hoisthitch-scheduler/src/owner/quota.rs
@@ -207,7 +207,7 @@
                 .least(allocations.allocation(pool));
             record.allocations.set(pool, lower);
         }
-        self.apply_allowances();
+        self.apply_allocations();
         self.quotas.busy = true;
         let store = self.context.platform.store().clone();
         let results = self.quota_results.clone();
@@ -276,7 +276,7 @@
                 }
             }
         }
-        self.apply_allowances();
+        self.apply_allocations();
     }
 
     fn apply_records(&mut self, values: &[StoredValue]) {
@@ -306,11 +306,11 @@
         let weights = teams.teams().iter();
         let weights = weights.map(|team| (team.name.to_string(), team.weight));
         self.state.set_weights(weights.collect());
-        self.apply_allowances();
+        self.apply_allocations();
     }
 
     /// Passes the allocations in effect to the pool's state, which plans by them.
-    fn apply_allowances(&mut self) {
+    fn apply_allocations(&mut self) {
         let Some(policy) = self.context.shared.policy.load_full() else {
             return;
         };
--- a/crates/hoisthitch-scheduler/src/vms/waves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/waves.rs
@@ -368,10 +368,10 @@
         state.ordered.insert(row.name.clone(), self.ledger.now());
         if let Some(instance) = instance {
             // An order that had been carried out before does not affect a later instance.
-            let same_life = state.went_down_with(&row.name, &instance);
+            let same_instance = state.went_down_with(&row.name, &instance);
             let runner = instance.name.clone();
             let request = match outcome {
-                Ok(()) if same_life => Some(VmRequest::VmDown { instance }),
+                Ok(()) if same_instance => Some(VmRequest::VmDown { instance }),
                 Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::VmDownUnconfirmed { runner }),
                 Err(_) => None,
             };
