--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -100,8 +100,8 @@
     /// its runner is draining.
     fn needs_ticket(&self, task: TaskRef, entry: &TaskEntry) -> bool {
         let runner = entry.runner().and_then(|key| self.runners.get(key));
-        let leaves = runner.is_some_and(|runner| runner.facts.draining);
-        entry.state == TaskState::Waiting || (leaves && self.is_long_running(task))
+        let is_draining = runner.is_some_and(|runner| runner.facts.draining);
+        entry.state == TaskState::Waiting || (is_draining && self.is_long_running(task))
     }
 
     /// A task that needs a ticket, of a step for which a request may be sent, and the number
--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -432,10 +432,10 @@
             is_recent && !alike && !own && !self.has_likely_cause(loss)
         });
         let others = recent.count() + self.silent_others(key).count();
-        let heard = at.saturating_sub(self.responding_since.unwrap_or(at));
-        let heard = seconds(heard.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
+        let responding = at.saturating_sub(self.responding_since.unwrap_or(at));
+        let responding = seconds(responding.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
         let runners = self.runners.len().max(1) as f64;
-        (others as f64 + UNSEEN_LOSSES) / (runners * heard)
+        (others as f64 + UNSEEN_LOSSES) / (runners * responding)
     }
 
     /// Whether one of the tasks on the lost runner is likely to be the cause of the loss.
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -2,7 +2,7 @@
 //! and stop orders.
 //!
 //! A response to a heartbeat lists all runs of a runner, so a run that is missing from it is
-//! not there. It only tells about orders that were answered before the heartbeat was sent; the
+//! not there. It only covers orders that were answered before the heartbeat was sent; the
 //! others may still be carried out.
 
 use std::collections::HashSet;
@@ -56,12 +56,12 @@
         runner.silent_since = None;
         runner.loss_recorded = false;
         runner.last_heartbeat_at = runner.last_heartbeat_at.max(Some(asked_at));
-        let seen = runner.last_seen_end;
+        let last_seen_end = runner.last_seen_end;
         let mut present = HashSet::new();
         for row in &report.running {
             present.extend(self.record_running(key, row, now));
         }
-        for row in report.ended.iter().filter(|row| row.number > seen) {
+        for row in report.ended.iter().filter(|row| row.number > last_seen_end) {
             present.extend(self.record_ended(key, row, now));
         }
         if let Some(last) = report.ended.iter().map(|row| row.number).max()
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -1,7 +1,7 @@
-//! Runners of a pool: what the platform tells of them, their state as the owner sees it, and
+//! Runners of a pool: what the platform reports of them, their state as the owner sees it, and
 //! the resources that are reserved on them.
 //!
-//! A [`RunnerEntry`] stands for one instance of a runner's process. Its counters for failures
+//! A [`RunnerEntry`] represents one instance of a runner's process. Its counters for failures
 //! and refusals decide how long it is in backoff, that is, gets no tasks.
 
 use std::{
--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Removes a suspect that is not the cause, and with it the doubt about its step.
+    /// Removes a suspect that is not the cause, and with it the suspicion of its step.
     fn drop_suspect(&mut self, task: TaskRef) {
         self.suspects.remove(&task);
         if let Some(step) = self.round_step(task) {
--- a/crates/hoisthitch-jobs/src/suspicion.rs
+++ b/crates/hoisthitch-jobs/src/suspicion.rs
@@ -17,7 +17,7 @@
     record::is_default, //
 };
 
-/// Shortest running time that is told apart, in milliseconds.
+/// Shortest running time that is distinguished, in milliseconds: shorter ones count as this.
 const RUN_TIME_MIN_MS: Millis = 20;
 
 /// Running time that is assumed where it is not known, in milliseconds: short tasks take about
--- a/crates/hoisthitch-scheduler/src/clock.rs
+++ b/crates/hoisthitch-scheduler/src/clock.rs
@@ -3,7 +3,7 @@
 //! The monotonic clock stands still while the VM is suspended, but leases at the store and on
 //! runners run on, and so do owners elsewhere. A node's clock therefore counts suspended time, so
 //! that a node that resumes doesn't treat data as current that is seconds old. Waits use the
-//! runtime's timers, which go by the monotonic clock, so a suspension makes them longer.
+//! runtime's timers, which use the monotonic clock, so a suspension makes them longer.
 
 use std::{
     sync::{
--- a/crates/hoisthitch-scheduler/src/owner/awaited.rs
+++ b/crates/hoisthitch-scheduler/src/owner/awaited.rs
@@ -11,7 +11,7 @@
 use super::PoolOwner;
 use crate::platform::Platform;
 
-/// Maximum wait for a configuration, in milliseconds: a change has to be in force within two
+/// Maximum wait for a configuration, in milliseconds: a change has to be in effect within two
 /// seconds. Without a limit, a node that can't read the configuration would never plan again.
 const MAX_WAIT_MS: Millis = 2_000;
 
--- a/crates/hoisthitch-scheduler/src/owner/quota.rs
+++ b/crates/hoisthitch-scheduler/src/owner/quota.rs
@@ -169,8 +169,8 @@
             self.quotas.version = Some(policy.version);
             self.apply_limits(teams);
         }
-        let held = !self.state.tasks_over_quota().is_empty();
-        let wait = if held {
+        let is_work_held_back = !self.state.tasks_over_quota().is_empty();
+        let wait = if is_work_held_back {
             HELD_BACK_CHECK_INTERVAL_MS
         } else {
             CHECK_INTERVAL_MS
--- a/crates/hoisthitch-scheduler/src/owner/runners.rs
+++ b/crates/hoisthitch-scheduler/src/owner/runners.rs
@@ -1,7 +1,7 @@
 //! The runners of an owned pool, and the VMs that they run on.
 //!
 //! Keeps the pool's state in line with the list of runners, and serves the requests of the
-//! pool's VM loops: evacuating runners, and telling what the pool needs and can spare.
+//! pool's VM loops: evacuating runners, and reporting what the pool needs and can spare.
 
 use std::fmt::{
     self,
--- a/crates/hoisthitch-scheduler/src/owner/writes.rs
+++ b/crates/hoisthitch-scheduler/src/owner/writes.rs
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Reads the journal's head to confirm ownership, unless that was done of late. A failed
+    /// Reads the journal's head to confirm ownership, unless that was done recently. A failed
     /// read leaves the time of the last confirmation as it was.
     fn start_confirmation(&mut self, journal: PoolJournal<P::Store>, now: Millis) {
         if now < self.confirmed_at.get().max(self.wrote_at) + CONFIRM_INTERVAL_MS {
--- a/crates/hoisthitch-scheduler/src/platform.rs
+++ b/crates/hoisthitch-scheduler/src/platform.rs
@@ -44,7 +44,7 @@
     pub pool: String,
     /// Address to which orders are sent.
     pub address: SocketAddr,
-    /// Properties of the runner that placement goes by.
+    /// Properties of the runner that placement depends on.
     pub facts: RunnerFacts,
 }
 
--- a/crates/hoisthitch-scheduler/src/session/lease.rs
+++ b/crates/hoisthitch-scheduler/src/session/lease.rs
@@ -67,8 +67,8 @@
 }
 
 impl<R> SessionContext<R> {
-    /// The lease to grant with the next heartbeat, if any; tells the owner how long runs may
-    /// last under it.
+    /// The lease to grant with the next heartbeat, if any; reports to the owner how
+    /// long runs may last under it.
     ///
     /// `may_extend` is false for a runner that did not respond to the last heartbeat: its lease
     /// is not extended, or its tasks could never be given up.
--- a/crates/hoisthitch-scheduler/src/shared.rs
+++ b/crates/hoisthitch-scheduler/src/shared.rs
@@ -123,7 +123,7 @@
 /// The right to act on a view of the store's records. It is valid for some time after the store
 /// last confirmed that the view is complete.
 ///
-/// It goes by the age of the view and not by timeouts, since each wait for the store has a limit
+/// It depends on the age of the view and not on timeouts, since each wait for the store has a limit
 /// but the sum of the waits has none.
 #[derive(Debug)]
 pub struct ViewLease {
--- a/crates/hoisthitch-scheduler/src/takeover.rs
+++ b/crates/hoisthitch-scheduler/src/takeover.rs
@@ -1,7 +1,8 @@
 //! Makes this node the owner of a pool.
 //!
 //! A node becomes the owner by one write under compare-and-swap that replaces the head of the
-//! pool's journal and the owner record. The revision of that write is the owner's epoch.
+//! pool's journal and the owner record. The revision of that write is the owner's epoch,
+//! the fencing token of its orders.
 
 use std::{
     collections::BTreeMap,
