--- a/crates/hoisthitch-jobs/src/account.rs
+++ b/crates/hoisthitch-jobs/src/account.rs
@@ -63,7 +63,7 @@
 }
 
 impl JobEntry {
-    /// Charges the time since the last update; must be called before a task changes its place.
+    /// Charges the time since the last update; must be called before a task changes its state.
     pub(crate) fn update_account(&mut self, now: Millis) {
         let Some(before) = self.account.updated_at else {
             self.account.taking = now.saturating_sub(self.accepted_at);
--- a/crates/hoisthitch-jobs/src/admission.rs
+++ b/crates/hoisthitch-jobs/src/admission.rs
@@ -42,7 +42,7 @@
     Unlisted,
     /// The runner does not respond, or has no lease yet.
     NotReady,
-    /// The runner's VM is being emptied.
+    /// The runner is being evacuated.
     Evacuating,
     /// The runner's capacity has shrunk.
     NoCapacity,
--- a/crates/hoisthitch-jobs/src/advice.rs
+++ b/crates/hoisthitch-jobs/src/advice.rs
@@ -56,7 +56,7 @@
 /// Responses of an adviser about a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
-    asked_at: Millis,
+    requested_at: Millis,
     /// Tickets and the times until which they are valid, by runner.
     tickets: HashMap<String, (String, Millis)>,
 }
@@ -88,7 +88,7 @@
         if runners.is_empty() {
             return None;
         }
-        self.advice.entry(key).or_default().asked_at = now;
+        self.advice.entry(key).or_default().requested_at = now;
         Some(AdviceRequest {
             task,
             step: name,
@@ -119,7 +119,7 @@
         });
         let (task, entry) = candidates.find(|(task, entry)| {
             let advice = self.advice.get(&(task.job, entry.round, entry.step));
-            advice.is_none_or(|advice| advice.asked_at + REQUEST_INTERVAL_MS <= now)
+            advice.is_none_or(|advice| advice.requested_at + REQUEST_INTERVAL_MS <= now)
         })?;
         let tasks = self.jobs.get(task.job)?.tasks_of(entry.round, entry.step);
         let waiting = tasks.filter(|(slot, other)| {
--- a/crates/hoisthitch-jobs/src/maintenance.rs
+++ b/crates/hoisthitch-jobs/src/maintenance.rs
@@ -37,7 +37,7 @@
 }
 
 impl PoolState {
-    /// Sets whether a runner is to be emptied.
+    /// Sets whether a runner is to be evacuated.
     pub fn set_evacuating(&mut self, key: RunnerKey, evacuating: bool) {
         if let Some(runner) = self.runners.get_mut(key)
             && runner.evacuating != evacuating
--- a/crates/hoisthitch-jobs/src/observe.rs
+++ b/crates/hoisthitch-jobs/src/observe.rs
@@ -40,13 +40,13 @@
 const UNANSWERED_BACKOFF_MS: Millis = 1_500;
 
 impl PoolState {
-    /// Records a runner's response to the heartbeat that was sent at `asked_at`; returns the
+    /// Records a runner's response to the heartbeat that was sent at `sent_at`; returns the
     /// starts to send again.
     pub fn record_heartbeat(
         &mut self,
         key: RunnerKey,
         report: &HeartbeatReport,
-        asked_at: Millis,
+        sent_at: Millis,
         now: Millis,
     ) -> Vec<StartOrder> {
         let Some(runner) = self.runners.get_mut(key) else {
@@ -55,7 +55,7 @@
         self.responding_since.get_or_insert(now);
         runner.silent_since = None;
         runner.loss_recorded = false;
-        runner.last_heartbeat_at = runner.last_heartbeat_at.max(Some(asked_at));
+        runner.last_heartbeat_at = runner.last_heartbeat_at.max(Some(sent_at));
         let last_seen_end = runner.last_seen_end;
         let mut present = HashSet::new();
         for row in &report.running {
@@ -70,7 +70,7 @@
             runner.last_seen_end = runner.last_seen_end.max(last);
         }
         self.release_unreported(key, now);
-        self.resolve_missing_runs(key, &present, asked_at, now)
+        self.resolve_missing_runs(key, &present, sent_at, now)
     }
 
     /// Records that the runner has a lease of this owner.
@@ -376,7 +376,7 @@
         &mut self,
         key: RunnerKey,
         present: &HashSet<TaskRef>,
-        asked_at: Millis,
+        sent_at: Millis,
         now: Millis,
     ) -> Vec<StartOrder> {
         let Some(runner) = self.runners.get(key) else {
@@ -395,16 +395,16 @@
             };
             entry.reported = false;
             match entry.state {
-                TaskState::Ordered(_) if entry.outcome_unknown && entry.ordered_at < asked_at => {
+                TaskState::Ordered(_) if entry.outcome_unknown && entry.ordered_at < sent_at => {
                     resent.extend(self.resend_start(task, key, now));
                 }
-                TaskState::Running(_) if entry.ordered_at < asked_at => {
+                TaskState::Running(_) if entry.ordered_at < sent_at => {
                     self.set_task_state(task, TaskState::Waiting, now);
                     self.mark_dirty(task.job);
                 }
                 // The stop was acknowledged before the heartbeat was sent, so the run can't
                 // begin any more. It may never have begun, and then no end of it is reported.
-                TaskState::Stopping(_) if entry.stopped_at.is_some_and(|at| at < asked_at) => {
+                TaskState::Stopping(_) if entry.stopped_at.is_some_and(|at| at < sent_at) => {
                     self.set_task_state(task, TaskState::Waiting, now);
                     self.mark_dirty(task.job);
                 }
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -139,7 +139,7 @@
     /// Whether the platform no longer lists it: it may be shutting down, or its record lapsed
     /// during an outage of the store.
     pub unlisted: bool,
-    /// Whether its VM is being emptied for maintenance or a move.
+    /// Whether it is being evacuated for maintenance or a move of its VM.
     pub evacuating: bool,
     /// Latest time at which its leases may end, and with them everything that runs on it, if
     /// it gets no further heartbeat.
--- a/crates/hoisthitch-scheduler/src/session/mod.rs
+++ b/crates/hoisthitch-scheduler/src/session/mod.rs
@@ -63,7 +63,7 @@
 /// Events that sessions send to the owner.
 #[derive(Debug)]
 pub(crate) enum SessionEvent {
-    /// A lease is granted with the next heartbeat: what runs on the runner has ended by `until`.
+    /// A lease is granted with the next heartbeat: what runs on the runner may go on until `until`.
     LeaseGranted { runner: RunnerKey, until: Millis },
     /// A heartbeat succeeded.
     HeartbeatSucceeded {
