--- a/crates/hoisthitch-scheduler/src/lib.rs
+++ b/crates/hoisthitch-scheduler/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! Every node accepts jobs and answers queries for their state, which it reads from the store. Each
 //! pool has one owner among the nodes. The owner places the pool's tasks, sends orders to its
-//! runners and maintains its VMs in waves. Owners are elected by compare-and-swap; the revision of
-//! an owner's election is the fencing token of all its orders.
+//! runners and maintains its VMs in waves. Owners are elected by compare-and-swap. The revision of
+//! an owner's election is its first fencing token, and the later ones are revisions of its own
+//! writes, so that the orders of a later owner always carry higher tokens.
 //!
 //! The platform is accessed through the traits of [`platform`].
 
--- a/crates/hoisthitch-scheduler/src/takeover.rs
+++ b/crates/hoisthitch-scheduler/src/takeover.rs
@@ -1,8 +1,8 @@
 //! Makes this node the owner of a pool.
 //!
 //! A node becomes the owner by one write under compare-and-swap that replaces the head of the
-//! pool's journal and the owner record. The revision of that write is the owner's epoch,
-//! the fencing token of its orders.
+//! pool's journal and the owner record. The revision of that write is the owner's epoch
+//! and its first fencing token.
 
 use std::{
     collections::BTreeMap,
--- a/crates/hoisthitch-scheduler/src/vms/ledger.rs
+++ b/crates/hoisthitch-scheduler/src/vms/ledger.rs
@@ -56,7 +56,7 @@
 /// Record that the pool's owner publishes; written before each order about a VM.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct BalanceRecord {
-    /// Epoch of the owner: the revision of its election, which is its fencing token.
+    /// Epoch of the owner: the revision of its election.
     pub(super) epoch: u64,
     /// Number of the write under this owner.
     pub(super) sequence: u64,
