--- a/crates/hoisthitch-scheduler/src/platform.rs
+++ b/crates/hoisthitch-scheduler/src/platform.rs
@@ -60,8 +60,8 @@
 /// Fencing token and lease that an order to a runner carries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OrderLease {
-    /// Fencing token of the owner.
-    pub epoch: u64,
+    /// Fencing token of the session with the runner.
+    pub token: u64,
     /// End of the lease that the order grants, by the runner's clock, in milliseconds.
     pub lease_end_ms: u64,
 }
@@ -70,8 +70,8 @@
 /// renews the lease of the running tasks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeartbeatRequest {
-    /// Fencing token of the owner.
-    pub epoch: u64,
+    /// Fencing token of the session with the runner.
+    pub token: u64,
     /// Number of the last end that is recorded; the runner may forget the ends up to it.
     pub acked_end: u64,
     /// New end of the lease by the runner's clock, in milliseconds; none to leave it unchanged.
@@ -115,7 +115,7 @@
         &self,
         runner: &RunnerAddress,
         order: &StopOrder,
-        epoch: u64,
+        token: u64,
     ) -> impl Future<Output = Result<(), RunnerError>>;
 
     /// Sends a heartbeat and returns what runs on the runner and what has ended there.
@@ -130,7 +130,7 @@
         &self,
         runner: &RunnerAddress,
         order: &PaceOrder,
-        epoch: u64,
+        token: u64,
     ) -> impl Future<Output = Result<(), RunnerError>>;
 }
 
--- a/crates/hoisthitch-scheduler/src/session/heartbeats.rs
+++ b/crates/hoisthitch-scheduler/src/session/heartbeats.rs
@@ -197,7 +197,7 @@
     fn request(&self, plan: HeartbeatPlan) -> HeartbeatRequest {
         let waits = plan.lease.is_some() && plan.acknowledges_all();
         HeartbeatRequest {
-            epoch: self.context.token,
+            token: self.context.token,
             acked_end: if plan.acknowledges {
                 plan.recorded_end
             } else {
--- a/crates/hoisthitch-scheduler/src/session/orders.rs
+++ b/crates/hoisthitch-scheduler/src/session/orders.rs
@@ -120,7 +120,7 @@
     order: StartOrder,
 ) {
     let lease = OrderLease {
-        epoch: context.token,
+        token: context.token,
         lease_end_ms: clock.granted_until_remote.get(),
     };
     let sent = context.shared.clock.now();
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -314,10 +314,10 @@
         let Some(runner) = state.runners.get_mut(name).filter(|runner| runner.alive) else {
             return StartOutcome::WrongLife;
         };
-        if lease.epoch < runner.fence {
+        if lease.token < runner.fence {
             return StartOutcome::Fenced;
         }
-        runner.fence = lease.epoch;
+        runner.fence = lease.token;
         if runner.sick {
             return StartOutcome::Refused;
         }
@@ -426,10 +426,10 @@
         let Some(runner) = state.runners.get_mut(name).filter(|runner| runner.alive) else {
             return Err(RunnerError::WrongLife);
         };
-        if request.epoch < runner.fence {
+        if request.token < runner.fence {
             return Err(RunnerError::Fenced);
         }
-        runner.fence = request.epoch;
+        runner.fence = request.token;
         if let Some(lease) = request.lease_end_ms {
             runner.extend(lease, now);
         }
