--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -317,7 +317,7 @@
         key: Option<RunnerKey>,
     ) {
         let others = lost.tasks.iter().filter(|other| **other != task);
-        let alone = others.clone().all(|other| self.share_gang(task, *other));
+        let isolated = others.clone().all(|other| self.share_gang(task, *other));
         let Some(entry) = self.task(task) else {
             return;
         };
@@ -332,9 +332,9 @@
             timed: lost.moment.known,
             long_running: self.is_long_running(task),
             // Members of a gang on the same runner count as one suspect.
-            share: if alone { 1.0 } else { share },
+            share: if isolated { 1.0 } else { share },
             silent: lost.moment.known && !lost.moment.reset,
-            alone,
+            isolated,
             concurrent_loss: self.has_concurrent_loss(task, lost.moment, key),
             rate: self.loss_rate(task, ran, lost.moment.at, key),
         };
@@ -432,10 +432,10 @@
             is_recent && !alike && !own && !self.has_likely_cause(loss)
         });
         let others = recent.count() + self.silent_others(key).count();
-        let heard = at.saturating_sub(self.responding_since.unwrap_or(at));
-        let heard = seconds(heard.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
+        let responding = at.saturating_sub(self.responding_since.unwrap_or(at));
+        let responding = seconds(responding.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
         let runners = self.runners.len().max(1) as f64;
-        (others as f64 + UNSEEN_LOSSES) / (runners * heard)
+        (others as f64 + UNSEEN_LOSSES) / (runners * responding)
     }
 
     /// Whether one of the tasks on the lost runner is likely to be the cause of the loss.
--- a/crates/hoisthitch-jobs/src/runner.rs
+++ b/crates/hoisthitch-jobs/src/runner.rs
@@ -1,7 +1,7 @@
-//! Runners of a pool: what the platform tells of them, their state as the owner sees it, and
+//! Runners of a pool: what the platform reports of them, their state as the owner sees it, and
 //! the resources that are reserved on them.
 //!
-//! A [`RunnerEntry`] stands for one instance of a runner's process. Its counters for failures
+//! A [`RunnerEntry`] represents one instance of a runner's process. Its counters for failures
 //! and refusals decide how long it is in backoff, that is, gets no tasks.
 
 use std::{
@@ -139,7 +139,7 @@
     /// Whether the platform no longer lists it: it may be shutting down, or its record lapsed
     /// during an outage of the store.
     pub unlisted: bool,
-    /// Whether its VM is being emptied for maintenance or a move.
+    /// Whether it is being evacuated for maintenance or a move of its VM.
     pub evacuating: bool,
     /// Latest time at which its leases may end, and with them everything that runs on it, if
     /// it gets no further heartbeat.
--- a/crates/hoisthitch-scheduler/src/owner/mod.rs
+++ b/crates/hoisthitch-scheduler/src/owner/mod.rs
@@ -284,7 +284,7 @@
     let order = FollowOptions {
         prefix: context.keys.inbox_prefix(&context.pool),
         pause: FollowPause::None,
-        confirms: FollowProgress::Never,
+        progress: FollowProgress::Never,
         retry: FollowRetry::Short,
     };
     let store = context.platform.store().clone();
@@ -440,7 +440,7 @@
         // journal can be written. To plan at each event, by the order of a thousand jobs and
         // the free capacity of hundreds of runners, takes a large pool's owner the processor
         // time that its starts need: it cost 4 percent of the attainable value on a fleet of
-        // 1,100 VMs (docs/MEASURED.md).
+        // 1,100 VMs (two simulated days, docs/MEASURED.md).
         self.update_quotas(now);
         if due && self.is_runner_list_valid(now) && self.may_write(now) && !self.awaits_policy(now)
         {
--- a/crates/hoisthitch-scheduler/src/owner/writes.rs
+++ b/crates/hoisthitch-scheduler/src/owner/writes.rs
@@ -33,7 +33,7 @@
 /// share a write. Records beyond one write are written without the interval: with it, an
 /// owner writes a thousand records a second at most, and the demand peaks of large pools
 /// produce more, which cost 11 percent of the attainable value on a fleet of 1,100 VMs
-/// (docs/MEASURED.md).
+/// (two simulated days, docs/MEASURED.md).
 const WRITE_INTERVAL_MS: Millis = 25;
 
 /// Maximum number of job records in one write; one more entry is left for the queues' counts.
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Reads the journal's head to confirm ownership, unless that was done of late. A failed
+    /// Reads the journal's head to confirm ownership, unless that was done recently. A failed
     /// read leaves the time of the last confirmation as it was.
     fn start_confirmation(&mut self, journal: PoolJournal<P::Store>, now: Millis) {
         if now < self.confirmed_at.get().max(self.wrote_at) + CONFIRM_INTERVAL_MS {
--- a/crates/hoisthitch-scheduler/tests/teams.rs
+++ b/crates/hoisthitch-scheduler/tests/teams.rs
@@ -114,9 +114,9 @@
 async fn rejects_tables() -> Result<()> {
     let repeated = || vec![entry("choir", &["k1", "k1"])];
     let shared = || vec![entry("choir", &["k1"]), entry("band", &["k2", "k1"])];
-    let duplicate = |team: &str, place| TeamError::DuplicateKey {
+    let duplicate = |team: &str, index| TeamError::DuplicateKey {
         team: team.to_owned(),
-        place,
+        index,
     };
     ensure!(TeamTable::new(repeated()) == Err(duplicate("choir", 1)));
     ensure!(TeamTable::new(shared()) == Err(duplicate("band", 1)));
@@ -145,7 +145,7 @@
     ensure!(text.contains("hidden"), "{text}");
     let duplicate = TeamError::DuplicateKey {
         team: "choir".to_owned(),
-        place: 0,
+        index: 0,
     };
     ensure!(!duplicate.to_string().contains(secret));
     Ok(())
