--- a/crates/hoisthitch-tests/src/world/adviser.rs
+++ b/crates/hoisthitch-tests/src/world/adviser.rs
@@ -26,7 +26,7 @@
 };
 
 /// Time after which a caller gives up.
-const GIVE_UP: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Calls of a node that may wait for their turn.
 const WAITING_LIMIT: usize = 32;
@@ -158,7 +158,7 @@
         self.fleet.state.borrow().rules.adviser.most_waiting
     }
 
-    fn enter(&self) -> Result<AdviserMood, String> {
+    fn begin_call(&self) -> Result<AdviserMood, String> {
         let mut state = self.fleet.state.borrow_mut();
         let adviser = &mut state.rules.adviser;
         adviser.calls += 1;
@@ -193,20 +193,20 @@
 
 impl AdviceSource for MemoryAdviser {
     async fn advise(&self, request: &AdviceRequest) -> Result<AdviceResponse, String> {
-        let mood = self.enter()?;
+        let mood = self.begin_call()?;
         let answer = match mood {
             AdviserMood::Answers { call, each } => {
                 let count = u32::try_from(request.runners.len()).unwrap_or(u32::MAX);
                 let time = call + each * count;
-                tokio::time::sleep(time.min(GIVE_UP)).await;
-                if time < GIVE_UP {
+                tokio::time::sleep(time.min(CALL_TIMEOUT)).await;
+                if time < CALL_TIMEOUT {
                     Ok(self.answer(request))
                 } else {
                     Err("no answer".to_owned())
                 }
             }
             AdviserMood::Silent | AdviserMood::Crowded => {
-                tokio::time::sleep(GIVE_UP).await;
+                tokio::time::sleep(CALL_TIMEOUT).await;
                 Err("no answer".to_owned())
             }
         };
--- a/crates/hoisthitch-tests/src/world/killers.rs
+++ b/crates/hoisthitch-tests/src/world/crashing.rs
@@ -21,14 +21,14 @@
 };
 
 /// Runners that may crash under a task before its starts are counted.
-const CRASHES: u32 = 3;
+const CRASHES_BEFORE_LIMIT: u32 = 3;
 
 /// Starts from then on that break the promise.
-const STARTS: u32 = 3;
+const LATER_STARTS_LIMIT: u32 = 3;
 
 /// Killers, and what came of them.
 #[derive(Default)]
-pub(super) struct KillerBook {
+pub(super) struct CrashingTasks {
     /// Time from a start to the crash, by task.
     delays: BTreeMap<String, Duration>,
     /// Runners that crashed under each task.
@@ -53,7 +53,7 @@
     at: Instant,
 }
 
-impl KillerBook {
+impl CrashingTasks {
     /// Whether a task of the job crashes its runners: such a job is not missed.
     pub(super) fn has_job(&self, job: &str) -> bool {
         let mut tasks = self.delays.keys();
@@ -65,48 +65,48 @@
     /// Has a task crash each runner that starts it, that long after the start.
     pub fn set_killer(&self, task: &str, delay: Duration) {
         let mut state = self.state.borrow_mut();
-        state.killers.delays.insert(task.to_owned(), delay);
+        state.crashing.delays.insert(task.to_owned(), delay);
     }
 
     /// Counts no starts of killers: the bound holds for nodes that are in touch.
     pub fn leave_killers_uncounted(&self) {
-        self.state.borrow_mut().killers.uncounted = true;
+        self.state.borrow_mut().crashing.uncounted = true;
     }
 
     /// Runners that tasks have crashed.
     pub fn kills(&self) -> usize {
-        self.state.borrow().killers.count
+        self.state.borrow().crashing.count
     }
 
     /// Runners that crashed under a task.
     pub fn crashes_under(&self, task: &str) -> u32 {
         let state = self.state.borrow();
-        state.killers.crashes.get(task).copied().unwrap_or(0)
+        state.crashing.crashes.get(task).copied().unwrap_or(0)
     }
 
     /// Runners that tasks crashed that long ago and that are down still, to be begun again.
     pub fn take_crashed(&self, down: Duration) -> Vec<CrashedRunner> {
         let mut state = self.state.borrow_mut();
-        let crashed = std::mem::take(&mut state.killers.down);
+        let crashed = std::mem::take(&mut state.crashing.down);
         let (back, left) = crashed
             .into_iter()
             .partition(|runner| runner.at.elapsed() >= down);
-        state.killers.down = left;
+        state.crashing.down = left;
         back
     }
 
     /// Has the runner that a killer was just started on crash in a while.
-    pub(super) fn begin_kill(&self, name: &str, order: &StartOrder) {
+    pub(super) fn schedule_crash(&self, name: &str, order: &StartOrder) {
         let task = order.name.to_string();
-        let delay = self.state.borrow().killers.delays.get(&task).copied();
-        let (Some(delay), Some(instance)) = (delay, self.life_at(name)) else {
+        let delay = self.state.borrow().crashing.delays.get(&task).copied();
+        let (Some(delay), Some(instance)) = (delay, self.instance_began(name)) else {
             return;
         };
         let (fleet, name, run) = (self.clone(), name.to_owned(), order.run);
         spawn_outside(async move {
             tokio::time::sleep(delay).await;
-            if fleet.life_at(&name) == Some(instance) && fleet.runs(&name, &task, run) {
-                fleet.kill_under(&name);
+            if fleet.instance_began(&name) == Some(instance) && fleet.runs(&name, &task, run) {
+                fleet.crash_under_task(&name);
             }
         });
     }
@@ -119,7 +119,7 @@
         found.is_some_and(|found| found.run == run)
     }
 
-    fn kill_under(&self, name: &str) {
+    fn crash_under_task(&self, name: &str) {
         let mut state = self.state.borrow_mut();
         let Some(runner) = state.runners.get_mut(name) else {
             return;
@@ -127,10 +127,10 @@
         let vm = runner.vm.clone();
         let tasks: Vec<String> = runner.running.keys().cloned().collect();
         for task in tasks {
-            *state.killers.crashes.entry(task).or_insert(0) += 1;
+            *state.crashing.crashes.entry(task).or_insert(0) += 1;
         }
-        state.killers.count += 1;
-        state.killers.down.push(CrashedRunner {
+        state.crashing.count += 1;
+        state.crashing.down.push(CrashedRunner {
             name: name.to_owned(),
             vm,
             at: Instant::now(),
@@ -150,15 +150,19 @@
 
 impl FleetState {
     /// Judges a start of a task that crashes its runners, after it was carried out.
-    pub(super) fn judge_killer(&mut self, task: &str, late: bool) {
-        let killers = &mut self.killers;
-        let crashes = killers.crashes.get(task).copied().unwrap_or(0);
-        if late || killers.uncounted || crashes < CRASHES || !killers.delays.contains_key(task) {
+    pub(super) fn check_crashing_start(&mut self, task: &str, late: bool) {
+        let crashing = &mut self.crashing;
+        let crashes = crashing.crashes.get(task).copied().unwrap_or(0);
+        if late
+            || crashing.uncounted
+            || crashes < CRASHES_BEFORE_LIMIT
+            || !crashing.delays.contains_key(task)
+        {
             return;
         }
-        let starts = killers.later_starts.entry(task.to_owned()).or_insert(0);
+        let starts = crashing.later_starts.entry(task.to_owned()).or_insert(0);
         *starts += 1;
-        if *starts >= STARTS {
+        if *starts >= LATER_STARTS_LIMIT {
             let broken =
                 format!("{task} started {starts} times after {crashes} runners crashed under it");
             self.broken.push(broken);
--- a/crates/hoisthitch-tests/src/world/gangs.rs
+++ b/crates/hoisthitch-tests/src/world/gangs.rs
@@ -13,7 +13,7 @@
 
 use super::{
     MemoryFleet,
-    life::GangPart,
+    instance::GangPart,
     rules::step_name,
     runners::FleetState, //
 };
@@ -22,11 +22,11 @@
 const GANG_WAIT: Duration = Duration::from_secs(3);
 
 /// A member that is present: its runner and its name.
-type MemberPlace = (String, String);
+type MemberKey = (String, String);
 
 impl FleetState {
     /// Has a gang begin its work if all of it are present.
-    pub(super) fn gather_gang(&mut self, order: &StartOrder, now: Instant) {
+    pub(super) fn start_complete_gang(&mut self, order: &StartOrder, now: Instant) {
         let step = step_name(order);
         let mut members: Vec<&mut GangPart> = self
             .runners
@@ -42,14 +42,14 @@
             .is_some_and(|part| part.size == members.len())
         {
             for part in &mut members {
-                part.whole_since = Some(now);
+                part.complete_since = Some(now);
             }
         }
     }
 
     /// Ends members that waited too long, and those that lost another one.
     pub(super) fn settle_gangs(&mut self, now: Instant) {
-        let mut gangs: BTreeMap<(String, u32), Vec<MemberPlace>> = BTreeMap::new();
+        let mut gangs: BTreeMap<(String, u32), Vec<MemberKey>> = BTreeMap::new();
         for (name, runner) in self.runners.iter().filter(|(_, runner)| runner.alive) {
             for (task, run) in &runner.running {
                 if let Some(part) = &run.gang {
@@ -67,7 +67,7 @@
     }
 
     /// Whether a gang at work lost a member before its work was done.
-    fn is_broken(&self, members: &[MemberPlace], now: Instant) -> bool {
+    fn is_broken(&self, members: &[MemberKey], now: Instant) -> bool {
         members.iter().any(|(runner, task)| {
             let Some(instance) = self.runners.get(runner) else {
                 return false;
@@ -78,7 +78,7 @@
             let Some(part) = &run.gang else {
                 return false;
             };
-            let Some(since) = part.whole_since else {
+            let Some(since) = part.complete_since else {
                 return false;
             };
             let lapsed = instance.lease <= now && instance.lease < since + run.work;
--- a/crates/hoisthitch-tests/src/world/life.rs
+++ b/crates/hoisthitch-tests/src/world/instance.rs
@@ -19,12 +19,12 @@
 use tokio::time::Instant;
 
 use super::{
-    rooms::TimedRoom,
-    sharing::SharedRoom, //
+    rooms::TimedCapacity,
+    sharing::TailModel, //
 };
 
 /// Time after which a lasting task is at work.
-pub(super) const STARTED: Duration = Duration::from_millis(300);
+pub(super) const STARTUP_TIME: Duration = Duration::from_millis(300);
 
 /// Longest lease.
 const LEASE_LIMIT: Duration = Duration::from_secs(10);
@@ -38,7 +38,7 @@
     pub(super) began: Instant,
     pub(super) work: Duration,
     pub(super) fails: bool,
-    pub(super) lasts: bool,
+    pub(super) long_running: bool,
     /// When it has stopped, as it was told to.
     pub(super) stops_at: Option<Instant>,
     /// The gang that it is of.
@@ -46,7 +46,7 @@
     /// Target of a serving task, in milliseconds; zero for others.
     pub(super) target_ms: u64,
     /// Whether it is a filler.
-    pub(super) fills: bool,
+    pub(super) best_effort: bool,
     /// Share at which it works, in percent.
     pub(super) pace: u32,
     /// Whether it was ordered of the life before, and nobody could keep it from starting.
@@ -61,7 +61,7 @@
     /// Members of the gang.
     pub(super) size: usize,
     /// Since when all members are present.
-    pub(super) whole_since: Option<Instant>,
+    pub(super) complete_since: Option<Instant>,
 }
 
 pub(super) struct Runner {
@@ -75,23 +75,23 @@
     pub(super) running: BTreeMap<String, Run>,
     pub(super) ended: Vec<EndedTask>,
     pub(super) last_end: u64,
-    pub(super) seen: u64,
+    pub(super) acked_end: u64,
     /// Last end before a lapse of the lease: the platform counts such ends as
     /// taken note of only if that was before the lapse.
-    pub(super) void: u64,
+    pub(super) expired_end: u64,
     /// Highest run that was stopped or ended, by task.
-    pub(super) over: HashMap<String, u32>,
+    pub(super) finished_runs: HashMap<String, u32>,
     pub(super) cut: HashSet<String>,
     /// When a cut was last made or healed.
-    pub(super) healed: Instant,
+    pub(super) cut_changed_at: Instant,
     /// Since when it is listed as leaving.
-    pub(super) leaves_since: Option<Instant>,
+    pub(super) draining_since: Option<Instant>,
     /// Nodes whose calls arrive and whose answers do not.
     pub(super) unheard: HashSet<String>,
     /// Whether its process is gone and its VM is not: calls are refused at once.
     pub(super) refuses: bool,
     /// Its rooms so far, the one of now last.
-    pub(super) rooms: Vec<TimedRoom>,
+    pub(super) rooms: Vec<TimedCapacity>,
     /// Whether it refuses each start.
     pub(super) sick: bool,
     /// Time that a stop takes.
@@ -99,7 +99,7 @@
     /// What its kind is.
     pub(super) label: String,
     /// How tasks beside one another fare.
-    pub(super) sharing: SharedRoom,
+    pub(super) sharing: TailModel,
 }
 
 impl Run {
@@ -110,11 +110,11 @@
             began: now,
             work: Duration::from_millis(work_ms(&order.payload)) * work_share(order),
             fails: order.payload.contains("fail"),
-            lasts: order.payload.contains("lasts"),
+            long_running: order.payload.contains("lasts"),
             stops_at: None,
             gang: None,
             target_ms: 0,
-            fills: false,
+            best_effort: false,
             pace: 100,
             unguarded: false,
         }
@@ -123,16 +123,20 @@
     /// When it went to work; a member of a gang waits for the others.
     pub(super) fn work_since(&self) -> Option<Instant> {
         let part = self.gang.as_ref();
-        part.map_or(Some(self.began), |part| part.whole_since)
+        part.map_or(Some(self.began), |part| part.complete_since)
     }
 
     fn is_over(&self, now: Instant) -> bool {
-        let since = self.work_since().filter(|_| !self.lasts);
+        let since = self.work_since().filter(|_| !self.long_running);
         since.is_some_and(|since| since + self.work <= now)
     }
 
     pub(super) fn percent(&self, now: Instant) -> u32 {
-        let work = if self.lasts { STARTED } else { self.work };
+        let work = if self.long_running {
+            STARTUP_TIME
+        } else {
+            self.work
+        };
         let Some(since) = self.work_since() else {
             return 0;
         };
@@ -155,29 +159,29 @@
             running: BTreeMap::new(),
             ended: Vec::new(),
             last_end: 0,
-            seen: 0,
-            void: 0,
-            over: HashMap::new(),
+            acked_end: 0,
+            expired_end: 0,
+            finished_runs: HashMap::new(),
             cut: HashSet::new(),
-            healed: Instant::now(),
-            leaves_since: None,
+            cut_changed_at: Instant::now(),
+            draining_since: None,
             unheard: HashSet::new(),
             refuses: false,
-            rooms: vec![TimedRoom::usual()],
+            rooms: vec![TimedCapacity::usual()],
             sick: false,
             stop_time: Duration::ZERO,
             label: String::new(),
-            sharing: SharedRoom::default(),
+            sharing: TailModel::default(),
         }
     }
 
-    pub(super) fn at(&self, clock_ms: u64) -> Instant {
+    pub(super) fn instant_at(&self, clock_ms: u64) -> Instant {
         let since = clock_ms.saturating_sub(CLOCK_START);
         self.began + Duration::from_millis(since)
     }
 
-    pub(super) fn extend(&mut self, lease_end_ms: u64, now: Instant) {
-        let until = self.at(lease_end_ms).min(now + LEASE_LIMIT);
+    pub(super) fn extend_lease(&mut self, lease_end_ms: u64, now: Instant) {
+        let until = self.instant_at(lease_end_ms).min(now + LEASE_LIMIT);
         self.lease = self.lease.max(until);
     }
 
@@ -186,7 +190,7 @@
             return;
         };
         self.last_end += 1;
-        let over = self.over.entry(task.to_owned()).or_insert(0);
+        let over = self.finished_runs.entry(task.to_owned()).or_insert(0);
         *over = (*over).max(run.run);
         self.ended.push(EndedTask {
             number: self.last_end,
@@ -225,7 +229,7 @@
             self.end(&task, EndKind::Stopped);
         }
         if lapse <= now {
-            self.void = self.last_end;
+            self.expired_end = self.last_end;
             let lapsed: Vec<String> = self.running.keys().cloned().collect();
             for task in lapsed {
                 self.end(&task, EndKind::LeaseExpired);
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -4,11 +4,11 @@
 //! looks at what runners are told.
 
 mod adviser;
+mod crashing;
 mod events;
 mod gangs;
-mod killers;
+mod instance;
 mod leaving;
-mod life;
 mod rooms;
 mod rules;
 mod runners;
@@ -26,8 +26,8 @@
     AdviserMood,
     MemoryAdviser, //
 };
+pub use crashing::CrashedRunner;
 pub use events::show_events;
-pub use killers::CrashedRunner;
 pub use rooms::ROOM;
 pub use rules::StartNote;
 pub use runners::MemoryFleet;
--- a/crates/hoisthitch-tests/src/world/rooms.rs
+++ b/crates/hoisthitch-tests/src/world/rooms.rs
@@ -12,7 +12,7 @@
 
 use super::{
     MemoryFleet,
-    life::Runner,
+    instance::Runner,
     runners::FleetState, //
 };
 
@@ -24,16 +24,16 @@
 };
 
 /// Time after which a room that has shrunk counts: three seconds and a beat.
-const SHRUNK: Duration = Duration::from_millis(4_500);
+const SHRINK_TIME: Duration = Duration::from_millis(4_500);
 
 /// A room, and since when a runner says it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TimedRoom {
+pub(super) struct TimedCapacity {
     room: ResourceAmounts,
     since: Instant,
 }
 
-impl TimedRoom {
+impl TimedCapacity {
     pub(super) fn usual() -> Self {
         Self {
             room: ROOM,
@@ -46,7 +46,7 @@
     /// Changes a runner's room; its record is to be written then.
     pub fn set_room(&self, name: &str, room: ResourceAmounts) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
-            runner.rooms.push(TimedRoom {
+            runner.rooms.push(TimedCapacity {
                 room,
                 since: Instant::now(),
             });
@@ -65,14 +65,14 @@
 
 impl FleetState {
     /// Judges the room of a runner after a start was carried out.
-    pub(super) fn judge_room(&mut self, name: &str, task: &str, now: Instant) {
+    pub(super) fn check_room(&mut self, name: &str, task: &str, now: Instant) {
         let Some(runner) = self.runners.get(name) else {
             return;
         };
         let steps = runner.running.keys();
         let steps = steps.filter_map(|task| self.rules.step_named(&TaskName::parse(task)?));
         let used = steps.fold(ResourceAmounts::default(), add);
-        let room = counted_room(runner, now);
+        let room = counted_capacity(runner, now);
         if used.cpu_milli > room.cpu_milli || used.memory_mb > room.memory_mb {
             let (used, room) = (used.cpu_milli, room.cpu_milli);
             let broken = format!("{task} brought {name} to {used} thousandths of a core of {room}");
@@ -82,11 +82,11 @@
 }
 
 /// Room that counts: the largest of those that were in force of late.
-fn counted_room(runner: &Runner, now: Instant) -> ResourceAmounts {
+fn counted_capacity(runner: &Runner, now: Instant) -> ResourceAmounts {
     let mut counted = ResourceAmounts::default();
     for (place, row) in runner.rooms.iter().enumerate() {
         let next = runner.rooms.get(place + 1);
-        if next.is_none_or(|next| next.since + SHRUNK > now) {
+        if next.is_none_or(|next| next.since + SHRINK_TIME > now) {
             counted.cpu_milli = counted.cpu_milli.max(row.room.cpu_milli);
             counted.memory_mb = counted.memory_mb.max(row.room.memory_mb);
         }
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -19,7 +19,7 @@
 use super::{
     MemoryFleet,
     adviser::AdviserState,
-    life::{
+    instance::{
         GangPart,
         Run,
         Runner, //
@@ -146,22 +146,22 @@
     }
 
     /// A run with what its step asks for.
-    pub(super) fn fit_out(&self, mut run: Run, order: &StartOrder) -> Run {
+    pub(super) fn apply_step(&self, mut run: Run, order: &StartOrder) -> Run {
         let Some(step) = self.step(order) else {
             return run;
         };
         run.target_ms = step.target_ms;
-        run.fills = step.best_effort;
+        run.best_effort = step.best_effort;
         run.gang = step.gang.then(|| GangPart {
             step: step_name(order),
             size: step.count as usize,
-            whole_since: None,
+            complete_since: None,
         });
         run
     }
 
     /// What is wrong with the time of a start.
-    fn judge_time(&self, order: &StartOrder, now: Instant) -> Option<String> {
+    fn check_time(&self, order: &StartOrder, now: Instant) -> Option<String> {
         let name = &order.name;
         if let Some(cancelled) = self.cancelled.get(&name.job)
             && *cancelled + CANCEL_TIME < now
@@ -178,7 +178,7 @@
 
 impl FleetState {
     /// Judges a start that was just carried out by what its job asks for.
-    pub(super) fn judge_terms(&mut self, runner: &str, order: &StartOrder, now: Instant) {
+    pub(super) fn check_start(&mut self, runner: &str, order: &StartOrder, now: Instant) {
         let note = StartNote {
             task: order.name.to_string(),
             run: order.run,
@@ -187,16 +187,16 @@
         };
         self.rules.starts.push(note);
         let found = [
-            self.rules.judge_time(order, now),
-            self.judge_order(order),
-            self.judge_place(runner, order),
-            self.judge_members(order),
+            self.rules.check_time(order, now),
+            self.check_order(order),
+            self.check_placement(runner, order),
+            self.check_gang(order),
         ];
         self.broken.extend(found.into_iter().flatten());
     }
 
     /// Whether a step before the task's is not done.
-    fn judge_order(&self, order: &StartOrder) -> Option<String> {
+    fn check_order(&self, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         let job = self.rules.jobs.get(&name.job)?;
         let after = self.rules.step(order)?.after.iter();
@@ -209,7 +209,7 @@
     }
 
     /// Whether the runner has another label, or too many tasks of the step.
-    fn judge_place(&self, runner: &str, order: &StartOrder) -> Option<String> {
+    fn check_placement(&self, runner: &str, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         let step = self.rules.step(order)?;
         let instance = self.runners.get(runner)?;
@@ -231,11 +231,11 @@
     }
 
     /// Whether other members of the gang are of another run, or done.
-    fn judge_members(&self, order: &StartOrder) -> Option<String> {
+    fn check_gang(&self, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         self.rules.step(order).filter(|step| step.gang)?;
         let alike = format!("{}.", step_name(order));
-        if self.noted.iter().any(|task| task.starts_with(&alike)) {
+        if self.acked_done.iter().any(|task| task.starts_with(&alike)) {
             return Some(format!("{name} began after its gang was done"));
         }
         let living = self.runners.values().filter(|runner| runner.alive);
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -1,7 +1,7 @@
 //! Runners and VMs in memory, and a judge that looks at what they are told.
 
 mod control;
-mod lives;
+mod instances;
 mod vms;
 
 use std::{
@@ -29,53 +29,53 @@
 };
 use tokio::time::Instant;
 
-use super::killers::KillerBook;
-use super::life::{
+use super::crashing::CrashingTasks;
+use super::instance::{
     Run,
     Runner,
-    STARTED, //
+    STARTUP_TIME, //
 };
 use super::rules::RuleBook;
 
 /// Time of a call, one way.
-const WAY: Duration = Duration::from_millis(1);
+const ONE_WAY_TIME: Duration = Duration::from_millis(1);
 
 /// Time by which an order is late, where a test says no other.
 const LATE_BY: Duration = Duration::from_secs(2);
 
 /// Time after which a caller gives up.
-const GIVE_UP: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Time after the answer to a cancel from which on no task of the job may be
 /// started: the platform's limit.
-const CANCEL: Duration = Duration::from_secs(2);
+const CANCEL_LIMIT: Duration = Duration::from_secs(2);
 
 /// What the fleet was told, and what broke a promise.
 #[derive(Default)]
 pub(super) struct FleetState {
     pub(super) runners: BTreeMap<String, Runner>,
     /// Down for upkeep: VM, until when.
-    upkeep: HashMap<String, Instant>,
+    in_maintenance: HashMap<String, Instant>,
     instances: u64,
     /// Whether runners don't tell when they began.
-    births_hidden: bool,
+    start_times_hidden: bool,
     /// How far the time of day is behind by which they tell, in milliseconds.
-    births_behind: u64,
+    start_times_behind_ms: u64,
     /// Whether an acknowledgement holds for ends that come after it.
-    forgets_ahead: bool,
+    acks_cover_later_ends: bool,
     /// Lives that began.
-    births: u64,
+    started_instances: u64,
     /// When those were.
-    noted_at: HashMap<String, Instant>,
+    acked_at: HashMap<String, Instant>,
     /// Tasks that were run by a start that nobody could keep from a new life.
-    strayed: HashSet<String>,
+    unguarded_tasks: HashSet<String>,
     /// When the order at hand was sent, where it was under way for long.
     sent: Option<Instant>,
     /// Whether the start at hand was ordered of a life before, and nobody could keep the
     /// one that is there from it.
     unguarded: bool,
     /// Tasks whose end `done` was acknowledged.
-    pub(super) noted: HashSet<String>,
+    pub(super) acked_done: HashSet<String>,
     /// Tasks that ended `done`.
     pub(super) done: HashSet<String>,
     /// Failed ends that were acknowledged, by task.
@@ -90,22 +90,22 @@
     /// Each start of this many is refused for want of room.
     refuse_every: u64,
     asked: u64,
-    upkeeps: Vec<(String, u64, Instant)>,
+    maintenance_starts: Vec<(String, u64, Instant)>,
     down_most: usize,
     /// Last order about each VM: its holder, and when it came.
     vm_orders: HashMap<String, (String, Instant)>,
     /// Orders for upkeep that came, by VM.
-    upkeep_orders: HashMap<String, usize>,
+    maintenance_orders: HashMap<String, usize>,
     /// Orders about VMs are lost.
     vms_lost: bool,
     /// Orders about VMs are carried out, and their answers are lost.
     vm_answers_lost: bool,
     /// Time that an order about a VM is under way.
-    vms_way: Duration,
+    vm_order_delay: Duration,
     /// Jobs whose tasks may be stopped as their caller wants.
     pub(super) cancelled: HashSet<String>,
     /// Tasks that crash their runners.
-    pub(super) killers: KillerBook,
+    pub(super) crashing: CrashingTasks,
     /// What jobs ask for, and the judge of that.
     pub(super) rules: RuleBook,
     /// When their cancels were answered.
@@ -122,7 +122,7 @@
 impl Default for MemoryFleet {
     fn default() -> Self {
         let state = FleetState {
-            forgets_ahead: true,
+            acks_cover_later_ends: true,
             late_by: LATE_BY,
             ..FleetState::default()
         };
@@ -147,7 +147,7 @@
         let mut state = self.state.borrow_mut();
         state.instances += 1;
         let name = format!("i-{}", state.instances);
-        let started_at = state.next_birth();
+        let started_at = state.next_start_time();
         state
             .runners
             .insert(name.clone(), Runner::begin(vm, started_at));
@@ -167,7 +167,7 @@
     pub fn cut(&self, name: &str, nodes: &[String]) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.cut = nodes.iter().cloned().collect();
-            runner.healed = Instant::now();
+            runner.cut_changed_at = Instant::now();
         }
     }
 
@@ -198,7 +198,7 @@
 
     /// Has orders about VMs take that long to arrive.
     pub fn slow_vm_orders(&self, way: Duration) {
-        self.state.borrow_mut().vms_way = way;
+        self.state.borrow_mut().vm_order_delay = way;
     }
 
     /// The caller cancels a job: its tasks may be stopped from now on.
@@ -230,13 +230,13 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let back: Vec<String> = state
-            .upkeep
+            .in_maintenance
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in &back {
-            state.upkeep.remove(vm);
+            state.in_maintenance.remove(vm);
         }
         back
     }
@@ -288,7 +288,7 @@
     /// VMs that went down for upkeep, with the most at once.
     pub fn upkeeps(&self) -> (usize, usize) {
         let state = self.state.borrow();
-        let vms: HashSet<&String> = state.upkeeps.iter().map(|row| &row.0).collect();
+        let vms: HashSet<&String> = state.maintenance_starts.iter().map(|row| &row.0).collect();
         (vms.len(), state.down_most)
     }
 
@@ -297,7 +297,7 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         state.settle_gangs(now);
-        state.judge_harm(now);
+        state.check_harm(now);
         let mut done = Vec::new();
         for runner in state.runners.values_mut().filter(|runner| runner.alive) {
             done.extend(runner.settle(now));
@@ -321,12 +321,12 @@
         if runner.sick {
             return StartOutcome::Refused;
         }
-        if runner.at(lease.lease_end_ms) <= now {
+        if runner.instant_at(lease.lease_end_ms) <= now {
             return StartOutcome::Late;
         }
-        runner.extend(lease.lease_end_ms, now);
+        runner.extend_lease(lease.lease_end_ms, now);
         if runner
-            .over
+            .finished_runs
             .get(&task)
             .is_some_and(|over| *over >= order.run)
         {
@@ -342,11 +342,11 @@
         if !state.rules.has_ticket(name, order, now) {
             return StartOutcome::NoTicket;
         }
-        let mut run = state.rules.fit_out(Run::begin(order, now), order);
+        let mut run = state.rules.apply_step(Run::begin(order, now), order);
         run.unguarded = state.unguarded;
         runner.running.insert(task.clone(), run);
-        state.judge_terms(name, order, now);
-        state.gather_gang(order, now);
+        state.check_start(name, order, now);
+        state.start_complete_gang(order, now);
         let guarded = |runner: &&Runner| {
             let run = runner.running.get(&task);
             runner.alive && run.is_some_and(|run| !run.unguarded)
@@ -355,15 +355,15 @@
             state.broken.push(format!("{task} runs twice at once"));
         }
         if state.unguarded {
-            state.strayed.insert(task.clone());
+            state.unguarded_tasks.insert(task.clone());
         }
         // One that was sent before such a run ended could not be withdrawn any more.
-        let noted_at = state.noted_at.get(&task).copied();
+        let acked_at = state.acked_at.get(&task).copied();
         let sent_before = state
             .sent
-            .is_some_and(|sent| noted_at.is_none_or(|at| sent < at));
-        let excused = state.unguarded || (sent_before && state.strayed.contains(&task));
-        if noted_at.is_some() && !excused {
+            .is_some_and(|sent| acked_at.is_none_or(|at| sent < at));
+        let excused = state.unguarded || (sent_before && state.unguarded_tasks.contains(&task));
+        if acked_at.is_some() && !excused {
             let run = order.run;
             state
                 .broken
@@ -373,14 +373,14 @@
             state.broken.push(format!("{task} began beyond its budget"));
         }
         let late = state.rules.is_late();
-        state.judge_killer(&task, late);
+        state.check_crashing_start(&task, late);
         if !late {
-            state.judge_room(name, &task, now);
-            state.judge_leaving(name, &task, now);
+            state.check_room(name, &task, now);
+            state.check_draining(name, &task, now);
         }
         *state.starts.entry(task).or_insert(0) += 1;
         drop(guard);
-        self.begin_kill(name, order);
+        self.schedule_crash(name, order);
         StartOutcome::Started
     }
 
@@ -395,15 +395,15 @@
         }
         runner.fence = epoch;
         let task = order.name.to_string();
-        let strays = runner.running.get(&task).is_some_and(|run| run.unguarded);
+        let unguarded = runner.running.get(&task).is_some_and(|run| run.unguarded);
         // What runs on a runner that leaves may be ended at any time.
-        if !strays && runner.leaves_since.is_none() {
-            state.judge_end(&task);
+        if !unguarded && runner.draining_since.is_none() {
+            state.check_end(&task);
         }
         let Some(runner) = state.runners.get_mut(name) else {
             return Err(RunnerError::WrongLife);
         };
-        let over = runner.over.entry(task.clone()).or_insert(0);
+        let over = runner.finished_runs.entry(task.clone()).or_insert(0);
         *over = (*over).max(order.run);
         let time = runner.stop_time;
         let run = runner.running.get_mut(&task);
@@ -431,24 +431,26 @@
         }
         runner.fence = request.epoch;
         if let Some(lease) = request.lease_end_ms {
-            runner.extend(lease, now);
+            runner.extend_lease(lease, now);
         }
-        runner.seen = runner.seen.max(request.acked_end);
-        let seen = if state.forgets_ahead {
-            runner.seen
+        runner.acked_end = runner.acked_end.max(request.acked_end);
+        let acked_end = if state.acks_cover_later_ends {
+            runner.acked_end
         } else {
             request.acked_end
         };
-        let (noted, left): (Vec<_>, Vec<_>) =
-            runner.ended.drain(..).partition(|end| end.number <= seen);
+        let (acked, left): (Vec<_>, Vec<_>) = runner
+            .ended
+            .drain(..)
+            .partition(|end| end.number <= acked_end);
         runner.ended = left;
-        let void = runner.void;
+        let void = runner.expired_end;
         let report = runner.report(now);
-        for end in noted.into_iter().filter(|end| end.number > void) {
+        for end in acked.into_iter().filter(|end| end.number > void) {
             match end.kind {
                 EndKind::Done => {
-                    state.noted_at.entry(end.name.clone()).or_insert(now);
-                    state.noted.insert(end.name);
+                    state.acked_at.entry(end.name.clone()).or_insert(now);
+                    state.acked_done.insert(end.name);
                 }
                 EndKind::Failed => *state.failed.entry(end.name).or_insert(0) += 1,
                 _ => {}
@@ -510,12 +512,12 @@
 
     /// Notes a start long after its job's cancel was answered. One that was sent
     /// in time and carried out late doesn't come here.
-    fn judge_cancel(&self, order: &StartOrder) {
+    fn check_cancel(&self, order: &StartOrder) {
         let task = order.name.to_string();
         let mut state = self.state.borrow_mut();
         let job = task.split('.').next().unwrap_or_default();
         let answered = state.cancel_answers.get(job);
-        if answered.is_some_and(|at| *at + CANCEL < Instant::now()) {
+        if answered.is_some_and(|at| *at + CANCEL_LIMIT < Instant::now()) {
             let broken = format!("{task} began long after its cancel");
             state.broken.push(broken);
         }
@@ -534,7 +536,7 @@
 
 impl FleetState {
     /// Looks whether ending a lasting task at work leaves more than one away.
-    fn judge_end(&mut self, task: &str) {
+    fn check_end(&mut self, task: &str) {
         let now = Instant::now();
         let Some((job, _)) = task.split_once('.') else {
             return;
@@ -543,11 +545,11 @@
         let at_work = |name: &str| {
             self.runners.values().any(|runner| {
                 let run = runner.running.get(name);
-                let run = run.filter(|run| run.lasts && !run.unguarded);
-                runner.alive && run.is_some_and(|run| run.began + STARTED < now)
+                let run = run.filter(|run| run.long_running && !run.unguarded);
+                runner.alive && run.is_some_and(|run| run.began + STARTUP_TIME < now)
             })
         };
-        if self.cancelled.contains(job) || self.killers.has_job(job) || !at_work(task) {
+        if self.cancelled.contains(job) || self.crashing.has_job(job) || !at_work(task) {
             return;
         }
         let away: Vec<&String> = self
--- a/crates/hoisthitch-tests/src/world/runners/control.rs
+++ b/crates/hoisthitch-tests/src/world/runners/control.rs
@@ -23,9 +23,9 @@
         sharing::PaceFate,
         spawn_outside, //
     },
-    GIVE_UP,
+    CALL_TIMEOUT,
     MemoryFleet,
-    WAY, //
+    ONE_WAY_TIME, //
 };
 
 impl RunnerControl for MemoryFleet {
@@ -35,7 +35,7 @@
         order: &StartOrder,
         lease: OrderLease,
     ) -> StartOutcome {
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         if self.refuses(&runner.instance.name) {
             return StartOutcome::NotSent;
         }
@@ -56,22 +56,22 @@
                 fleet.state.borrow_mut().sent = None;
                 fleet.state.borrow_mut().rules.set_late(false);
             });
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return StartOutcome::Unclear;
         }
         if self.is_refused() {
-            tokio::time::sleep(WAY).await;
+            tokio::time::sleep(ONE_WAY_TIME).await;
             return StartOutcome::NoRoom;
         }
         let task = order.name.to_string();
         let before = self.starts(&task);
         let outcome = MemoryFleet::start(self, &runner.instance.name, order, lease);
         if self.starts(&task) > before {
-            self.judge_cancel(order);
+            self.check_cancel(order);
         }
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         if !self.answers(&runner.instance.name) {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return StartOutcome::Unclear;
         }
         outcome
@@ -83,18 +83,18 @@
         order: &StopOrder,
         epoch: u64,
     ) -> Result<(), RunnerError> {
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         if self.refuses(&runner.instance.name) {
             return Err(RunnerError::NotListening);
         }
         if !self.reaches(&runner.instance.name) || self.is_late() {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("lost".to_owned()));
         }
         let stopped = MemoryFleet::stop(self, &runner.instance.name, order, epoch);
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         if !self.answers(&runner.instance.name) {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("unheard".to_owned()));
         }
         stopped
@@ -105,28 +105,28 @@
         runner: &RunnerAddress,
         request: HeartbeatRequest,
     ) -> Result<HeartbeatReport, RunnerError> {
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         if self.refuses(&runner.instance.name) {
             return Err(RunnerError::NotListening);
         }
         if !self.reaches(&runner.instance.name) {
-            tokio::time::sleep(request.wait + GIVE_UP).await;
+            tokio::time::sleep(request.wait + CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("cut".to_owned()));
         }
         // The fence and the lease count from the arrival.
-        let instance = self.life_at(&runner.instance.name);
+        let instance = self.instance_began(&runner.instance.name);
         MemoryFleet::heartbeat(self, &runner.instance.name, request)?;
         let until = Instant::now() + request.wait;
         while Instant::now() < until && !self.has_end(&runner.instance.name, request.acked_end) {
             tokio::time::sleep(Duration::from_millis(5)).await;
             // The connection was with the process that is gone.
-            if self.life_at(&runner.instance.name) != instance
+            if self.instance_began(&runner.instance.name) != instance
                 || self.refuses(&runner.instance.name)
             {
                 return Err(RunnerError::NoAnswer("reset".to_owned()));
             }
         }
-        let ahead = self.state.borrow().forgets_ahead;
+        let ahead = self.state.borrow().acks_cover_later_ends;
         let report = MemoryFleet::heartbeat(
             self,
             &runner.instance.name,
@@ -136,9 +136,9 @@
                 ..request
             },
         );
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         if !self.answers(&runner.instance.name) {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("cut".to_owned()));
         }
         report
@@ -150,10 +150,10 @@
         order: &PaceOrder,
         epoch: u64,
     ) -> Result<(), RunnerError> {
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         let fate = self.next_pace_fate();
         if !self.reaches(&runner.instance.name) || fate == PaceFate::Lost {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("lost".to_owned()));
         }
         if let PaceFate::Late(late) = fate {
@@ -163,13 +163,13 @@
                 // Nobody waits for the answer any more.
                 let _ = fleet.set_pace(&name, &order, epoch);
             });
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("late".to_owned()));
         }
         let paced = self.set_pace(&runner.instance.name, order, epoch);
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(ONE_WAY_TIME).await;
         if !self.answers(&runner.instance.name) {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("unheard".to_owned()));
         }
         paced
--- a/crates/hoisthitch-tests/src/world/runners/lives.rs
+++ b/crates/hoisthitch-tests/src/world/runners/instances.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::{
-    super::life::Runner,
+    super::instance::Runner,
     FleetState,
     MemoryFleet, //
 };
@@ -13,7 +13,7 @@
 /// Time within which a life that can be reached is asked, after it began or a cut was
 /// healed: where the life before ended without a sign, the hold that was under way and its
 /// limit, the wait after that, the way of two holds, and a write that raises the owner's token.
-const UNGUARDED: Duration = Duration::from_secs(2);
+const UNGUARDED_TIME: Duration = Duration::from_secs(2);
 
 impl MemoryFleet {
     /// Ends a life and begins the next one at once under the same name: it holds
@@ -21,7 +21,7 @@
     pub fn restart(&self, name: &str) {
         self.crash(name);
         let mut state = self.state.borrow_mut();
-        let started_at = state.next_birth();
+        let started_at = state.next_start_time();
         if let Some(runner) = state.runners.get_mut(name) {
             *runner = Runner {
                 cut: std::mem::take(&mut runner.cut),
@@ -40,23 +40,23 @@
 
     /// Has runners that begin from now on tell when they did, or not.
     pub fn tell_births(&self, told: bool) {
-        self.state.borrow_mut().births_hidden = !told;
+        self.state.borrow_mut().start_times_hidden = !told;
     }
 
     /// Has runners also forget ends that come after an acknowledgement of their numbers,
     /// or only those that they have; the platform's words allow both.
     pub fn forget_ahead(&self, ahead: bool) {
-        self.state.borrow_mut().forgets_ahead = ahead;
+        self.state.borrow_mut().acks_cover_later_ends = ahead;
     }
 
     /// Sets the time of day back by which runners that begin from now on tell when
     /// they did.
     pub fn set_births_back(&self, time_ms: u64) {
-        self.state.borrow_mut().births_behind = time_ms;
+        self.state.borrow_mut().start_times_behind_ms = time_ms;
     }
 
     /// When the life that has a name began.
-    pub(in crate::world) fn life_at(&self, name: &str) -> Option<Instant> {
+    pub(in crate::world) fn instance_began(&self, name: &str) -> Option<Instant> {
         let state = self.state.borrow();
         state.runners.get(name).map(|runner| runner.began)
     }
@@ -68,17 +68,17 @@
         let state = self.state.borrow();
         state.runners.get(name).is_some_and(|runner| {
             let cut = !runner.cut.is_empty() || !runner.unheard.is_empty();
-            let reached = runner.began.max(runner.healed);
-            runner.began > sent && (cut || reached.elapsed() <= UNGUARDED)
+            let reached = runner.began.max(runner.cut_changed_at);
+            runner.began > sent && (cut || reached.elapsed() <= UNGUARDED_TIME)
         })
     }
 }
 
 impl FleetState {
     /// When a life that begins now says that it began; no two say the same.
-    pub(super) fn next_birth(&mut self) -> Option<u64> {
-        self.births += 1;
-        let today = self.rules.unix_ms() - self.births_behind;
-        (!self.births_hidden).then_some(today + self.births)
+    pub(super) fn next_start_time(&mut self) -> Option<u64> {
+        self.started_instances += 1;
+        let today = self.rules.unix_ms() - self.start_times_behind_ms;
+        (!self.start_times_hidden).then_some(today + self.started_instances)
     }
 }
--- a/crates/hoisthitch-tests/src/world/runners/vms.rs
+++ b/crates/hoisthitch-tests/src/world/runners/vms.rs
@@ -18,22 +18,22 @@
         POOL,
         spawn_outside, //
     },
+    CALL_TIMEOUT,
     FleetState,
-    GIVE_UP,
     MemoryFleet,
-    WAY, //
+    ONE_WAY_TIME, //
 };
 
 /// Time within which two holders may not give orders about one VM.
-const TURN: Duration = Duration::from_secs(3);
+const TURN_TIME: Duration = Duration::from_secs(3);
 
 /// Time that an upkeep takes.
-const UPKEEP: Duration = Duration::from_secs(2);
+const MAINTENANCE_TIME: Duration = Duration::from_secs(2);
 
 impl MemoryFleet {
     /// Notes an order about a VM, answered or not, and whether two holders took
     /// turns.
-    fn judge_turn(&self, vm: &str, holder: &str) {
+    fn check_turn(&self, vm: &str, holder: &str) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let last = state
@@ -41,22 +41,27 @@
             .insert(vm.to_owned(), (holder.to_owned(), now));
         if let Some((other, at)) = last
             && other != holder
-            && now < at + TURN
+            && now < at + TURN_TIME
         {
             let broken = format!("{vm}: {other} and {holder} take turns");
             state.broken.push(broken);
         }
     }
 
-    fn count_upkeep(&self, vm: &str) {
+    fn count_maintenance_order(&self, vm: &str) {
         let mut state = self.state.borrow_mut();
-        *state.upkeep_orders.entry(vm.to_owned()).or_insert(0) += 1;
+        *state.maintenance_orders.entry(vm.to_owned()).or_insert(0) += 1;
     }
 
     /// Most orders for upkeep that came about one VM.
     pub fn most_upkeep_orders(&self) -> usize {
         let state = self.state.borrow();
-        state.upkeep_orders.values().copied().max().unwrap_or(0)
+        state
+            .maintenance_orders
+            .values()
+            .copied()
+            .max()
+            .unwrap_or(0)
     }
 
     /// Whether an order about the VM was given.
@@ -67,9 +72,9 @@
 
 impl VmControl for MemoryFleet {
     async fn list(&self) -> Result<Vec<VmStatus>, VmError> {
-        tokio::time::sleep(WAY * 2).await;
+        tokio::time::sleep(ONE_WAY_TIME * 2).await;
         if self.state.borrow().rules.is_unheard(&self.node) {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(VmError::NoAnswer("unheard".to_owned()));
         }
         let state = self.state.borrow();
@@ -84,7 +89,7 @@
                 runner: Some(name.clone()),
             })
             .collect();
-        rows.extend(state.upkeep.keys().map(|vm| VmStatus {
+        rows.extend(state.in_maintenance.keys().map(|vm| VmStatus {
             name: vm.clone(),
             pool: POOL.to_owned(),
             condition: VmCondition::Maintenance,
@@ -104,25 +109,25 @@
         let (fleet, vm, holder) = (self.clone(), vm.to_owned(), holder.to_owned());
         // Not a task of the node: the order is under way whatever becomes of it.
         spawn_outside(async move {
-            tokio::time::sleep(WAY).await;
-            fleet.judge_turn(&vm, &holder);
-            fleet.count_upkeep(&vm);
-            let way = fleet.state.borrow().vms_way;
-            tokio::time::sleep(way).await;
+            tokio::time::sleep(ONE_WAY_TIME).await;
+            fleet.check_turn(&vm, &holder);
+            fleet.count_maintenance_order(&vm);
+            let delay = fleet.state.borrow().vm_order_delay;
+            tokio::time::sleep(delay).await;
             if !fleet.state.borrow().vms_lost {
                 // A node that is gone needs no answer.
-                let _ = done.send(fleet.take_down(&vm, epoch));
+                let _ = done.send(fleet.begin_maintenance(&vm, epoch));
             }
         });
         let outcome = answer.await;
         let unheard =
             |state: &FleetState| state.vm_answers_lost || state.rules.is_unheard(&self.node);
         if unheard(&self.state.borrow()) {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(VmError::NoAnswer("unheard".to_owned()));
         }
         let Ok(outcome) = outcome else {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(VmError::NoAnswer("lost".to_owned()));
         };
         outcome
@@ -141,10 +146,14 @@
 
 impl MemoryFleet {
     /// Takes a VM down for its upkeep.
-    fn take_down(&self, vm: &str, epoch: u64) -> Result<(), VmError> {
+    fn begin_maintenance(&self, vm: &str, epoch: u64) -> Result<(), VmError> {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        let last = state.upkeeps.iter().rev().find(|row| row.0 == vm);
+        let last = state
+            .maintenance_starts
+            .iter()
+            .rev()
+            .find(|row| row.0 == vm);
         if let Some((_, token, _)) = last {
             if *token > epoch {
                 state
@@ -162,7 +171,7 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in &ends {
-            state.judge_end(task);
+            state.check_end(task);
         }
         for runner in state.runners.values_mut() {
             if runner.vm == vm {
@@ -171,9 +180,11 @@
             }
         }
         let now = Instant::now();
-        state.upkeeps.push((vm.to_owned(), epoch, now));
-        state.upkeep.insert(vm.to_owned(), now + UPKEEP);
-        state.down_most = state.down_most.max(state.upkeep.len());
+        state.maintenance_starts.push((vm.to_owned(), epoch, now));
+        state
+            .in_maintenance
+            .insert(vm.to_owned(), now + MAINTENANCE_TIME);
+        state.down_most = state.down_most.max(state.in_maintenance.len());
         Ok(())
     }
 }
--- a/crates/hoisthitch-tests/src/world/sharing.rs
+++ b/crates/hoisthitch-tests/src/world/sharing.rs
@@ -9,7 +9,7 @@
 
 use super::{
     MemoryFleet,
-    life::{
+    instance::{
         Run,
         Runner, //
     },
@@ -35,7 +35,7 @@
 
 /// How tasks on a runner fare beside one another.
 #[derive(Default)]
-pub(super) struct SharedRoom {
+pub(super) struct TailModel {
     /// Tail of serving tasks without fillers, in milliseconds.
     quiet_ms: u64,
     /// What each filler at full pace adds, in milliseconds.
@@ -43,10 +43,10 @@
     /// Tails so far, and since when.
     tails: Vec<(Instant, u64)>,
     over_since: Option<Instant>,
-    judged: bool,
+    violation_recorded: bool,
 }
 
-impl SharedRoom {
+impl TailModel {
     /// Mean of the tail over the last while.
     pub(super) fn reported(&self, now: Instant) -> u64 {
         let Some(from) = now.checked_sub(TAIL_TIME) else {
@@ -75,7 +75,7 @@
 impl Runner {
     /// Tail of its serving tasks at this moment.
     fn tail(&self) -> u64 {
-        let fillers = self.running.values().filter(|run| run.fills);
+        let fillers = self.running.values().filter(|run| run.best_effort);
         let pace: u64 = fillers.map(|run| u64::from(run.pace)).sum();
         self.sharing.quiet_ms + self.sharing.filler_ms * pace / 100
     }
@@ -90,7 +90,7 @@
 
 impl FleetState {
     /// Judges how long fillers have held tails over their targets.
-    pub(super) fn judge_harm(&mut self, now: Instant) {
+    pub(super) fn check_harm(&mut self, now: Instant) {
         for (name, runner) in self.runners.iter_mut().filter(|(_, runner)| runner.alive) {
             let tail = runner.tail();
             let harmed = runner.is_harmed(tail);
@@ -98,15 +98,15 @@
             room.note(now, tail);
             if !harmed {
                 room.over_since = None;
-                room.judged = false;
+                room.violation_recorded = false;
                 continue;
             }
             let since = *room.over_since.get_or_insert(now);
             let harm = now.duration_since(since);
             self.rules.longest_harm = self.rules.longest_harm.max(harm);
             let since = self.rules.calm_since(since);
-            if since + HARM_TIME < now && !room.judged {
-                room.judged = true;
+            if since + HARM_TIME < now && !room.violation_recorded {
+                room.violation_recorded = true;
                 let broken = format!("fillers on {name} hold a tail at {tail} ms for {harm:?}");
                 self.broken.push(broken);
             }
@@ -171,8 +171,8 @@
         let state = self.state.borrow();
         let living = state.runners.values().filter(|runner| runner.alive);
         let runs = living.flat_map(|runner| &runner.running);
-        let fills = |(_, run): &(&String, &Run)| run.fills;
-        runs.filter(fills)
+        let best_effort = |(_, run): &(&String, &Run)| run.best_effort;
+        runs.filter(best_effort)
             .map(|(task, run)| (task.clone(), run.pace))
             .collect()
     }
--- a/crates/hoisthitch-tests/src/world/store.rs
+++ b/crates/hoisthitch-tests/src/world/store.rs
@@ -35,13 +35,13 @@
 const CALL_TIME: Duration = Duration::from_millis(4);
 
 /// Time after which a caller gives up.
-const GIVE_UP: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Time for which a watch waits.
 const WATCH_TIME: Duration = Duration::from_millis(1_200);
 
 /// The same where the watch hurries.
-const HURRIED_TIME: Duration = Duration::from_millis(300);
+const SHORT_WATCH_TIME: Duration = Duration::from_millis(300);
 
 /// Time over which calls are counted.
 const SECOND: Duration = Duration::from_secs(1);
@@ -199,14 +199,14 @@
             after,
             ready: VecDeque::new(),
             complete_as_of: Instant::now(),
-            hurries: false,
+            next_wait_is_short: false,
         };
         let mut changed = self.changed.subscribe();
         let until = Instant::now() + wait;
         loop {
             changed.borrow_and_update();
             self.expire();
-            watch.gather();
+            watch.collect_changes();
             let waited = tokio::time::timeout_at(until, changed.changed());
             if !watch.ready.is_empty() || waited.await.is_err() {
                 return (watch.ready.into(), watch.after);
@@ -214,16 +214,16 @@
         }
     }
 
-    async fn enter(&self, call: &'static str) -> Result<(), StoreError> {
+    async fn begin_call(&self, call: &'static str) -> Result<(), StoreError> {
         let delay = self.state.borrow().faults.delay;
-        if delay > GIVE_UP {
-            tokio::time::sleep(GIVE_UP).await;
+        if delay > CALL_TIMEOUT {
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout(call));
         }
         tokio::time::sleep(CALL_TIME + delay).await;
         self.count_call(call)?;
         if self.is_cut() {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout(call));
         }
         self.expire();
@@ -252,9 +252,9 @@
 
     /// Lets the answer take its way; keeps it back from a node that is cut off
     /// one way.
-    async fn leave(&self, call: &'static str) -> Result<(), StoreError> {
+    async fn deliver_answer(&self, call: &'static str) -> Result<(), StoreError> {
         if self.is_unheard() {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout(call));
         }
         let back = self.state.borrow().faults.back;
@@ -355,7 +355,7 @@
 fn timeout(call: &'static str) -> StoreError {
     StoreError::Timeout {
         call,
-        limit: GIVE_UP,
+        limit: CALL_TIMEOUT,
     }
 }
 
@@ -363,14 +363,14 @@
     type Watch = MemoryWatch;
 
     async fn read(&self, key: &str) -> Result<Option<StoredValue>, StoreError> {
-        self.enter("read").await?;
-        self.leave("read").await?;
+        self.begin_call("read").await?;
+        self.deliver_answer("read").await?;
         Ok(self.state.borrow().stored(key))
     }
 
     async fn read_prefix(&self, prefix: &str) -> Result<Vec<StoredValue>, StoreError> {
-        self.enter("read_prefix").await?;
-        self.leave("read_prefix").await?;
+        self.begin_call("read_prefix").await?;
+        self.deliver_answer("read_prefix").await?;
         let state = self.state.borrow();
         let keys = state.values.keys().filter(|key| key.starts_with(prefix));
         Ok(keys.filter_map(|key| state.stored(key)).collect())
@@ -415,7 +415,7 @@
         if keys.len() != items.len() {
             return Err(refused("swap_all"));
         }
-        self.enter("swap_all").await?;
+        self.begin_call("swap_all").await?;
         let (lost, late) = {
             let mut state = self.state.borrow_mut();
             state.writes += 1;
@@ -427,7 +427,7 @@
         };
         if !lost {
             let outcome = self.apply(&items);
-            self.leave("swap_all").await?;
+            self.deliver_answer("swap_all").await?;
             return Ok(outcome);
         }
         if late.is_zero() {
@@ -440,12 +440,12 @@
                 store.apply(&items);
             });
         }
-        tokio::time::sleep(GIVE_UP).await;
+        tokio::time::sleep(CALL_TIMEOUT).await;
         Err(timeout("swap_all"))
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        self.enter("grant_lease").await?;
+        self.begin_call("grant_lease").await?;
         let id = {
             let mut state = self.state.borrow_mut();
             state.next_lease += 1;
@@ -453,12 +453,12 @@
             state.leases.insert(id, (ttl, Instant::now() + ttl));
             id
         };
-        self.leave("grant_lease").await?;
+        self.deliver_answer("grant_lease").await?;
         Ok(LeaseId(id))
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<bool, StoreError> {
-        self.enter("keep_alive").await?;
+        self.begin_call("keep_alive").await?;
         let kept = {
             let mut state = self.state.borrow_mut();
             let lease = state.leases.get_mut(&lease.0);
@@ -466,23 +466,23 @@
                 .map(|lease| lease.1 = Instant::now() + lease.0)
                 .is_some()
         };
-        self.leave("keep_alive").await?;
+        self.deliver_answer("keep_alive").await?;
         Ok(kept)
     }
 
     async fn watch(&self, prefix: &str, _from: StoreRevision) -> Result<MemoryWatch, StoreError> {
-        self.enter("watch").await?;
-        self.leave("watch").await?;
+        self.begin_call("watch").await?;
+        self.deliver_answer("watch").await?;
         let watch = MemoryWatch {
             store: self.clone(),
             prefix: prefix.to_owned(),
             after: self.state.borrow().revision,
             ready: VecDeque::from([WatchEvent::Created]),
             complete_as_of: Instant::now(),
-            hurries: false,
+            next_wait_is_short: false,
         };
         if watch.is_silent() {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout("watch"));
         }
         Ok(watch)
@@ -497,7 +497,7 @@
     ready: VecDeque<WatchEvent>,
     complete_as_of: Instant,
     /// Whether the next look is to wait only shortly.
-    hurries: bool,
+    next_wait_is_short: bool,
 }
 
 impl MemoryWatch {
@@ -507,7 +507,7 @@
         !silent.is_empty() && self.prefix.starts_with(silent.as_str())
     }
 
-    fn gather(&mut self) {
+    fn collect_changes(&mut self) {
         let state = self.store.state.borrow();
         let news = state.log.iter().rev();
         let news = news.take_while(|(revision, _)| *revision > self.after);
@@ -535,15 +535,20 @@
             return Some(Err(err));
         }
         let mut changed = self.store.changed.subscribe();
-        let hurries = std::mem::take(&mut self.hurries);
-        let until = Instant::now() + if hurries { HURRIED_TIME } else { WATCH_TIME };
+        let next_wait_is_short = std::mem::take(&mut self.next_wait_is_short);
+        let until = Instant::now()
+            + if next_wait_is_short {
+                SHORT_WATCH_TIME
+            } else {
+                WATCH_TIME
+            };
         loop {
             changed.borrow_and_update();
             if self.store.is_cut() || self.store.is_unheard() || self.is_silent() {
                 tokio::time::sleep_until(until).await;
                 return Some(Err(timeout("watch")));
             }
-            self.gather();
+            self.collect_changes();
             if let Some(event) = self.ready.pop_front() {
                 tokio::time::sleep(CALL_TIME).await;
                 return Some(Ok(event));
@@ -557,7 +562,7 @@
                     return Some(Err(timeout("watch")));
                 }
                 self.store.expire();
-                self.gather();
+                self.collect_changes();
                 return Some(Ok(self.ready.pop_front().unwrap_or(WatchEvent::Unchanged)));
             }
         }
@@ -572,7 +577,7 @@
     }
 
     fn shorten_next_wait(&mut self) {
-        self.hurries = true;
+        self.next_wait_is_short = true;
     }
 
     fn can_resume_after(&self, err: &StoreError) -> bool {
