--- a/crates/hoisthitch-tests/src/world/adviser.rs
+++ b/crates/hoisthitch-tests/src/world/adviser.rs
@@ -1,5 +1,4 @@
-//! An adviser in memory: it says which runners may run a step, and gives
-//! tickets for that.
+//! An adviser in memory: it decides which runners may run a step, and issues tickets for them.
 
 use std::{
     collections::{
@@ -25,41 +24,41 @@
     rules::step_name, //
 };
 
-/// Time after which a caller gives up.
+/// Time after which a caller's request times out.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Calls of a node that may wait for their turn.
+/// Most requests that may be in progress at once; further ones get status 429.
 const WAITING_LIMIT: usize = 32;
 
-/// How the adviser answers.
+/// How the adviser responds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AdviserMood {
-    /// After some time for a call, and some for each runner named.
+    /// After a time for the request and a time for each runner named in it.
     Answers {
-        /// Time of a call.
+        /// Time for the request.
         call: Duration,
         /// Time for each runner named.
         each: Duration,
     },
     /// Never.
     Silent,
-    /// It refuses at once, since too many calls wait.
+    /// It refuses at once with status 429, as with too many waiting requests.
     Crowded,
 }
 
-/// What the adviser has said, and how it answers.
+/// Tickets that the adviser has issued, and how it responds.
 pub(super) struct AdviserState {
     mood: AdviserMood,
     valid: Duration,
-    /// VMs whose runners may run the steps.
+    /// VMs whose runners are allowed to run the steps.
     good: HashSet<String>,
-    /// Tickets that were given: step and runner, and until when each holds.
+    /// Issued tickets by step and runner, each with its expiry.
     tickets: HashMap<(String, String), HashMap<String, Instant>>,
     given: u64,
     calls: u64,
     waiting: usize,
     most_waiting: usize,
-    /// Starts that were refused for want of a ticket.
+    /// Starts that were refused for lack of a valid ticket.
     refused: u64,
 }
 
@@ -83,7 +82,7 @@
 }
 
 impl AdviserState {
-    /// Whether the order's ticket holds for its step at that runner.
+    /// Whether the order's ticket is valid for its step on that runner.
     pub(super) fn check_ticket(&mut self, runner: &str, order: &StartOrder, now: Instant) -> bool {
         let key = (step_name(order), runner.to_owned());
         let tickets = self.tickets.get(&key);
@@ -106,7 +105,7 @@
     }
 }
 
-/// The adviser.
+/// The adviser, as a node calls it.
 #[derive(Clone)]
 pub struct MemoryAdviser {
     fleet: MemoryFleet,
@@ -122,38 +121,38 @@
 }
 
 impl MemoryAdviser {
-    /// Changes how the adviser answers.
+    /// Changes how the adviser responds.
     pub fn set_mood(&self, mood: AdviserMood) {
         self.fleet.state.borrow_mut().rules.adviser.mood = mood;
     }
 
-    /// Changes for how long tickets hold.
+    /// Changes for how long new tickets are valid.
     pub fn set_validity(&self, valid: Duration) {
         self.fleet.state.borrow_mut().rules.adviser.valid = valid;
     }
 
-    /// Sets the VMs whose runners may run the steps.
+    /// Sets the VMs whose runners are allowed to run the steps.
     pub fn set_good(&self, vms: &[&str]) {
         let good = vms.iter().map(|vm| (*vm).to_owned()).collect();
         self.fleet.state.borrow_mut().rules.adviser.good = good;
     }
 
-    /// Has all tickets given so far hold no more.
+    /// Revokes all tickets issued so far.
     pub fn revoke(&self) {
         self.fleet.state.borrow_mut().rules.adviser.tickets.clear();
     }
 
-    /// Calls so far.
+    /// Number of requests so far.
     pub fn calls(&self) -> u64 {
         self.fleet.state.borrow().rules.adviser.calls
     }
 
-    /// Starts that were refused for want of a ticket.
+    /// Number of starts that were refused for lack of a valid ticket.
     pub fn refused(&self) -> u64 {
         self.fleet.state.borrow().rules.adviser.refused
     }
 
-    /// Most calls that waited at once.
+    /// Most requests that were in progress at once.
     pub fn most_waiting(&self) -> usize {
         self.fleet.state.borrow().rules.adviser.most_waiting
     }
--- a/crates/hoisthitch-tests/src/world/crashing.rs
+++ b/crates/hoisthitch-tests/src/world/crashing.rs
@@ -1,7 +1,8 @@
-//! Tasks that crash the runners that start them, and the judge of starts that follow.
+//! Tasks that crash the runners that start them, and the checker that such a task is not started
+//! again and again.
 //!
-//! The process ends and its VM stays: connections are reset, new ones refused, until
-//! another life is begun in its place.
+//! In a crash the runner's process ends and its VM stays: connections are reset and new ones
+//! refused until another instance is started on the VM.
 
 use std::{
     collections::{
@@ -20,26 +21,26 @@
     spawn_outside, //
 };
 
-/// Runners that may crash under a task before its starts are counted.
+/// Runners that may crash under a task before its further starts are counted.
 const CRASHES_BEFORE_LIMIT: u32 = 3;
 
-/// Starts from then on that break the promise.
+/// Number of further starts that is a violation.
 const LATER_STARTS_LIMIT: u32 = 3;
 
-/// Killers, and what came of them.
+/// Tasks that crash their runners, and the crashes and starts so far.
 #[derive(Default)]
 pub(super) struct CrashingTasks {
     /// Time from a start to the crash, by task.
     delays: BTreeMap<String, Duration>,
     /// Runners that crashed under each task.
     crashes: HashMap<String, u32>,
-    /// Starts of each killer after three of them.
+    /// Starts of each crashing task after three crashes.
     later_starts: HashMap<String, u32>,
-    /// Whether starts are not counted, for nodes are never in touch for long.
+    /// Whether starts are not counted, because the test never leaves nodes connected for long.
     uncounted: bool,
-    /// Crashes by killers so far.
+    /// Crashes by such tasks so far.
     count: usize,
-    /// Runners that crashed so and have not come back: name, VM, when.
+    /// Runners that crashed in this way and were not started again.
     down: Vec<CrashedRunner>,
 }
 
@@ -54,7 +55,8 @@
 }
 
 impl CrashingTasks {
-    /// Whether a task of the job crashes its runners: such a job is not missed.
+    /// Whether a task of the job crashes its runners; the limit on unavailable tasks isn't checked
+    /// for such a job.
     pub(super) fn has_job(&self, job: &str) -> bool {
         let mut tasks = self.delays.keys();
         tasks.any(|task| task.split('.').next() == Some(job))
@@ -62,29 +64,31 @@
 }
 
 impl MemoryFleet {
-    /// Has a task crash each runner that starts it, that long after the start.
+    /// Makes a task crash each runner that starts it, `delay` after the start.
     pub fn set_killer(&self, task: &str, delay: Duration) {
         let mut state = self.state.borrow_mut();
         state.crashing.delays.insert(task.to_owned(), delay);
     }
 
-    /// Counts no starts of killers: the bound holds for nodes that are in touch.
+    /// Turns off the check of repeated starts of crashing tasks: the bound holds only while nodes
+    /// are connected.
     pub fn leave_killers_uncounted(&self) {
         self.state.borrow_mut().crashing.uncounted = true;
     }
 
-    /// Runners that tasks have crashed.
+    /// Number of runners that tasks have crashed.
     pub fn kills(&self) -> usize {
         self.state.borrow().crashing.count
     }
 
-    /// Runners that crashed under a task.
+    /// Number of runners that crashed under a task.
     pub fn crashes_under(&self, task: &str) -> u32 {
         let state = self.state.borrow();
         state.crashing.crashes.get(task).copied().unwrap_or(0)
     }
 
-    /// Runners that tasks crashed that long ago and that are down still, to be begun again.
+    /// Removes and returns the runners that tasks crashed at least `down` ago and that were not
+    /// started again, so that the caller can restart them.
     pub fn take_crashed(&self, down: Duration) -> Vec<CrashedRunner> {
         let mut state = self.state.borrow_mut();
         let crashed = std::mem::take(&mut state.crashing.down);
@@ -95,7 +99,7 @@
         back
     }
 
-    /// Has the runner that a killer was just started on crash in a while.
+    /// Schedules the crash of the runner on which a crashing task was just started.
     pub(super) fn schedule_crash(&self, name: &str, order: &StartOrder) {
         let task = order.name.to_string();
         let delay = self.state.borrow().crashing.delays.get(&task).copied();
@@ -139,17 +143,17 @@
         self.end_process(name);
     }
 
-    /// Ends a runner's process: calls are refused until another life is begun in its place.
+    /// Ends a runner's process: calls are refused until another instance is started on its VM.
     pub fn end_process(&self, name: &str) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
-            runner.refuses = true;
+            runner.process_ended = true;
         }
         self.crash(name);
     }
 }
 
 impl FleetState {
-    /// Judges a start of a task that crashes its runners, after it was carried out.
+    /// Checks a start of a crashing task, after it was carried out.
     pub(super) fn check_crashing_start(&mut self, task: &str, late: bool) {
         let crashing = &mut self.crashing;
         let crashes = crashing.crashes.get(task).copied().unwrap_or(0);
@@ -163,9 +167,9 @@
         let starts = crashing.later_starts.entry(task.to_owned()).or_insert(0);
         *starts += 1;
         if *starts >= LATER_STARTS_LIMIT {
-            let broken =
+            let violation =
                 format!("{task} started {starts} times after {crashes} runners crashed under it");
-            self.broken.push(broken);
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/hoisthitch-tests/src/world/events.rs
+++ b/crates/hoisthitch-tests/src/world/events.rs
@@ -1,4 +1,4 @@
-//! Events of a test, on its standard error where `TEST_EVENTS` is set.
+//! Prints the events of a test to standard error if `TEST_EVENTS` is set.
 
 use hoisthitch_telemetry::log::{
     self,
@@ -9,7 +9,7 @@
 };
 use tokio::time::Instant;
 
-/// Prints events with the runtime's time.
+/// Prints each event after the time since the start of the test, by the runtime's clock.
 struct EventPrinter {
     start: Instant,
 }
@@ -29,11 +29,11 @@
     fn flush(&self) {}
 }
 
-/// Shows events from now on, if the environment asks for it.
+/// Prints events from now on, if `TEST_EVENTS` is set.
 pub fn show_events() {
     if std::env::var_os("TEST_EVENTS").is_some() {
         let start = Instant::now();
-        // A test that ran before on this process set one.
+        // Fails if an earlier test in this process has set a logger; that one is used then.
         let _ = log::set_boxed_logger(Box::new(EventPrinter { start }));
         log::set_max_level(LevelFilter::Info);
     }
--- a/crates/hoisthitch-tests/src/world/gangs.rs
+++ b/crates/hoisthitch-tests/src/world/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs on the runners: they work from the moment when all are present.
+//! Gangs on the simulated runners: the members start their work once all of them are present.
 
 use std::{
     collections::BTreeMap,
@@ -25,7 +25,7 @@
 type MemberKey = (String, String);
 
 impl FleetState {
-    /// Has a gang begin its work if all of it are present.
+    /// Starts the work of a gang if all its members are present.
     pub(super) fn start_complete_gang(&mut self, order: &StartOrder, now: Instant) {
         let step = step_name(order);
         let mut members: Vec<&mut GangPart> = self
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Ends members that waited too long, and those that lost another one.
+    /// Ends members that waited too long for the others, and those whose gang lost a member.
     pub(super) fn settle_gangs(&mut self, now: Instant) {
         let mut gangs: BTreeMap<(String, u32), Vec<MemberKey>> = BTreeMap::new();
         for (name, runner) in self.runners.iter().filter(|(_, runner)| runner.alive) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether a gang at work lost a member before its work was done.
+    /// Whether a gang that has started its work lost a member before the work was done.
     fn is_broken(&self, members: &[MemberKey], now: Instant) -> bool {
         members.iter().any(|(runner, task)| {
             let Some(instance) = self.runners.get(runner) else {
@@ -104,21 +104,22 @@
             self.rules.alone.push((task.to_owned(), run.run));
             let job = task.split('.').next().unwrap_or_default();
             if self.rules.is_calm(run.began) && !self.cancelled.contains(job) {
-                let broken = format!("{task} run {} ended alone", run.run);
-                self.broken.push(broken);
+                let violation =
+                    format!("{task} run {} ended as its gang stayed incomplete", run.run);
+                self.violations.push(violation);
             }
         }
     }
 }
 
 impl MemoryFleet {
-    /// Runs that ended since the others of their gang did not come.
+    /// Runs that ended because other members of their gang did not start.
     pub fn alone(&self) -> Vec<(String, u32)> {
         self.settle();
         self.state.borrow().rules.alone.clone()
     }
 
-    /// Runs that ended since another of their gang did.
+    /// Runs that ended because another member of their gang ended.
     pub fn broken_runs(&self) -> Vec<(String, u32)> {
         self.settle();
         self.state.borrow().rules.broken_runs.clone()
--- a/crates/hoisthitch-tests/src/world/instance.rs
+++ b/crates/hoisthitch-tests/src/world/instance.rs
@@ -1,4 +1,5 @@
-//! One life of a runner in memory: what it runs, its lease, its ends.
+//! One instance of a simulated runner: the tasks that it runs, its lease, and the ends that it
+//! reports.
 
 use std::{
     collections::{
@@ -23,14 +24,14 @@
     sharing::TailModel, //
 };
 
-/// Time after which a lasting task is at work.
+/// Time after its start until a long-running task is available.
 pub(super) const STARTUP_TIME: Duration = Duration::from_millis(300);
 
-/// Longest lease.
+/// Longest lease that a runner accepts.
 const LEASE_LIMIT: Duration = Duration::from_secs(10);
 
-/// Start of the runners' clocks.
-const CLOCK_START: u64 = 480_000;
+/// Value of a runner's clock at the start of the instance, in milliseconds.
+const CLOCK_START_MS: u64 = 480_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct Run {
@@ -39,26 +40,26 @@
     pub(super) work: Duration,
     pub(super) fails: bool,
     pub(super) long_running: bool,
-    /// When it has stopped, as it was told to.
+    /// When a stop that was ordered is complete.
     pub(super) stops_at: Option<Instant>,
-    /// The gang that it is of.
+    /// Its gang, if it belongs to one.
     pub(super) gang: Option<GangPart>,
-    /// Target of a serving task, in milliseconds; zero for others.
+    /// Target latency of a serving task, in milliseconds; zero for others.
     pub(super) target_ms: u64,
-    /// Whether it is a filler.
+    /// Whether it is a best-effort task.
     pub(super) best_effort: bool,
-    /// Share at which it works, in percent.
+    /// Throttle: the share of its full speed at which it works, in percent.
     pub(super) pace: u32,
-    /// Whether it was ordered of the life before, and nobody could keep it from starting.
+    /// Whether it was ordered from an earlier instance, and this one could not reject the start.
     pub(super) unguarded: bool,
 }
 
-/// A run's part in a gang.
+/// The gang of a run.
 #[derive(Clone, Debug)]
 pub(super) struct GangPart {
     /// Name of the step: job, round, step.
     pub(super) step: String,
-    /// Members of the gang.
+    /// Number of members.
     pub(super) size: usize,
     /// Since when all members are present.
     pub(super) complete_since: Option<Instant>,
@@ -66,7 +67,7 @@
 
 pub(super) struct Runner {
     pub(super) vm: String,
-    /// When the life began, in milliseconds since 1970; none where runners don't tell.
+    /// Start time of the process, in milliseconds since 1970; none if runners don't report it.
     pub(super) started_at: Option<u64>,
     pub(super) alive: bool,
     pub(super) began: Instant,
@@ -76,34 +77,37 @@
     pub(super) ended: Vec<EndedTask>,
     pub(super) last_end: u64,
     pub(super) acked_end: u64,
-    /// Last end before a lapse of the lease: the platform counts such ends as
-    /// taken note of only if that was before the lapse.
+    /// Last end before the lease expired. The platform counts such ends as acknowledged only if
+    /// the acknowledgement came before the expiry.
     pub(super) expired_end: u64,
-    /// Highest run that was stopped or ended, by task.
+    /// Highest run that was stopped or has ended, by task.
     pub(super) finished_runs: HashMap<String, u32>,
+    /// Nodes that are cut off from the runner in both directions.
     pub(super) cut: HashSet<String>,
     /// When a cut was last made or healed.
     pub(super) cut_changed_at: Instant,
-    /// Since when it is listed as leaving.
+    /// Since when it is listed as draining.
     pub(super) draining_since: Option<Instant>,
-    /// Nodes whose calls arrive and whose answers do not.
+    /// Nodes whose calls arrive but get no response.
     pub(super) unheard: HashSet<String>,
-    /// Whether its process is gone and its VM is not: calls are refused at once.
-    pub(super) refuses: bool,
-    /// Its rooms so far, the one of now last.
-    pub(super) rooms: Vec<TimedCapacity>,
+    /// Whether its process has ended and its VM still runs: calls are refused at once.
+    pub(super) process_ended: bool,
+    /// Its capacities so far, the current one last.
+    pub(super) capacities: Vec<TimedCapacity>,
     /// Whether it refuses each start.
-    pub(super) sick: bool,
-    /// Time that a stop takes.
+    pub(super) refuses_starts: bool,
+    /// Time that stopping a task takes.
     pub(super) stop_time: Duration,
-    /// What its kind is.
+    /// Label that steps may require.
     pub(super) label: String,
-    /// How tasks beside one another fare.
+    /// Latency of serving tasks, as best-effort tasks on the runner affect it.
     pub(super) sharing: TailModel,
 }
 
 impl Run {
-    /// The run that an order begins; its payload tells how it goes.
+    /// The run that an order starts. The order's payload sets how it goes: a number is its work
+    /// in milliseconds, `fail` makes it fail, `lasts` makes it long-running, and with `uneven`
+    /// the work grows with the task's index.
     pub(super) fn begin(order: &StartOrder, now: Instant) -> Self {
         Self {
             run: order.run,
@@ -120,7 +124,7 @@
         }
     }
 
-    /// When it went to work; a member of a gang waits for the others.
+    /// When it started its work; a member of a gang first waits for the others.
     pub(super) fn work_since(&self) -> Option<Instant> {
         let part = self.gang.as_ref();
         part.map_or(Some(self.began), |part| part.complete_since)
@@ -147,7 +151,7 @@
 }
 
 impl Runner {
-    /// A life that begins now.
+    /// An instance that starts now.
     pub(super) fn begin(vm: &str, started_at: Option<u64>) -> Self {
         Self {
             vm: vm.to_owned(),
@@ -166,9 +170,9 @@
             cut_changed_at: Instant::now(),
             draining_since: None,
             unheard: HashSet::new(),
-            refuses: false,
-            rooms: vec![TimedCapacity::usual()],
-            sick: false,
+            process_ended: false,
+            capacities: vec![TimedCapacity::usual()],
+            refuses_starts: false,
             stop_time: Duration::ZERO,
             label: String::new(),
             sharing: TailModel::default(),
@@ -176,7 +180,7 @@
     }
 
     pub(super) fn instant_at(&self, clock_ms: u64) -> Instant {
-        let since = clock_ms.saturating_sub(CLOCK_START);
+        let since = clock_ms.saturating_sub(CLOCK_START_MS);
         self.began + Duration::from_millis(since)
     }
 
@@ -201,7 +205,8 @@
         });
     }
 
-    /// Ends what is over by now; answers with the tasks that are done.
+    /// Ends the runs that are complete, stopped, or without a lease by now; returns the tasks
+    /// that are done.
     pub(super) fn settle(&mut self, now: Instant) -> Vec<String> {
         let mut done = Vec::new();
         let lapse = self.lease;
@@ -251,7 +256,7 @@
             },
         });
         HeartbeatReport {
-            clock_ms: CLOCK_START + now.duration_since(self.began).as_millis() as u64,
+            clock_ms: CLOCK_START_MS + now.duration_since(self.began).as_millis() as u64,
             started_at: self.started_at,
             running: running.collect(),
             ended: self.ended.clone(),
@@ -259,13 +264,13 @@
     }
 }
 
-/// The work of a task: the number in its payload.
+/// Work of a task in milliseconds: the number in its payload, or 300.
 fn work_ms(payload: &str) -> u64 {
     let digits: String = payload.chars().filter(char::is_ascii_digit).collect();
     digits.parse().unwrap_or(300)
 }
 
-/// How often an uneven task does the work of the first of its step.
+/// Factor on the work of a task, larger for each further task of an uneven step.
 fn work_share(order: &StartOrder) -> u32 {
     if order.payload.contains("uneven") {
         order.name.index + 1
--- a/crates/hoisthitch-tests/src/world/leaving.rs
+++ b/crates/hoisthitch-tests/src/world/leaving.rs
@@ -1,4 +1,5 @@
-//! Runners that say that they leave, and the judge of starts that come too late.
+//! Runners that have announced their own shutdown, and the checker that nothing is started on
+//! them too late.
 
 use std::time::Duration;
 
@@ -10,19 +11,19 @@
     runners::FleetState, //
 };
 
-/// Time from the acknowledgement that a runner leaves until nothing is started on it any more;
-/// the platform's shortest bound.
+/// Time after the acknowledged announcement of a shutdown in which tasks may still be started on
+/// the runner; the platform's shortest bound.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
 impl MemoryFleet {
-    /// Notes that a runner's life is listed as leaving from now on.
+    /// Records that a runner instance is listed as draining from now on.
     pub fn note_leaving(&self, name: &str) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.draining_since.get_or_insert(Instant::now());
         }
     }
 
-    /// Whether a runner's life is listed as leaving.
+    /// Whether a runner instance is listed as draining.
     pub fn is_leaving(&self, name: &str) -> bool {
         let state = self.state.borrow();
         let runner = state.runners.get(name);
@@ -31,8 +32,8 @@
 }
 
 impl FleetState {
-    /// Judges a start that was carried out at once, on a runner that may have said that it
-    /// leaves. Where something held orders up, it may have been sent in time.
+    /// Checks a start that was carried out without delay, on a runner that may be draining.
+    /// Where a fault may have delayed orders, the start may have been sent in time and is allowed.
     pub(super) fn check_draining(&mut self, name: &str, task: &str, now: Instant) {
         let Some(runner) = self.runners.get(name) else {
             return;
@@ -45,8 +46,9 @@
         let held_up = !runner.cut.is_empty() || was_cut || !self.rules.is_calm(now);
         if since + DRAIN_TIME < now && !held_up {
             let late = now.duration_since(since).as_millis();
-            let broken = format!("{task} began on {name} {late} ms after that said that it leaves");
-            self.broken.push(broken);
+            let violation =
+                format!("{task} began on {name} {late} ms after {name} announced its shutdown");
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -1,7 +1,9 @@
-//! A store, runners and VMs in memory, for tests of the job service.
+//! The simulated cluster: a store, runners and VMs in memory, for tests of the job service.
 //!
-//! They keep to what the service's traits promise, fail as told, and a judge
-//! looks at what runners are told.
+//! They implement the traits that the service calls, keep the contracts of those traits, and
+//! inject the faults that a test sets. Checkers look at each order that a runner or VM gets and
+//! record violations; a test fails if there are any. All times are those of the test's runtime,
+//! whose clock may be simulated.
 
 mod adviser;
 mod crashing;
@@ -40,27 +42,27 @@
 /// The pool of the tests.
 pub const POOL: &str = "halls";
 
-/// Time between two looks for tasks that belong to nobody.
+/// Time between two checks for new tasks that belong to no node.
 const OUTSIDE_TICK: Duration = Duration::from_millis(5);
 
 type OutsideTask = Pin<Box<dyn Future<Output = ()>>>;
 
 thread_local! {
-    /// What goes on whatever becomes of a node.
+    /// Tasks that continue when a node stops, such as orders and writes that are under way.
     static OUTSIDE: RefCell<Vec<OutsideTask>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Runs a task that belongs to no node.
+/// Queues a task that belongs to no node; [`run_outside`] runs it.
 fn spawn_outside(task: impl Future<Output = ()> + 'static) {
     OUTSIDE.with(|tasks| tasks.borrow_mut().push(Box::pin(task)));
 }
 
-/// Forgets tasks of an earlier test on this thread.
+/// Discards tasks that an earlier test on this thread left.
 pub fn forget_outside() {
     OUTSIDE.with(|tasks| tasks.borrow_mut().clear());
 }
 
-/// Carries out tasks that belong to no node, for ever.
+/// Runs the tasks that belong to no node; never returns.
 pub async fn run_outside() {
     loop {
         let tasks: Vec<_> = OUTSIDE.with(|tasks| tasks.borrow_mut().drain(..).collect());
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -1,4 +1,5 @@
-//! What jobs ask for, and the judge of starts that go against it.
+//! Specifications of the submitted jobs, and the checkers of starts that violate them: time,
+//! order of steps, label, tasks per runner, gangs.
 
 use std::{
     collections::{
@@ -28,16 +29,16 @@
     sharing::PaceFate, //
 };
 
-/// Time of day when a fleet begins, in milliseconds since 1970; any will do.
+/// Time of day at which a simulated fleet starts, in milliseconds since 1970; an arbitrary value.
 const FIRST_DAY_MS: u64 = 1_800_000_000_000;
 
-/// Time by which a task may start before it is due, in milliseconds.
+/// Time by which a task may start before its scheduled time, in milliseconds.
 const EARLY_MS: u64 = 250;
 
-/// Time within which nothing of a cancelled job starts any more.
+/// Time after a cancel after which no task of the job may start.
 const CANCEL_TIME: Duration = Duration::from_secs(3);
 
-/// Time after a disturbance in which rules with a time bound do not hold.
+/// Time after a fault in which rules with a time bound aren't checked.
 pub(super) const CONTACT_TIME: Duration = Duration::from_secs(3);
 
 /// A start that a runner carried out.
@@ -47,31 +48,31 @@
     pub task: String,
     /// Number of the run.
     pub run: u32,
-    /// Life of the runner.
+    /// Instance of the runner.
     pub runner: String,
     /// Time of day, in milliseconds since 1970.
     pub at_ms: u64,
 }
 
-/// What jobs ask for.
+/// Specifications of the submitted jobs, and the state of the checkers.
 pub(super) struct RuleBook {
     first: Instant,
     jobs: HashMap<String, JobSpec>,
-    /// Jobs of queues that have an adviser.
+    /// Jobs of queues with an adviser.
     advised: HashSet<String>,
     cancelled: HashMap<String, Instant>,
     disturbed: Option<Instant>,
-    /// Nodes that get no answer about VMs.
+    /// Nodes whose calls about VMs get no response.
     unheard: HashSet<String>,
     starts: Vec<StartNote>,
-    /// Whether the order at hand was under way for long.
+    /// Whether the order that is being carried out was delayed.
     late: bool,
     pub(super) adviser: AdviserState,
     pub(super) pace_fates: Vec<PaceFate>,
     pub(super) longest_harm: Duration,
-    /// Runs that ended since the others of their gang did not come.
+    /// Runs that ended because other members of their gang did not start.
     pub(super) alone: Vec<(String, u32)>,
-    /// Runs that ended since another of their gang did.
+    /// Runs that ended because another member of their gang ended.
     pub(super) broken_runs: Vec<(String, u32)>,
 }
 
@@ -105,8 +106,8 @@
         self.cancelled.entry(job.to_owned()).or_insert(now);
     }
 
-    /// Tells whether the order at hand was under way for long; bounds on time do
-    /// not hold for it.
+    /// Sets whether the order that is being carried out was delayed; bounds on time aren't
+    /// checked for it then.
     pub(super) fn set_late(&mut self, late: bool) {
         self.late = late;
     }
@@ -115,13 +116,13 @@
         self.unheard.contains(node)
     }
 
-    /// Whether nothing has disturbed the nodes since some time before `since`.
+    /// Whether the last fault was more than [`CONTACT_TIME`] before `since`.
     pub(super) fn is_calm(&self, since: Instant) -> bool {
         let disturbed = self.disturbed;
         disturbed.is_none_or(|disturbed| disturbed + CONTACT_TIME < since)
     }
 
-    /// Since when rules with a time bound hold, if that is later than `since`.
+    /// The time from which rules with a time bound are checked; `since` at the earliest.
     pub(super) fn calm_since(&self, since: Instant) -> Instant {
         let calm = self.disturbed.map(|disturbed| disturbed + CONTACT_TIME);
         calm.map_or(since, |calm| calm.max(since))
@@ -139,13 +140,13 @@
         self.late
     }
 
-    /// Whether the order brings leave for that runner, or needs none.
+    /// Whether the order carries a valid ticket for that runner, or needs none.
     pub(super) fn has_ticket(&mut self, runner: &str, order: &StartOrder, now: Instant) -> bool {
         let advised = self.advised.contains(&order.name.job);
         !advised || self.adviser.check_ticket(runner, order, now)
     }
 
-    /// A run with what its step asks for.
+    /// Sets what the run takes from its step: target latency, best effort, gang.
     pub(super) fn apply_step(&self, mut run: Run, order: &StartOrder) -> Run {
         let Some(step) = self.step(order) else {
             return run;
@@ -160,7 +161,7 @@
         run
     }
 
-    /// What is wrong with the time of a start.
+    /// Returns a violation if the task starts too early, or too late after a cancel.
     fn check_time(&self, order: &StartOrder, now: Instant) -> Option<String> {
         let name = &order.name;
         if let Some(cancelled) = self.cancelled.get(&name.job)
@@ -177,7 +178,7 @@
 }
 
 impl FleetState {
-    /// Judges a start that was just carried out by what its job asks for.
+    /// Records a start that was just carried out, and checks it against its job's specification.
     pub(super) fn check_start(&mut self, runner: &str, order: &StartOrder, now: Instant) {
         let note = StartNote {
             task: order.name.to_string(),
@@ -186,16 +187,16 @@
             at_ms: self.rules.unix_ms(),
         };
         self.rules.starts.push(note);
-        let found = [
+        let violations = [
             self.rules.check_time(order, now),
             self.check_order(order),
             self.check_placement(runner, order),
             self.check_gang(order),
         ];
-        self.broken.extend(found.into_iter().flatten());
+        self.violations.extend(violations.into_iter().flatten());
     }
 
-    /// Whether a step before the task's is not done.
+    /// Returns a violation if a task that this one depends on is not done.
     fn check_order(&self, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         let job = self.rules.jobs.get(&name.job)?;
@@ -208,7 +209,7 @@
         Some(format!("{name} began before {open} was done"))
     }
 
-    /// Whether the runner has another label, or too many tasks of the step.
+    /// Returns a violation if the runner has another label, or too many tasks of the step.
     fn check_placement(&self, runner: &str, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         let step = self.rules.step(order)?;
@@ -230,7 +231,7 @@
             .then(|| format!("{name} began as number {count} of its step on {runner}"))
     }
 
-    /// Whether other members of the gang are of another run, or done.
+    /// Returns a violation if other members of the gang are in another run, or done.
     fn check_gang(&self, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         self.rules.step(order).filter(|step| step.gang)?;
@@ -255,7 +256,7 @@
         self.state.borrow().rules.unix_ms()
     }
 
-    /// Notes what a job asks for.
+    /// Records the specification of a job, and whether its queue has an adviser.
     pub fn note_job(&self, id: &str, spec: &JobSpec, advised: bool) {
         let mut state = self.state.borrow_mut();
         state.rules.jobs.insert(id.to_owned(), spec.clone());
@@ -264,12 +265,12 @@
         }
     }
 
-    /// Notes that something disturbs nodes or runners now.
+    /// Records that a fault affects nodes or runners now.
     pub fn disturb(&self) {
         self.state.borrow_mut().rules.disturbed = Some(Instant::now());
     }
 
-    /// Begins a life of a VM's runner of a kind; answers with its name.
+    /// Starts a runner instance with a label on a VM; returns its name.
     pub fn begin_kind(&self, vm: &str, label: &str) -> String {
         let name = self.begin(vm);
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(&name) {
@@ -278,22 +279,22 @@
         name
     }
 
-    /// Has a runner refuse each start, or not.
+    /// Sets whether a runner refuses each start.
     pub fn set_sick(&self, name: &str, sick: bool) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
-            runner.sick = sick;
+            runner.refuses_starts = sick;
         }
     }
 
-    /// Has stops take that long on all runners.
+    /// Sets how long a stop takes on all runners.
     pub fn set_stop_time(&self, time: Duration) {
         for runner in self.state.borrow_mut().runners.values_mut() {
             runner.stop_time = time;
         }
     }
 
-    /// Has calls of nodes to runners and about VMs be carried out without an
-    /// answer.
+    /// Drops the responses to calls of these nodes to runners and about VMs; the calls are
+    /// carried out.
     pub fn unhear(&self, nodes: &[String]) {
         let nodes: HashSet<String> = nodes.iter().cloned().collect();
         let mut state = self.state.borrow_mut();
@@ -303,18 +304,18 @@
         state.rules.unheard = nodes;
     }
 
-    /// Starts so far, in order.
+    /// Starts that were carried out so far, in order.
     pub fn start_notes(&self) -> Vec<StartNote> {
         self.state.borrow().rules.starts.clone()
     }
 
-    /// Whether a task ended done.
+    /// Whether a task has ended as done.
     pub fn is_done(&self, task: &str) -> bool {
         self.settle();
         self.state.borrow().done.contains(task)
     }
 
-    /// Living runners that run something of a job.
+    /// Live runners that run a task of a job.
     pub fn runners_of(&self, job: &str) -> Vec<String> {
         let runs = |runner: &&Runner| {
             let mut tasks = runner.running.keys();
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -1,4 +1,8 @@
-//! Runners and VMs in memory, and a judge that looks at what they are told.
+//! Simulated runners and VMs, and the checkers of the orders that they get.
+//!
+//! A runner carries out orders by the rules of the platform: fencing tokens, leases, run numbers.
+//! The checkers record a violation when a task runs twice at once, starts again after its end was
+//! acknowledged, starts too long after its job's cancel, and the like.
 
 mod control;
 mod instances;
@@ -37,82 +41,84 @@
 };
 use super::rules::RuleBook;
 
-/// Time of a call, one way.
+/// Travel time of a request or of a response.
 const ONE_WAY_TIME: Duration = Duration::from_millis(1);
 
-/// Time by which an order is late, where a test says no other.
+/// Delay of late orders, unless a test sets another.
 const LATE_BY: Duration = Duration::from_secs(2);
 
-/// Time after which a caller gives up.
+/// Time after which a caller's request times out.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time after the answer to a cancel from which on no task of the job may be
-/// started: the platform's limit.
+/// Time after the response to a cancel after which no task of the job may be started: the
+/// platform's limit.
 const CANCEL_LIMIT: Duration = Duration::from_secs(2);
 
-/// What the fleet was told, and what broke a promise.
+/// The runners and VMs, the faults that are set, what the checkers keep, and the violations.
 #[derive(Default)]
 pub(super) struct FleetState {
     pub(super) runners: BTreeMap<String, Runner>,
-    /// Down for upkeep: VM, until when.
+    /// VMs that are down for maintenance, and until when.
     in_maintenance: HashMap<String, Instant>,
     instances: u64,
-    /// Whether runners don't tell when they began.
+    /// Whether runners don't report their start times.
     start_times_hidden: bool,
-    /// How far the time of day is behind by which they tell, in milliseconds.
+    /// How far the clock behind reported start times is set back, in milliseconds.
     start_times_behind_ms: u64,
-    /// Whether an acknowledgement holds for ends that come after it.
+    /// Whether an acknowledgement also covers ends that come after it.
     acks_cover_later_ends: bool,
-    /// Lives that began.
+    /// Instances started so far; makes their start times unique.
     started_instances: u64,
-    /// When those were.
+    /// When the end `done` of a task was first acknowledged.
     acked_at: HashMap<String, Instant>,
-    /// Tasks that were run by a start that nobody could keep from a new life.
+    /// Tasks with a start that was ordered from an earlier instance and that the new one could
+    /// not reject.
     unguarded_tasks: HashSet<String>,
-    /// When the order at hand was sent, where it was under way for long.
+    /// When the order that is being carried out was sent, if it was delayed.
     sent: Option<Instant>,
-    /// Whether the start at hand was ordered of a life before, and nobody could keep the
-    /// one that is there from it.
+    /// Whether the start that is being carried out was ordered from an earlier instance, and
+    /// the present one can't reject it.
     unguarded: bool,
     /// Tasks whose end `done` was acknowledged.
     pub(super) acked_done: HashSet<String>,
     /// Tasks that ended `done`.
     pub(super) done: HashSet<String>,
-    /// Failed ends that were acknowledged, by task.
+    /// Number of acknowledged failures, by task.
     failed: HashMap<String, u32>,
     starts: HashMap<String, u32>,
-    pub(super) broken: Vec<String>,
-    /// Each order of this many is not answered and carried out later.
+    pub(super) violations: Vec<String>,
+    /// Each order of this many is carried out late and gets no response; zero for none.
     late_every: u64,
-    /// How much later at least.
+    /// Least delay of late orders.
     late_by: Duration,
     orders: u64,
-    /// Each start of this many is refused for want of room.
+    /// Each start of this many is refused for lack of capacity; zero for none.
     refuse_every: u64,
-    asked: u64,
+    /// Starts so far, for that count.
+    start_calls: u64,
     maintenance_starts: Vec<(String, u64, Instant)>,
     down_most: usize,
-    /// Last order about each VM: its holder, and when it came.
+    /// Last order about each VM: the node that sent it, and when it arrived.
     vm_orders: HashMap<String, (String, Instant)>,
-    /// Orders for upkeep that came, by VM.
+    /// Maintenance orders that arrived, by VM.
     maintenance_orders: HashMap<String, usize>,
-    /// Orders about VMs are lost.
+    /// Whether orders about VMs are lost.
     vms_lost: bool,
-    /// Orders about VMs are carried out, and their answers are lost.
+    /// Whether orders about VMs are carried out and their responses are lost.
     vm_answers_lost: bool,
-    /// Time that an order about a VM is under way.
+    /// Delay of orders about VMs.
     vm_order_delay: Duration,
-    /// Jobs whose tasks may be stopped as their caller wants.
+    /// Jobs that their caller cancelled, so that their tasks may be stopped.
     pub(super) cancelled: HashSet<String>,
     /// Tasks that crash their runners.
     pub(super) crashing: CrashingTasks,
-    /// What jobs ask for, and the judge of that.
+    /// Specifications of jobs, and their checkers.
     pub(super) rules: RuleBook,
-    /// When their cancels were answered.
+    /// When the cancel of a job got its response.
     cancel_answers: HashMap<String, Instant>,
 }
 
-/// The fleet.
+/// The simulated runners and VMs, as a node calls them.
 #[derive(Clone)]
 pub struct MemoryFleet {
     pub(super) state: Rc<RefCell<FleetState>>,
@@ -142,7 +148,7 @@
         }
     }
 
-    /// Begins a life of a VM's runner; answers with its name.
+    /// Starts a runner instance on a VM; returns its name.
     pub fn begin(&self, vm: &str) -> String {
         let mut state = self.state.borrow_mut();
         state.instances += 1;
@@ -154,7 +160,7 @@
         name
     }
 
-    /// Ends a life at once.
+    /// Ends a runner instance at once, with all its tasks.
     pub fn crash(&self, name: &str) {
         self.settle();
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
@@ -163,7 +169,7 @@
         }
     }
 
-    /// Cuts a runner off from nodes, or heals the cut.
+    /// Cuts a runner off from these nodes; without nodes, heals the cut.
     pub fn cut(&self, name: &str, nodes: &[String]) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.cut = nodes.iter().cloned().collect();
@@ -171,44 +177,44 @@
         }
     }
 
-    /// Each order of this many is carried out late.
+    /// Carries out each order of this many late; zero for none.
     pub fn set_late(&self, every: u64) {
         self.state.borrow_mut().late_every = every;
     }
 
-    /// Orders that are carried out late are so by this much at least.
+    /// Sets the least delay of late orders.
     pub fn set_late_by(&self, time: Duration) {
         self.state.borrow_mut().late_by = time;
     }
 
-    /// Each start of this many is refused for want of room.
+    /// Refuses each start of this many for lack of capacity; zero for none.
     pub fn set_refusing(&self, every: u64) {
         self.state.borrow_mut().refuse_every = every;
     }
 
-    /// Has orders about VMs be lost, or not.
+    /// Sets whether orders about VMs are lost.
     pub fn lose_vm_orders(&self, lost: bool) {
         self.state.borrow_mut().vms_lost = lost;
     }
 
-    /// Has orders about VMs be carried out without an answer, or not.
+    /// Sets whether orders about VMs are carried out without a response.
     pub fn lose_vm_answers(&self, lost: bool) {
         self.state.borrow_mut().vm_answers_lost = lost;
     }
 
-    /// Has orders about VMs take that long to arrive.
+    /// Sets the delay of orders about VMs.
     pub fn slow_vm_orders(&self, way: Duration) {
         self.state.borrow_mut().vm_order_delay = way;
     }
 
-    /// The caller cancels a job: its tasks may be stopped from now on.
+    /// Records that the caller cancels a job: its tasks may be stopped from now on.
     pub fn note_cancel(&self, job: &str) {
         let mut state = self.state.borrow_mut();
         state.cancelled.insert(job.to_owned());
         state.rules.note_cancel(job);
     }
 
-    /// Living runners.
+    /// Live runners, each with its VM.
     pub fn living(&self) -> Vec<(String, String)> {
         let state = self.state.borrow();
         let living = state.runners.iter().filter(|(_, runner)| runner.alive);
@@ -217,7 +223,7 @@
             .collect()
     }
 
-    /// Living runners that run something.
+    /// Live runners that run a task.
     pub fn busy(&self) -> Vec<String> {
         let state = self.state.borrow();
         let busy = state.runners.iter();
@@ -225,7 +231,8 @@
         busy.map(|(name, _)| name.clone()).collect()
     }
 
-    /// VMs whose upkeep is over, to be given a new life.
+    /// Removes and returns the VMs whose maintenance is over, so that the caller can start a
+    /// runner on each.
     pub fn take_back(&self) -> Vec<String> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -241,22 +248,22 @@
         back
     }
 
-    /// Promises that were broken.
+    /// Violations that the checkers found; empty if every invariant held.
     pub fn broken(&self) -> Vec<String> {
-        self.state.borrow().broken.clone()
+        self.state.borrow().violations.clone()
     }
 
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub fn done(&self) -> usize {
         self.state.borrow().done.len()
     }
 
-    /// Starts of a task.
+    /// Number of starts of a task.
     pub fn starts(&self, task: &str) -> u32 {
         self.state.borrow().starts.get(task).copied().unwrap_or(0)
     }
 
-    /// Tasks that run, by living runner.
+    /// Running tasks of each live runner.
     pub fn tasks(&self) -> Vec<(String, Vec<String>)> {
         self.settle();
         let state = self.state.borrow();
@@ -275,7 +282,7 @@
             .collect()
     }
 
-    /// Tasks that run on living runners.
+    /// Tasks that run on live runners.
     pub fn running(&self) -> Vec<String> {
         self.settle();
         let state = self.state.borrow();
@@ -285,14 +292,15 @@
             .collect()
     }
 
-    /// VMs that went down for upkeep, with the most at once.
+    /// Number of VMs that went down for maintenance, and the most at once.
     pub fn upkeeps(&self) -> (usize, usize) {
         let state = self.state.borrow();
         let vms: HashSet<&String> = state.maintenance_starts.iter().map(|row| &row.0).collect();
         (vms.len(), state.down_most)
     }
 
-    /// Lets time pass on all runners.
+    /// Brings all runners up to the present time: ends runs that are over, and runs the checkers
+    /// that depend on time.
     pub(super) fn settle(&self) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -318,7 +326,7 @@
             return StartOutcome::Fenced;
         }
         runner.fence = lease.epoch;
-        if runner.sick {
+        if runner.refuses_starts {
             return StartOutcome::Refused;
         }
         if runner.instant_at(lease.lease_end_ms) <= now {
@@ -352,12 +360,13 @@
             runner.alive && run.is_some_and(|run| !run.unguarded)
         };
         if state.runners.values().filter(guarded).count() > 1 {
-            state.broken.push(format!("{task} runs twice at once"));
+            state.violations.push(format!("{task} runs twice at once"));
         }
         if state.unguarded {
             state.unguarded_tasks.insert(task.clone());
         }
-        // One that was sent before such a run ended could not be withdrawn any more.
+        // A start that was sent before the end of such an unguarded run was acknowledged could
+        // not be withdrawn any more.
         let acked_at = state.acked_at.get(&task).copied();
         let sent_before = state
             .sent
@@ -365,17 +374,19 @@
         let excused = state.unguarded || (sent_before && state.unguarded_tasks.contains(&task));
         if acked_at.is_some() && !excused {
             let run = order.run;
-            state
-                .broken
-                .push(format!("{task} run {run} began after its end was noted"));
+            state.violations.push(format!(
+                "{task} run {run} began after its end was acknowledged"
+            ));
         }
         if state.failed.get(&task).copied().unwrap_or(0) >= 3 {
-            state.broken.push(format!("{task} began beyond its budget"));
+            state
+                .violations
+                .push(format!("{task} began after its last allowed failure"));
         }
         let late = state.rules.is_late();
         state.check_crashing_start(&task, late);
         if !late {
-            state.check_room(name, &task, now);
+            state.check_capacity(name, &task, now);
             state.check_draining(name, &task, now);
         }
         *state.starts.entry(task).or_insert(0) += 1;
@@ -396,7 +407,7 @@
         runner.fence = epoch;
         let task = order.name.to_string();
         let unguarded = runner.running.get(&task).is_some_and(|run| run.unguarded);
-        // What runs on a runner that leaves may be ended at any time.
+        // Tasks on a draining runner may be ended at any time.
         if !unguarded && runner.draining_since.is_none() {
             state.check_end(&task);
         }
@@ -460,12 +471,12 @@
     }
 
     /// Whether the call reaches the runner.
-    fn reaches(&self, name: &str) -> bool {
+    fn request_arrives(&self, name: &str) -> bool {
         let state = self.state.borrow();
         let Some(runner) = state.runners.get(name) else {
             return false;
         };
-        // Where no later life listens, a dead one leaves silence.
+        // If no later instance runs on the VM, calls to an ended one get no response.
         let listens = state
             .runners
             .values()
@@ -473,11 +484,15 @@
         listens && !runner.cut.contains(&self.node)
     }
 
-    /// Whether the runner's VM refuses calls: its process is gone, and nothing is in its
-    /// place.
+    /// Whether the runner's VM refuses calls: the process has ended, and no other instance runs
+    /// on the VM.
     fn refuses(&self, name: &str) -> bool {
         let state = self.state.borrow();
-        let Some(runner) = state.runners.get(name).filter(|runner| runner.refuses) else {
+        let Some(runner) = state
+            .runners
+            .get(name)
+            .filter(|runner| runner.process_ended)
+        else {
             return false;
         };
         let mut others = state.runners.values();
@@ -485,11 +500,12 @@
         !replaced && !runner.cut.contains(&self.node)
     }
 
-    /// Whether answers of the runner reach the node.
-    fn answers(&self, name: &str) -> bool {
+    /// Whether responses of the runner reach the node.
+    fn response_arrives(&self, name: &str) -> bool {
         let state = self.state.borrow();
         let runner = state.runners.get(name);
-        self.reaches(name) && runner.is_some_and(|runner| !runner.unheard.contains(&self.node))
+        self.request_arrives(name)
+            && runner.is_some_and(|runner| !runner.unheard.contains(&self.node))
     }
 
     fn is_late(&self) -> bool {
@@ -500,30 +516,31 @@
 
     fn is_refused(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        state.asked += 1;
-        state.refuse_every > 0 && state.asked.is_multiple_of(state.refuse_every)
+        state.start_calls += 1;
+        state.refuse_every > 0 && state.start_calls.is_multiple_of(state.refuse_every)
     }
 
-    /// The cancel of a job was answered: its tasks may not be started for long.
+    /// Records that the cancel of a job got its response: its tasks may be started only for
+    /// [`CANCEL_LIMIT`] from now on.
     pub fn note_cancel_answer(&self, job: &str) {
         let mut state = self.state.borrow_mut();
         state.cancel_answers.insert(job.to_owned(), Instant::now());
     }
 
-    /// Notes a start long after its job's cancel was answered. One that was sent
-    /// in time and carried out late doesn't come here.
+    /// Records a violation if a start comes too long after the response to its job's cancel.
+    /// Not called for a start that was sent in time and carried out late.
     fn check_cancel(&self, order: &StartOrder) {
         let task = order.name.to_string();
         let mut state = self.state.borrow_mut();
         let job = task.split('.').next().unwrap_or_default();
         let answered = state.cancel_answers.get(job);
         if answered.is_some_and(|at| *at + CANCEL_LIMIT < Instant::now()) {
-            let broken = format!("{task} began long after its cancel");
-            state.broken.push(broken);
+            let violation = format!("{task} began long after its cancel");
+            state.violations.push(violation);
         }
     }
 
-    /// Whether an end waits to be told.
+    /// Whether the runner has an end to report that is later than the recorded one.
     fn has_end(&self, name: &str, recorded: u64) -> bool {
         self.settle();
         let state = self.state.borrow();
@@ -535,13 +552,14 @@
 }
 
 impl FleetState {
-    /// Looks whether ending a lasting task at work leaves more than one away.
+    /// Records a violation if an available long-running task is ended while others of its job
+    /// are unavailable.
     fn check_end(&mut self, task: &str) {
         let now = Instant::now();
         let Some((job, _)) = task.split_once('.') else {
             return;
         };
-        // A run that nobody could keep from starting is not the task's.
+        // An unguarded run doesn't count as the task's.
         let at_work = |name: &str| {
             self.runners.values().any(|runner| {
                 let run = runner.running.get(name);
@@ -559,8 +577,8 @@
             .filter(|name| !at_work(name))
             .collect();
         if !away.is_empty() {
-            let broken = format!("{task} is ended while {away:?} are away");
-            self.broken.push(broken);
+            let violation = format!("{task} is ended while {away:?} are unavailable");
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/hoisthitch-tests/src/world/runners/control.rs
+++ b/crates/hoisthitch-tests/src/world/runners/control.rs
@@ -1,4 +1,5 @@
-//! Calls to runners in memory: their ways, cuts, and orders that are carried out late.
+//! Calls of nodes to simulated runners: travel times, cuts, lost responses, and orders that are
+//! carried out late.
 
 use std::time::Duration;
 
@@ -39,7 +40,7 @@
         if self.refuses(&runner.instance.name) {
             return StartOutcome::NotSent;
         }
-        let cut = !self.reaches(&runner.instance.name);
+        let cut = !self.request_arrives(&runner.instance.name);
         if cut || self.is_late() {
             let (fleet, name, order) = (self.clone(), runner.instance.name.clone(), order.clone());
             let late_by = self.state.borrow().late_by;
@@ -70,7 +71,7 @@
             self.check_cancel(order);
         }
         tokio::time::sleep(ONE_WAY_TIME).await;
-        if !self.answers(&runner.instance.name) {
+        if !self.response_arrives(&runner.instance.name) {
             tokio::time::sleep(CALL_TIMEOUT).await;
             return StartOutcome::Unclear;
         }
@@ -87,13 +88,13 @@
         if self.refuses(&runner.instance.name) {
             return Err(RunnerError::NotListening);
         }
-        if !self.reaches(&runner.instance.name) || self.is_late() {
+        if !self.request_arrives(&runner.instance.name) || self.is_late() {
             tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("lost".to_owned()));
         }
         let stopped = MemoryFleet::stop(self, &runner.instance.name, order, epoch);
         tokio::time::sleep(ONE_WAY_TIME).await;
-        if !self.answers(&runner.instance.name) {
+        if !self.response_arrives(&runner.instance.name) {
             tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("unheard".to_owned()));
         }
@@ -109,17 +110,17 @@
         if self.refuses(&runner.instance.name) {
             return Err(RunnerError::NotListening);
         }
-        if !self.reaches(&runner.instance.name) {
+        if !self.request_arrives(&runner.instance.name) {
             tokio::time::sleep(request.wait + CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("cut".to_owned()));
         }
-        // The fence and the lease count from the arrival.
+        // The fencing token and the lease take effect when the request arrives.
         let instance = self.instance_began(&runner.instance.name);
         MemoryFleet::heartbeat(self, &runner.instance.name, request)?;
         let until = Instant::now() + request.wait;
         while Instant::now() < until && !self.has_end(&runner.instance.name, request.acked_end) {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            // The connection was with the process that is gone.
+            // The process at the other end of the connection has ended.
             if self.instance_began(&runner.instance.name) != instance
                 || self.refuses(&runner.instance.name)
             {
@@ -137,7 +138,7 @@
             },
         );
         tokio::time::sleep(ONE_WAY_TIME).await;
-        if !self.answers(&runner.instance.name) {
+        if !self.response_arrives(&runner.instance.name) {
             tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("cut".to_owned()));
         }
@@ -152,7 +153,7 @@
     ) -> Result<(), RunnerError> {
         tokio::time::sleep(ONE_WAY_TIME).await;
         let fate = self.next_pace_fate();
-        if !self.reaches(&runner.instance.name) || fate == PaceFate::Lost {
+        if !self.request_arrives(&runner.instance.name) || fate == PaceFate::Lost {
             tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("lost".to_owned()));
         }
@@ -160,7 +161,7 @@
             let (fleet, name, order) = (self.clone(), runner.instance.name.clone(), order.clone());
             spawn_outside(async move {
                 tokio::time::sleep(late).await;
-                // Nobody waits for the answer any more.
+                // The caller has timed out, so that nothing waits for the result.
                 let _ = fleet.set_pace(&name, &order, epoch);
             });
             tokio::time::sleep(CALL_TIMEOUT).await;
@@ -168,7 +169,7 @@
         }
         let paced = self.set_pace(&runner.instance.name, order, epoch);
         tokio::time::sleep(ONE_WAY_TIME).await;
-        if !self.answers(&runner.instance.name) {
+        if !self.response_arrives(&runner.instance.name) {
             tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(RunnerError::NoAnswer("unheard".to_owned()));
         }
--- a/crates/hoisthitch-tests/src/world/runners/instances.rs
+++ b/crates/hoisthitch-tests/src/world/runners/instances.rs
@@ -1,4 +1,5 @@
-//! Lives of runners that keep their names, and which late starts nobody could keep them from.
+//! Restarts of runners that keep their names, and the late starts that a new instance can't yet
+//! reject.
 
 use std::time::Duration;
 
@@ -10,14 +11,15 @@
     MemoryFleet, //
 };
 
-/// Time within which a life that can be reached is asked, after it began or a cut was
-/// healed: where the life before ended without a sign, the hold that was under way and its
-/// limit, the wait after that, the way of two holds, and a write that raises the owner's token.
+/// Time after its start, or after a cut was healed, within which a reachable instance gets a
+/// heartbeat. Where the previous instance ended without a reset, this covers the heartbeat in
+/// progress and its timeout, the wait after it, the travel times of two heartbeats, and the write
+/// that raises the owner's fencing token.
 const UNGUARDED_TIME: Duration = Duration::from_secs(2);
 
 impl MemoryFleet {
-    /// Ends a life and begins the next one at once under the same name: it holds
-    /// nothing of before, and all that it counts begins anew.
+    /// Ends an instance and starts the next one at once under the same name: it knows nothing of
+    /// the previous one, and all its counts start anew.
     pub fn restart(&self, name: &str) {
         self.crash(name);
         let mut state = self.state.borrow_mut();
@@ -33,37 +35,36 @@
         }
     }
 
-    /// When a runner's life began, if it tells.
+    /// Start time of a runner's process in milliseconds since 1970, if the runner reports it.
     pub fn started_at(&self, name: &str) -> Option<u64> {
         self.state.borrow().runners.get(name)?.started_at
     }
 
-    /// Has runners that begin from now on tell when they did, or not.
+    /// Sets whether runners that start from now on report their start times.
     pub fn tell_births(&self, told: bool) {
         self.state.borrow_mut().start_times_hidden = !told;
     }
 
-    /// Has runners also forget ends that come after an acknowledgement of their numbers,
-    /// or only those that they have; the platform's words allow both.
+    /// Sets whether a runner, on an acknowledgement, also discards later ends with the numbers
+    /// acknowledged, or only the ends that it has; the platform's description allows both.
     pub fn forget_ahead(&self, ahead: bool) {
         self.state.borrow_mut().acks_cover_later_ends = ahead;
     }
 
-    /// Sets the time of day back by which runners that begin from now on tell when
-    /// they did.
+    /// Sets back the clock behind the start times that runners report which start from now on.
     pub fn set_births_back(&self, time_ms: u64) {
         self.state.borrow_mut().start_times_behind_ms = time_ms;
     }
 
-    /// When the life that has a name began.
+    /// When the present instance with a name started.
     pub(in crate::world) fn instance_began(&self, name: &str) -> Option<Instant> {
         let state = self.state.borrow();
         state.runners.get(name).map(|runner| runner.began)
     }
 
-    /// Whether a life that began after an order was sent could not be asked yet, so that
-    /// it refuses nothing that was ordered of the life before. Nobody can keep such an
-    /// order from being carried out; from the first question on the owner's token does.
+    /// Whether an instance that started after an order was sent may not have had a heartbeat
+    /// yet, so that it can't reject orders for the previous instance. Nothing prevents such an
+    /// order from being carried out; from the first heartbeat on, the owner's fencing token does.
     pub(super) fn is_unguarded(&self, name: &str, sent: Instant) -> bool {
         let state = self.state.borrow();
         state.runners.get(name).is_some_and(|runner| {
@@ -75,7 +76,7 @@
 }
 
 impl FleetState {
-    /// When a life that begins now says that it began; no two say the same.
+    /// Start time that an instance which starts now reports; unique to it.
     pub(super) fn next_start_time(&mut self) -> Option<u64> {
         self.started_instances += 1;
         let today = self.rules.unix_ms() - self.start_times_behind_ms;
--- a/crates/hoisthitch-tests/src/world/runners/vms.rs
+++ b/crates/hoisthitch-tests/src/world/runners/vms.rs
@@ -1,4 +1,4 @@
-//! Orders about the VMs of the fleet in memory, and the judge of who gives them.
+//! Orders about the simulated VMs, and the checker that no two nodes alternate in giving them.
 
 use std::time::Duration;
 
@@ -24,15 +24,15 @@
     ONE_WAY_TIME, //
 };
 
-/// Time within which two holders may not give orders about one VM.
+/// Time within which orders about one VM may come from one holder only.
 const TURN_TIME: Duration = Duration::from_secs(3);
 
-/// Time that an upkeep takes.
+/// Time that maintenance of a VM takes.
 const MAINTENANCE_TIME: Duration = Duration::from_secs(2);
 
 impl MemoryFleet {
-    /// Notes an order about a VM, answered or not, and whether two holders took
-    /// turns.
+    /// Records an order about a VM, with or without a response, and a violation if another
+    /// holder gave one shortly before.
     fn check_turn(&self, vm: &str, holder: &str) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -43,8 +43,8 @@
             && other != holder
             && now < at + TURN_TIME
         {
-            let broken = format!("{vm}: {other} and {holder} take turns");
-            state.broken.push(broken);
+            let violation = format!("{vm}: {other} and {holder} take turns");
+            state.violations.push(violation);
         }
     }
 
@@ -53,7 +53,7 @@
         *state.maintenance_orders.entry(vm.to_owned()).or_insert(0) += 1;
     }
 
-    /// Most orders for upkeep that came about one VM.
+    /// Most maintenance orders that arrived for one VM.
     pub fn most_upkeep_orders(&self) -> usize {
         let state = self.state.borrow();
         state
@@ -64,7 +64,7 @@
             .unwrap_or(0)
     }
 
-    /// Whether an order about the VM was given.
+    /// Whether an order about the VM has arrived.
     pub fn was_ordered(&self, vm: &str) -> bool {
         self.state.borrow().vm_orders.contains_key(vm)
     }
@@ -107,7 +107,7 @@
     ) -> Result<(), VmError> {
         let (done, answer) = oneshot::channel();
         let (fleet, vm, holder) = (self.clone(), vm.to_owned(), holder.to_owned());
-        // Not a task of the node: the order is under way whatever becomes of it.
+        // Not a task of the node: the order continues even if the node stops.
         spawn_outside(async move {
             tokio::time::sleep(ONE_WAY_TIME).await;
             fleet.check_turn(&vm, &holder);
@@ -115,7 +115,7 @@
             let delay = fleet.state.borrow().vm_order_delay;
             tokio::time::sleep(delay).await;
             if !fleet.state.borrow().vms_lost {
-                // A node that is gone needs no answer.
+                // Fails if the node has stopped and waits no more.
                 let _ = done.send(fleet.begin_maintenance(&vm, epoch));
             }
         });
@@ -145,7 +145,7 @@
 }
 
 impl MemoryFleet {
-    /// Takes a VM down for its upkeep.
+    /// Takes a VM down for maintenance, unless that was done before.
     fn begin_maintenance(&self, vm: &str, epoch: u64) -> Result<(), VmError> {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
@@ -157,7 +157,7 @@
         if let Some((_, token, _)) = last {
             if *token > epoch {
                 state
-                    .broken
+                    .violations
                     .push(format!("{vm}: a lower token after a higher"));
             }
             return Ok(());
--- a/crates/hoisthitch-tests/src/world/sharing.rs
+++ b/crates/hoisthitch-tests/src/world/sharing.rs
@@ -1,5 +1,6 @@
-//! Serving tasks and fillers that share a runner: tails, pace, and the judge of
-//! harm.
+//! Serving tasks and best-effort tasks that share a runner: a model of the tail latency, the
+//! throttle of best-effort tasks, and the checker that they don't hold the latency above its
+//! target for long.
 
 use std::time::Duration;
 
@@ -16,38 +17,38 @@
     runners::FleetState, //
 };
 
-/// Time over which a reported tail is taken.
+/// Time over which a reported tail latency is averaged.
 const TAIL_TIME: Duration = Duration::from_millis(500);
 
-/// Time for which fillers may hold a tail over its target.
+/// Time for which best-effort tasks may hold a tail latency above its target.
 const HARM_TIME: Duration = Duration::from_secs(4);
 
-/// What becomes of an order to set a pace.
+/// How an order to throttle a task is handled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PaceFate {
-    /// It is carried out and answered.
+    /// It is carried out and gets a response.
     Done,
     /// It never arrives.
     Lost,
-    /// It is carried out that much later, and not answered.
+    /// It is carried out after this delay, and gets no response.
     Late(Duration),
 }
 
-/// How tasks on a runner fare beside one another.
+/// Tail latency of the serving tasks of a runner.
 #[derive(Default)]
 pub(super) struct TailModel {
-    /// Tail of serving tasks without fillers, in milliseconds.
+    /// Tail latency of serving tasks without best-effort tasks, in milliseconds.
     quiet_ms: u64,
-    /// What each filler at full pace adds, in milliseconds.
+    /// Latency that each unthrottled best-effort task adds, in milliseconds.
     filler_ms: u64,
-    /// Tails so far, and since when.
+    /// Tail latencies so far, each with the time from which it applied.
     tails: Vec<(Instant, u64)>,
     over_since: Option<Instant>,
     violation_recorded: bool,
 }
 
 impl TailModel {
-    /// Mean of the tail over the last while.
+    /// Mean of the tail latency over the last [`TAIL_TIME`].
     pub(super) fn reported(&self, now: Instant) -> u64 {
         let Some(from) = now.checked_sub(TAIL_TIME) else {
             return self.quiet_ms;
@@ -73,14 +74,14 @@
 }
 
 impl Runner {
-    /// Tail of its serving tasks at this moment.
+    /// Present tail latency of its serving tasks, in milliseconds.
     fn tail(&self) -> u64 {
         let fillers = self.running.values().filter(|run| run.best_effort);
         let pace: u64 = fillers.map(|run| u64::from(run.pace)).sum();
         self.sharing.quiet_ms + self.sharing.filler_ms * pace / 100
     }
 
-    /// Whether fillers at work hold a tail over its target.
+    /// Whether best-effort tasks hold a tail latency above its target.
     fn is_harmed(&self, tail: u64) -> bool {
         let mut serving = self.running.values().filter(|run| run.target_ms > 0);
         let quiet = self.sharing.quiet_ms;
@@ -89,33 +90,36 @@
 }
 
 impl FleetState {
-    /// Judges how long fillers have held tails over their targets.
+    /// Checks for how long best-effort tasks have held tail latencies above their targets.
     pub(super) fn check_harm(&mut self, now: Instant) {
         for (name, runner) in self.runners.iter_mut().filter(|(_, runner)| runner.alive) {
             let tail = runner.tail();
             let harmed = runner.is_harmed(tail);
-            let room = &mut runner.sharing;
-            room.note(now, tail);
+            let tails = &mut runner.sharing;
+            tails.note(now, tail);
             if !harmed {
-                room.over_since = None;
-                room.violation_recorded = false;
+                tails.over_since = None;
+                tails.violation_recorded = false;
                 continue;
             }
-            let since = *room.over_since.get_or_insert(now);
+            let since = *tails.over_since.get_or_insert(now);
             let harm = now.duration_since(since);
             self.rules.longest_harm = self.rules.longest_harm.max(harm);
             let since = self.rules.calm_since(since);
-            if since + HARM_TIME < now && !room.violation_recorded {
-                room.violation_recorded = true;
-                let broken = format!("fillers on {name} hold a tail at {tail} ms for {harm:?}");
-                self.broken.push(broken);
+            if since + HARM_TIME < now && !tails.violation_recorded {
+                tails.violation_recorded = true;
+                let violation = format!(
+                    "best-effort tasks on {name} hold a tail latency at {tail} ms for {harm:?}"
+                );
+                self.violations.push(violation);
             }
         }
     }
 }
 
 impl MemoryFleet {
-    /// Sets the tail of serving tasks on all runners, and what a filler adds.
+    /// Sets the tail latency of serving tasks on all runners, and what an unthrottled best-effort
+    /// task adds, both in milliseconds.
     pub fn set_tails(&self, quiet_ms: u64, filler_ms: u64) {
         self.settle();
         for runner in self.state.borrow_mut().runners.values_mut() {
@@ -125,14 +129,14 @@
         self.settle();
     }
 
-    /// Sets what becomes of the next orders to set a pace.
+    /// Sets how the next orders to throttle a task are handled, the first one first.
     pub fn set_pace_fates(&self, fates: &[PaceFate]) {
         let mut fates = fates.to_vec();
         fates.reverse();
         self.state.borrow_mut().rules.pace_fates = fates;
     }
 
-    /// What becomes of orders to set a pace that did not come yet.
+    /// Number of values of [`Self::set_pace_fates`] that no order has used yet.
     pub fn pace_fates_left(&self) -> usize {
         self.state.borrow().rules.pace_fates.len()
     }
@@ -166,7 +170,7 @@
         Ok(())
     }
 
-    /// Paces of fillers on living runners, by name of the task.
+    /// Throttles of best-effort tasks on live runners, in percent, by name of the task.
     pub fn paces(&self) -> Vec<(String, u32)> {
         let state = self.state.borrow();
         let living = state.runners.values().filter(|runner| runner.alive);
@@ -177,7 +181,7 @@
             .collect()
     }
 
-    /// Longest time for which fillers held a tail over its target.
+    /// Longest time for which best-effort tasks held a tail latency above its target.
     pub fn longest_harm(&self) -> Duration {
         self.settle();
         self.state.borrow().rules.longest_harm
--- a/crates/hoisthitch-tests/src/world/store.rs
+++ b/crates/hoisthitch-tests/src/world/store.rs
@@ -1,5 +1,5 @@
-//! A key-value store in memory: revisions, conditions, leases, watches, and
-//! the ways in which it fails.
+//! A key-value store in memory: revisions, conditional writes, leases and watches, and the
+//! faults that tests inject.
 
 use std::{
     cell::RefCell,
@@ -34,45 +34,46 @@
 /// Time of a call.
 const CALL_TIME: Duration = Duration::from_millis(4);
 
-/// Time after which a caller gives up.
+/// Time after which a caller's request times out.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for which a watch waits.
+/// Time for which a watch waits for changes.
 const WATCH_TIME: Duration = Duration::from_millis(1_200);
 
-/// The same where the watch hurries.
+/// The same after [`WatchStream::shorten_next_wait`].
 const SHORT_WATCH_TIME: Duration = Duration::from_millis(300);
 
-/// Time over which calls are counted.
+/// Period over which calls are counted.
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Most values in a write.
+/// Most entries in a write; a condition is an entry as well.
 const ENTRY_LIMIT: usize = 32;
 
-/// How the store fails.
+/// Faults of the store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreFaults {
-    /// Nobody gets an answer, and nothing is done.
+    /// No call gets a response, and none is carried out.
     pub down: bool,
-    /// These nodes get no answer.
+    /// Calls of these nodes are not carried out, and get no response.
     pub cut: HashSet<String>,
-    /// Calls of these nodes are carried out, and get no answer.
+    /// Calls of these nodes are carried out, but get no response.
     pub unheard: HashSet<String>,
-    /// Watches of keys that begin so get no answer; empty for none.
+    /// Watches of keys with this prefix get no response; empty for none.
     pub silent_watches: String,
-    /// Each write of this many is done and not answered; zero for none.
+    /// Each write of this many is carried out but gets no response; zero for none.
     pub lose_every: u64,
-    /// Lost writes are done this much later.
+    /// Delay after which such writes are carried out.
     pub late: Duration,
-    /// Added to each call.
+    /// Delay added to each call.
     pub delay: Duration,
-    /// Time that answers take on their way.
+    /// Travel time of responses.
     pub back: Duration,
-    /// Calls of all nodes together that it answers in a second; zero for any number.
+    /// Most calls of all nodes together in a second, beyond which it refuses calls; zero for no
+    /// limit.
     pub calls_per_s: u32,
 }
 
-/// Calls of the second at hand.
+/// Calls in the current second.
 #[derive(Default)]
 struct CallCount {
     since: Option<Instant>,
@@ -80,7 +81,7 @@
 }
 
 impl CallCount {
-    /// Counts a call; answers how many there were in the second.
+    /// Counts a call; returns the number of calls in the current second.
     fn add(&mut self, now: Instant) -> u32 {
         if self.since.is_none_or(|since| now >= since + SECOND) {
             (self.since, self.calls) = (Some(now), 0);
@@ -102,12 +103,12 @@
     count: CallCount,
 }
 
-/// The store.
+/// The store, as a node calls it.
 #[derive(Clone)]
 pub struct MemoryStore {
     state: Rc<RefCell<StoreState>>,
     changed: Rc<watch::Sender<i64>>,
-    /// Node that calls.
+    /// Name of the calling node.
     node: String,
 }
 
@@ -131,12 +132,12 @@
         }
     }
 
-    /// Changes how the store fails.
+    /// Replaces the faults of the store.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.state.borrow_mut().faults = faults;
     }
 
-    /// Takes away the leased values of a node, without a sign.
+    /// Deletes the leased values whose keys contain `part`, while their leases remain.
     pub fn revoke(&self, part: &str) {
         let keys: Vec<String> = {
             let state = self.state.borrow();
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Writes without a condition, as operators and runners do.
+    /// Writes or deletes a value without a condition, as operators and runners do.
     pub fn put(&self, key: &str, value: Option<&[u8]>, lease: i64) {
         let mut state = self.state.borrow_mut();
         state.revision += 1;
@@ -159,13 +160,13 @@
         self.changed.send_replace(state.revision);
     }
 
-    /// A value, as it is.
+    /// The present value of a key, without faults.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
         let state = self.state.borrow();
         state.values.get(key).map(|value| value.0.clone())
     }
 
-    /// Keys that begin so, and their values.
+    /// Keys with a prefix, and their values, without faults.
     pub fn prefix(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
         let state = self.state.borrow();
         let values = state.values.iter();
@@ -175,7 +176,7 @@
             .collect()
     }
 
-    /// Whether nobody gets an answer.
+    /// Whether no call gets a response.
     pub fn is_down(&self) -> bool {
         self.state.borrow().faults.down
     }
@@ -185,8 +186,8 @@
         self.state.borrow().revision
     }
 
-    /// Changes since a revision, as soon as there are some, and the revision
-    /// that they reach to.
+    /// Changes after a revision, as soon as there are some, and the revision up to which they
+    /// are complete; none if there are no changes within `wait`.
     pub async fn changes(
         &self,
         prefix: &str,
@@ -230,7 +231,7 @@
         Ok(())
     }
 
-    /// Turns a call away that is beyond what the store answers in a second.
+    /// Refuses a call beyond the store's limit for a second.
     fn count_call(&self, call: &'static str) -> Result<(), StoreError> {
         let mut state = self.state.borrow_mut();
         let calls = state.count.add(Instant::now());
@@ -250,8 +251,7 @@
         self.state.borrow().faults.unheard.contains(&self.node)
     }
 
-    /// Lets the answer take its way; keeps it back from a node that is cut off
-    /// one way.
+    /// Waits for the travel time of the response; it times out for a node that gets no responses.
     async fn deliver_answer(&self, call: &'static str) -> Result<(), StoreError> {
         if self.is_unheard() {
             tokio::time::sleep(CALL_TIMEOUT).await;
@@ -347,7 +347,8 @@
     }
 }
 
-/// The store takes at most 32 entries, and a key once; nothing here swaps singly.
+/// The error for writes of more than 32 entries or with a key twice, and for single swaps, which
+/// the job service doesn't use.
 fn refused(call: &'static str) -> StoreError {
     StoreError::Status { call, status: 400 }
 }
@@ -404,7 +405,7 @@
     }
 
     async fn swap_all(&self, items: Vec<SwapItem>) -> Result<BatchOutcome, StoreError> {
-        // A condition is an entry of its own.
+        // Each condition counts as a separate entry.
         let conditions = items
             .iter()
             .filter(|item| item.expected != StoreRevision::ANY);
@@ -434,7 +435,7 @@
             self.apply(&items);
         } else {
             let store = self.clone();
-            // Not a task of the node: the write is under way whatever becomes of it.
+            // Not a task of the node: the write continues even if the node stops.
             super::spawn_outside(async move {
                 tokio::time::sleep(late).await;
                 store.apply(&items);
@@ -489,19 +490,19 @@
     }
 }
 
-/// A watch.
+/// A watch of the keys with a prefix.
 pub struct MemoryWatch {
     store: MemoryStore,
     prefix: String,
     after: i64,
     ready: VecDeque<WatchEvent>,
     complete_as_of: Instant,
-    /// Whether the next look is to wait only shortly.
+    /// Whether the next wait for changes is to be a short one.
     next_wait_is_short: bool,
 }
 
 impl MemoryWatch {
-    /// Whether nothing is told of what is watched.
+    /// Whether the faults suppress all events of this watch.
     fn is_silent(&self) -> bool {
         let silent = &self.store.state.borrow().faults.silent_watches;
         !silent.is_empty() && self.prefix.starts_with(silent.as_str())
@@ -557,7 +558,7 @@
                 .await
                 .is_err()
             {
-                // The store may have been lost during the wait.
+                // The store may have become unreachable during the wait.
                 if self.store.is_cut() || self.is_silent() {
                     return Some(Err(timeout("watch")));
                 }
