--- a/crates/hoisthitch-tests/src/cases.rs
+++ b/crates/hoisthitch-tests/src/cases.rs
@@ -1,8 +1,7 @@
-//! The macro that names test cases.
+//! The macro that turns asynchronous calls into named tests.
 
-/// Makes a test of each named call of an asynchronous function.
-///
-/// The function returns `eyre::Result<()>`.
+/// Defines a test for each `name => call`; the call is of an asynchronous function that returns
+/// `eyre::Result<()>`.
 #[macro_export]
 macro_rules! cases {
     ($($name:ident => $call:expr;)+) => {
@@ -15,11 +14,11 @@
     };
 }
 
-/// Runs one case on a runtime of its own.
+/// Runs one case on a new runtime.
 ///
 /// # Errors
 ///
-/// Fails as the case does.
+/// Returns the error of the case.
 pub fn run_case(case: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
     actix_rt::System::new().block_on(case)
 }
--- a/crates/hoisthitch-tests/src/command.rs
+++ b/crates/hoisthitch-tests/src/command.rs
@@ -17,18 +17,18 @@
 
 use crate::process::ChildProcess;
 
-/// Runs made by this process so far.
+/// Commands run by this process so far; makes the names of their logs unique.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// What a command did.
+/// Result of a command.
 pub struct CommandRun {
     /// Exit code; none after a signal.
     pub code: Option<i32>,
-    /// What it printed.
+    /// Standard output and standard error.
     pub text: String,
 }
 
-/// Runs a command to its end.
+/// Runs `hoisthitch` with the arguments to its end.
 ///
 /// # Errors
 ///
@@ -37,7 +37,7 @@
     run(args, Stdio::null()).await
 }
 
-/// Runs a command to its end; a file is its standard input.
+/// Runs `hoisthitch` with the arguments to its end, with a file as standard input.
 ///
 /// # Errors
 ///
--- a/crates/hoisthitch-tests/src/fleet.rs
+++ b/crates/hoisthitch-tests/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet for one test: the platform's stand-in, runners and entries.
+//! A fleet for one test: processes for the simulated platform, runners, entries and stewards.
 
 use std::{
     env,
@@ -32,36 +32,39 @@
     wait::wait_until, //
 };
 
-/// Token of the operators.
+/// Token for operators' requests.
 pub(crate) const TOKEN: &str = "test-token-of-operators";
 
-/// Port of the platform.
+/// Port of the simulated platform.
 const PLATFORM_PORT: u16 = 2_379;
 
-/// First port of the entries' sides.
+/// Port of the first entry for callers; further entries have the next ports.
 const CALLER_PORT: u16 = 8_000;
 
+/// Port of the first entry for operators.
 const OPERATOR_PORT: u16 = 8_100;
 
+/// Port of the first entry's mesh address.
 const MESH_PORT: u16 = 8_200;
 
+/// Port of the first steward's mesh address.
 const STEWARD_PORT: u16 = 8_300;
 
-/// First port of the runners.
+/// Port of the first runner.
 const RUNNER_PORT: u16 = 9_000;
 
-/// Stewards that keys are made for.
+/// Number of stewards for which keys are generated.
 const STEWARD_LIMIT: usize = 3;
 
-/// Entries that keys are made for.
+/// Number of entries for which keys are generated.
 const ENTRY_LIMIT: usize = 12;
 
-/// Fleets made by this process so far.
+/// Fleets started by this process so far; makes their addresses and folders unique.
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
 /// A running fleet.
 pub struct Fleet {
-    /// Platform.
+    /// The simulated platform: store and list of VMs.
     pub platform: ChildProcess,
     /// Entries.
     pub entries: Vec<ChildProcess>,
@@ -82,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when a process does not come up.
+    /// Fails when a process does not become ready.
     pub async fn start(plan: FleetPlan) -> Result<Self> {
         let fleet = Self::start_bare(plan).await?;
         fleet.write_table().await?;
@@ -91,11 +94,11 @@
         Ok(fleet)
     }
 
-    /// Starts the processes only.
+    /// Starts the processes, without writing the table or assigning runners.
     ///
     /// # Errors
     ///
-    /// Fails when a process does not come up.
+    /// Fails when a process does not become ready.
     pub async fn start_bare(plan: FleetPlan) -> Result<Self> {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed);
         let address = loopback(number);
@@ -134,7 +137,7 @@
         Ok(fleet)
     }
 
-    /// Starts an entry, or starts it again.
+    /// Starts an entry; kills it first if it runs.
     ///
     /// # Errors
     ///
@@ -144,7 +147,8 @@
         self.start_entry_at(index, &platform, &platform)
     }
 
-    /// Starts an entry that reaches the store and the list of VMs at the URLs.
+    /// Starts an entry as [`Fleet::start_entry`] does, with other URLs of the store and of the list
+    /// of VMs.
     ///
     /// # Errors
     ///
@@ -168,7 +172,7 @@
         Ok(())
     }
 
-    /// Starts a steward, or starts it again.
+    /// Starts a steward; kills it first if it runs.
     ///
     /// # Errors
     ///
@@ -202,7 +206,7 @@
         Ok(())
     }
 
-    /// Ends a runner's process and starts it anew, with an empty journal.
+    /// Kills a runner's process and starts it again, with an empty journal.
     ///
     /// # Errors
     ///
@@ -215,11 +219,12 @@
         Ok(())
     }
 
-    /// Lists a VM whose runner the test runs itself, and assigns it to a pool.
+    /// Adds a VM, whose runner the test runs itself, to the platform's list, and assigns it to a
+    /// pool.
     ///
     /// # Errors
     ///
-    /// Fails when an entry does not take it in.
+    /// Fails when an entry does not know the runner in time.
     pub async fn add_runner(&mut self, pool: &str, address: SocketAddr) -> Result<()> {
         let vm = format!("{pool}-own-{}", address.port());
         self.vms.push(ListedVm {
@@ -247,7 +252,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when one does not.
+    /// Fails when an entry does not get there in time.
     pub async fn wait_for_routes(&self) -> Result<()> {
         let wanted: usize = self.plan.pools.iter().map(|pool| pool.runners).sum();
         for index in 0..self.entries.len() {
@@ -271,17 +276,17 @@
         self.vms[runner].address
     }
 
-    /// URL of an entry's callers' side.
+    /// URL of an entry for callers.
     pub fn caller_url(&self, entry: usize, path: &str) -> String {
         format!("http://{}{path}", self.caller_address(entry))
     }
 
-    /// Address of an entry's callers' side.
+    /// Address of an entry for callers.
     pub fn caller_address(&self, entry: usize) -> SocketAddr {
         SocketAddr::new(self.address, port(CALLER_PORT, entry))
     }
 
-    /// URL of an entry's operators' side.
+    /// URL of an entry for operators.
     pub fn operator_url(&self, entry: usize, path: &str) -> String {
         let address = SocketAddr::new(self.address, port(OPERATOR_PORT, entry));
         format!("http://{address}{path}")
@@ -292,7 +297,7 @@
         format!("http://{}:{PLATFORM_PORT}{path}", self.address)
     }
 
-    /// An address of the fleet for a process of the test's own.
+    /// An address of the fleet, for a process that the test runs itself.
     pub fn own_address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.address, port)
     }
@@ -307,7 +312,7 @@
         SocketAddr::new(self.address, port(MESH_PORT, entry))
     }
 
-    /// Mesh address that an entry puts on the roster: its proxy's, if it has one.
+    /// Mesh address that an entry advertises: that of its proxy, if it has one.
     fn advertised_address(&self, entry: usize) -> SocketAddr {
         if self.plan.mesh_proxy_port == 0 {
             return self.mesh_address(entry);
@@ -345,7 +350,7 @@
         Ok(())
     }
 
-    /// Lists the entries' own VMs, as the platform does.
+    /// Adds the VMs of the entries to the platform's list.
     fn list_entries(&mut self) {
         for index in 0..self.plan.entries {
             self.own_vms.push(ListedVm {
@@ -413,13 +418,13 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         if !std::thread::panicking() && env::var_os("HOISTHITCH_KEEP").is_none() {
-            // The folder lies in the temporary directory in any case.
+            // A folder that can't be removed stays in the temporary directory.
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// Loopback address of a fleet: its own among all that run side by side.
+/// Loopback address of a fleet, different for the fleets that run in parallel.
 fn loopback(number: u32) -> IpAddr {
     let process = process::id() & 0x7fff;
     let [high, low] = [process >> 8, process & 0xff];
--- a/crates/hoisthitch-tests/src/http.rs
+++ b/crates/hoisthitch-tests/src/http.rs
@@ -1,4 +1,4 @@
-//! A small client for tests: every header and the whole body at hand.
+//! A small HTTP client for tests, with access to all headers and the complete body.
 
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
     de::DeserializeOwned, //
 };
 
-/// Longest time that an exchange may take.
+/// Timeout of a request.
 const LIMIT: Duration = Duration::from_secs(60);
 
-/// Largest answer.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Largest body of a response.
+const BODY_LIMIT_BYTES: usize = 64 << 20;
 
 /// A request of a test.
 #[derive(Clone, Debug)]
@@ -30,10 +30,10 @@
     body: Vec<u8>,
 }
 
-/// The answer to a request of a test.
+/// The response to a request of a test.
 #[derive(Clone, Debug)]
 pub struct TestResponse {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
@@ -64,24 +64,24 @@
     ///
     /// # Errors
     ///
-    /// Fails when the value has no JSON form.
+    /// Fails when the value can't be written as JSON.
     pub fn put_json<T: Serialize>(url: &str, value: &T) -> Result<Self> {
-        let ask = Self {
+        let request = Self {
             body: serde_json::to_vec(value)?,
             ..Self::new(Method::PUT, url)
         };
-        Ok(ask.header("content-type", "application/json"))
+        Ok(request.header("content-type", "application/json"))
     }
 
     /// A POST of JSON.
     ///
     /// # Errors
     ///
-    /// Fails when the value has no JSON form.
+    /// Fails when the value can't be written as JSON.
     pub fn post_json<T: Serialize>(url: &str, value: &T) -> Result<Self> {
-        let mut ask = Self::put_json(url, value)?;
-        ask.method = Method::POST;
-        Ok(ask)
+        let mut request = Self::put_json(url, value)?;
+        request.method = Method::POST;
+        Ok(request)
     }
 
     fn new(method: Method, url: &str) -> Self {
@@ -100,11 +100,11 @@
         self
     }
 
-    /// Sends the request on a connection of its own.
+    /// Sends the request on a new connection.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer comes.
+    /// Fails when there is no complete response in time.
     pub async fn send(self) -> Result<TestResponse> {
         let client = Client::builder().timeout(LIMIT).finish();
         let mut request = client.request(self.method, self.url).force_close();
@@ -121,7 +121,7 @@
         });
         let headers = headers.collect();
         let status = response.status().as_u16();
-        let body = response.body().limit(ANSWER_LIMIT).await?;
+        let body = response.body().limit(BODY_LIMIT_BYTES).await?;
         Ok(TestResponse {
             status,
             headers,
@@ -139,7 +139,8 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// What the answer says about the request.
+    /// Outcome of the request by the header `hoisthitch-outcome`: `ran`, `not-run` or `unknown`;
+    /// `none` without the header.
     pub fn outcome(&self) -> &str {
         self.header("hoisthitch-outcome").unwrap_or("none")
     }
@@ -153,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the body is not the value's JSON.
+    /// Fails when the body is not JSON of that type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T> {
         Ok(serde_json::from_slice(&self.body)?)
     }
--- a/crates/hoisthitch-tests/src/lib.rs
+++ b/crates/hoisthitch-tests/src/lib.rs
@@ -1,7 +1,10 @@
-//! Harness of the integration tests: real processes on loopback.
+//! Harness of the integration tests.
 //!
-//! Each fleet has a loopback address of its own, so that tests which run side
-//! by side never meet on a port. Processes are ended when the fleet is dropped.
+//! [`Fleet`] starts real processes on loopback: a simulated platform, runners, entries and
+//! stewards. Each fleet has its own loopback address, so that tests which run in parallel never
+//! use the same port. The processes are killed when the fleet is dropped.
+//!
+//! [`world`] simulates a store, runners and VMs in memory, for tests of the job service.
 
 mod cases;
 mod command;
@@ -36,7 +39,7 @@
 pub use platform::RunRecord;
 pub use process::ChildProcess;
 pub use scripted::{
-    RawAnswer,
+    RawResponse,
     ScriptStep,
     ScriptedRunner,
     raw_exchange, //
--- a/crates/hoisthitch-tests/src/load.rs
+++ b/crates/hoisthitch-tests/src/load.rs
@@ -1,4 +1,4 @@
-//! A steady load beside a test, with checks of its answers.
+//! A steady load in the background of a test, with checks of its responses.
 
 use std::{
     cell::Cell,
@@ -14,17 +14,17 @@
 
 use crate::http::TestRequest;
 
-/// Callers that send requests one after the other until they are stopped.
+/// Callers that each send one request after another until they are stopped.
 pub struct SteadyLoad {
     end: Rc<Cell<bool>>,
     callers: Vec<JoinHandle<Result<usize>>>,
 }
 
 impl SteadyLoad {
-    /// Starts a caller for each URL; each request works for `work_us`.
+    /// Starts a caller for each URL; each request works for `work_us` microseconds.
     ///
-    /// A request that did not run is sent again; any answer but a whole one of
-    /// its own fails the load.
+    /// The load fails if a request that ran doesn't get its own body back, or if the outcome in a
+    /// response isn't `ran`, `not-run` or `unknown`.
     pub fn start(urls: Vec<String>, work_us: u64) -> Self {
         let end = Rc::new(Cell::new(false));
         let callers = urls.into_iter().enumerate();
@@ -34,11 +34,11 @@
         Self { end, callers }
     }
 
-    /// Stops the callers; answers with the number of requests that ran.
+    /// Stops the callers; returns the number of requests that ran.
     ///
     /// # Errors
     ///
-    /// Fails when a request was not answered as it should be.
+    /// Fails when a response was wrong.
     pub async fn stop(self) -> Result<usize> {
         self.end.set(true);
         let mut ran = 0;
@@ -55,17 +55,21 @@
     while !end.get() {
         number += 1;
         let body = format!("body-{caller}-{number}");
-        let ask = TestRequest::post(&url, body.as_bytes())
+        let request = TestRequest::post(&url, body.as_bytes())
             .header("x-request-name", &format!("l-{caller}-{number}"))
             .header("x-work-us", &work_us.to_string());
-        let Ok(answer) = ask.send().await else {
-            // The entry was killed or is not there; the test knows of it.
+        let Ok(response) = request.send().await else {
+            // The test has killed the entry or made it unreachable.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        match answer.outcome() {
+        match response.outcome() {
             "ran" => {
-                ensure!(answer.text() == body, "got {} for {body}", answer.text());
+                ensure!(
+                    response.text() == body,
+                    "got {} for {body}",
+                    response.text()
+                );
                 ran += 1;
             }
             "not-run" => tokio::time::sleep(Duration::from_millis(20)).await,
--- a/crates/hoisthitch-tests/src/operate.rs
+++ b/crates/hoisthitch-tests/src/operate.rs
@@ -1,4 +1,4 @@
-//! What a test asks of entries as an operator.
+//! Operators' requests to entries, and reads of the records in the store.
 
 use std::time::Duration;
 
@@ -39,11 +39,11 @@
 };
 
 impl Fleet {
-    /// An operator's call with JSON.
+    /// Sends an operator's POST with JSON.
     ///
     /// # Errors
     ///
-    /// Fails when the entry does not answer.
+    /// Fails when the entry does not respond.
     pub async fn operator_post<Q: Serialize>(
         &self,
         entry: usize,
@@ -56,21 +56,21 @@
             .await
     }
 
-    /// Hall records as an entry has them.
+    /// Assignments of VMs as an entry reports them.
     ///
     /// # Errors
     ///
-    /// Fails when the entry does not answer.
+    /// Fails when the entry does not respond.
     pub async fn assignments(&self, entry: usize) -> Result<Vec<VmAssignment>> {
         let halls: Vec<HallRecord> = self.operator_get(entry, "/halls").await?.json()?;
         Ok(halls.into_iter().flat_map(|hall| hall.vms).collect())
     }
 
-    /// Permits of a pool, as the store holds them.
+    /// Permits of a pool in the store.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer.
+    /// Fails when the store does not respond.
     pub async fn permits(&self, pool: &str) -> Result<PermitLedger> {
         let store = EtcdClient::new(&self.platform_url(""), Duration::from_secs(2));
         let stored = store.read(&KeySpace::default().permits(pool)).await?;
@@ -80,11 +80,11 @@
         })
     }
 
-    /// Assignments as the store holds them.
+    /// Assignments of VMs in the store.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer.
+    /// Fails when the store does not respond.
     pub async fn stored_assignments(&self) -> Result<Vec<VmAssignment>> {
         let store = EtcdClient::new(&self.platform_url(""), Duration::from_secs(2));
         let stored = store.read_prefix(&KeySpace::default().halls()).await?;
@@ -100,26 +100,26 @@
     ///
     /// # Errors
     ///
-    /// Fails when the entry does not answer.
+    /// Fails when the entry does not respond.
     pub async fn status(&self, index: usize) -> Result<StatusAnswer> {
-        let answer = self.operator_get(index, "/status").await?;
-        answer.json()
+        let response = self.operator_get(index, "/status").await?;
+        response.json()
     }
 
-    /// The table in force in an entry.
+    /// The table in effect in an entry.
     ///
     /// # Errors
     ///
-    /// Fails when the entry does not answer.
+    /// Fails when the entry does not respond.
     pub async fn table(&self, index: usize) -> Result<PolicyTable> {
         self.operator_get(index, "/table").await?.json()
     }
 
-    /// An operator's read.
+    /// Sends an operator's GET.
     ///
     /// # Errors
     ///
-    /// Fails when the entry does not answer.
+    /// Fails when the entry does not respond.
     pub async fn operator_get(&self, index: usize, path: &str) -> Result<TestResponse> {
         let request = TestRequest::get(&self.operator_url(index, path));
         request
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the entry does not answer or has no such cell.
+    /// Fails when the entry does not respond or has no such cell.
     pub async fn set_cell(
         &self,
         entry: usize,
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when it does not.
+    /// Fails when it does not in time.
     pub async fn wait_for_revision(&self, entry: usize, revision: u64) -> Result<()> {
         wait_until("a revision in force", || async {
             let status = self.status(entry).await.ok()?;
@@ -159,25 +159,25 @@
         .await
     }
 
-    /// Revision of the table in force in an entry, read at little cost.
+    /// Revision of the table in effect in an entry, read from the readiness probe at little cost.
     ///
     /// # Errors
     ///
     /// Fails when the entry is not ready.
     pub async fn ready_revision(&self, entry: usize) -> Result<u64> {
         let url = self.operator_url(entry, "/ready");
-        let answer = TestRequest::get(&url).send().await?;
-        let revision = answer
+        let response = TestRequest::get(&url).send().await?;
+        let revision = response
             .header("hoisthitch-revision")
             .ok_or_eyre("no revision")?;
         Ok(revision.parse()?)
     }
 
-    /// Waits as [`Fleet::wait_for_revision`] does, at little cost.
+    /// Waits as [`Fleet::wait_for_revision`] does, by the readiness probe at little cost.
     ///
     /// # Errors
     ///
-    /// Fails when the revision does not come into force.
+    /// Fails when the revision does not come into effect in time.
     pub async fn wait_for_ready_revision(&self, entry: usize, revision: u64) -> Result<()> {
         wait_until("a revision in force", || async {
             let found = self.ready_revision(entry).await.ok()?;
@@ -186,11 +186,11 @@
         .await
     }
 
-    /// Table as the store holds it.
+    /// The table in the store.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer.
+    /// Fails when the store does not respond.
     pub async fn stored_table(&self) -> Result<PolicyTable> {
         let store = EtcdClient::new(&self.platform_url(""), Duration::from_secs(2));
         let stored = store.read(&KeySpace::default().table()).await?;
@@ -198,16 +198,16 @@
         Ok(serde_json::from_slice(&stored.value)?)
     }
 
-    /// An operator's edit.
+    /// Sends an operator's edit of the table.
     ///
     /// # Errors
     ///
-    /// Fails when the entry does not answer.
+    /// Fails when the entry does not respond.
     pub async fn edit(&self, entry: usize, edits: Vec<RowEdit>) -> Result<TestResponse> {
         self.edit_call(entry, edits).await
     }
 
-    /// An operator's edit, as a call that does not borrow the fleet.
+    /// Sends an operator's edit as [`Fleet::edit`] does; the future does not borrow the fleet.
     pub fn edit_call(
         &self,
         entry: usize,
@@ -226,11 +226,11 @@
         }
     }
 
-    /// Overwrites the table in the store, whatever it holds.
+    /// Overwrites the table in the store, whatever its revision.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer.
+    /// Fails when the store does not respond.
     pub async fn overwrite_table(&self, value: &[u8]) -> Result<()> {
         let store = EtcdClient::new(&self.platform_url(""), Duration::from_secs(2));
         let key = KeySpace::default().table();
@@ -246,8 +246,8 @@
         let teams = self.plan.teams.iter().cloned().map(RowEdit::PutTeam);
         let edits: Vec<RowEdit> = pools.chain(teams).collect();
         wait_until("an entry to take the table", || async {
-            let answer = self.edit(0, edits.clone()).await.ok()?;
-            (answer.status == 200).then_some(())
+            let response = self.edit(0, edits.clone()).await.ok()?;
+            (response.status == 200).then_some(())
         })
         .await
     }
@@ -270,8 +270,8 @@
         wait_until("an assignment", || async {
             let request = TestRequest::post_json(&url, &call).ok()?;
             let request = request.header("authorization", &format!("Bearer {TOKEN}"));
-            let answer = request.send().await.ok()?;
-            (answer.status == 200).then_some(())
+            let response = request.send().await.ok()?;
+            (response.status == 200).then_some(())
         })
         .await
     }
--- a/crates/hoisthitch-tests/src/plan.rs
+++ b/crates/hoisthitch-tests/src/plan.rs
@@ -1,4 +1,4 @@
-//! Shapes of the fleets that tests start.
+//! Descriptions of the fleets that tests start.
 
 use hoisthitch_core::{
     PoolRow,
@@ -9,39 +9,40 @@
 /// A pool of a fleet.
 #[derive(Clone, Debug)]
 pub struct PoolPlan {
-    /// Row of the pool.
+    /// The pool's row in the table.
     pub row: PoolRow,
     /// Number of runners.
     pub runners: usize,
-    /// Working time of a request that names none, in microseconds.
+    /// Working time of a request that doesn't set one, in microseconds.
     pub work_us: u64,
 }
 
-/// Shape of a fleet.
+/// Description of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
     /// Number of entries.
     pub entries: usize,
     /// Number of stewards.
     pub stewards: usize,
-    /// Time between two looks of a steward, with its unit.
+    /// Time between two passes of a steward, as a setting with its unit.
     pub steward_interval: String,
     /// Pools.
     pub pools: Vec<PoolPlan>,
     /// Teams.
     pub teams: Vec<TeamRow>,
-    /// Further lines of the entries' settings, below `[callers]`.
+    /// Further lines of the section `[callers]` in the entries' settings.
     pub caller_settings: String,
-    /// Least level that entries log.
+    /// Lowest level that entries log.
     pub log_level: String,
-    /// How the entries share slots.
+    /// Value of the entries' setting `share`: how they share slots.
     pub share: String,
-    /// Port of the proxy in front of each entry's mesh address; zero for none.
+    /// Port of the proxy in front of the first entry's mesh address, two more for each further
+    /// entry; zero for no proxies.
     pub mesh_proxy_port: u16,
 }
 
 impl PoolPlan {
-    /// A pool whose path is its name, with limits that don't matter.
+    /// A pool whose path is its name, with limits that tests don't normally reach.
     pub fn new(name: &str, runners: usize) -> Self {
         Self {
             runners,
--- a/crates/hoisthitch-tests/src/platform.rs
+++ b/crates/hoisthitch-tests/src/platform.rs
@@ -1,4 +1,4 @@
-//! What a test asks of the platform's and the runners' stand-ins.
+//! Requests to the simulated platform and to simulated runners: faults, VMs and journals.
 
 use eyre::{
     Result,
@@ -18,16 +18,16 @@
     http::TestRequest, //
 };
 
-/// A run in a runner's journal.
+/// A run of a request in a runner's journal.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RunRecord {
-    /// Name that the request carried.
+    /// Name of the request, from the header `x-request-name`.
     pub name: String,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// Start, in microseconds of the wall clock.
+    /// Start by the wall clock, in microseconds.
     pub start_us: u64,
-    /// End; none while it runs.
+    /// End by the wall clock, in microseconds; none while it runs.
     pub end_us: Option<u64>,
     /// Time in the runner's own queue, in microseconds.
     pub waited_us: u64,
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn unlist_entry(&self, index: usize) -> Result<()> {
         let name = entry_name(index);
         self.edit_list(|listed| listed.retain(|other| other.vm != name))
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn unlist_runner(&self, runner: usize) -> Result<()> {
         let vm = &self.vms[runner].vm;
         self.edit_list(|listed| listed.retain(|other| other.vm != *vm))
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn relist_runner(&self, runner: usize) -> Result<()> {
         let vm = self.vms[runner].clone();
         self.edit_list(|listed| listed.push(vm)).await
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn listed(&self) -> Result<Vec<ListedVm>> {
         TestRequest::get(&self.platform_url("/vms"))
             .send()
@@ -82,8 +82,8 @@
         let mut listed = self.listed().await?;
         edit(&mut listed);
         let url = self.platform_url("/standin/vms");
-        let answer = TestRequest::put_json(&url, &listed)?.send().await?;
-        ensure!(answer.status == 204, "list: {}", answer.text());
+        let response = TestRequest::put_json(&url, &listed)?.send().await?;
+        ensure!(response.status == 204, "list: {}", response.text());
         Ok(())
     }
 
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the runner does not answer.
+    /// Fails when the runner does not respond.
     pub async fn journal(&self, runner: usize) -> Result<Vec<RunRecord>> {
         let url = format!("http://{}/standin/journal", self.runner_address(runner));
         TestRequest::get(&url).send().await?.json()
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when a runner does not answer.
+    /// Fails when a runner does not respond.
     pub async fn all_runs(&self) -> Result<Vec<RunRecord>> {
         let mut runs = Vec::new();
         for runner in 0..self.runners.len() {
@@ -110,15 +110,15 @@
         Ok(runs)
     }
 
-    /// Sets how a runner behaves: `healthy`, `failing` or `hanging`.
+    /// Sets the behaviour of a runner: `healthy`, `failing` or `hanging`.
     ///
     /// # Errors
     ///
-    /// Fails when the runner does not answer.
+    /// Fails when the runner does not respond.
     pub async fn set_runner_mode(&self, runner: usize, mode: &str) -> Result<()> {
         let url = format!("http://{}/standin/mode", self.runner_address(runner));
-        let answer = TestRequest::put_json(&url, &mode)?.send().await?;
-        ensure!(answer.status == 204, "mode: {}", answer.text());
+        let response = TestRequest::put_json(&url, &mode)?.send().await?;
+        ensure!(response.status == 204, "mode: {}", response.text());
         Ok(())
     }
 
@@ -126,16 +126,16 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn set_faults(&self, plan: serde_json::Value) -> Result<()> {
         self.put_platform("/standin/faults", plan).await
     }
 
-    /// Sets how the list of VMs behaves.
+    /// Sets the faults of the list of VMs, and how it handles reboots.
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn set_list(&self, plan: serde_json::Value) -> Result<()> {
         self.put_platform("/standin/list", plan).await
     }
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn list_runner(&mut self, runner: usize, state: VmState) -> Result<()> {
         self.vms[runner].state = state;
         self.put_vms().await
@@ -153,15 +153,15 @@
     pub(crate) async fn put_vms(&self) -> Result<()> {
         let url = self.platform_url("/standin/vms");
         let listed: Vec<&ListedVm> = self.vms.iter().chain(&self.own_vms).collect();
-        let answer = TestRequest::put_json(&url, &listed)?.send().await?;
-        ensure!(answer.status == 204, "list: {}", answer.text());
+        let response = TestRequest::put_json(&url, &listed)?.send().await?;
+        ensure!(response.status == 204, "list: {}", response.text());
         Ok(())
     }
 
     pub(crate) async fn put_platform(&self, path: &str, plan: serde_json::Value) -> Result<()> {
         let url = self.platform_url(path);
-        let answer = TestRequest::put_json(&url, &plan)?.send().await?;
-        ensure!(answer.status == 204, "{path}: {}", answer.text());
+        let response = TestRequest::put_json(&url, &plan)?.send().await?;
+        ensure!(response.status == 204, "{path}: {}", response.text());
         Ok(())
     }
 }
--- a/crates/hoisthitch-tests/src/process.rs
+++ b/crates/hoisthitch-tests/src/process.rs
@@ -24,7 +24,7 @@
 
 use crate::wait::wait_until;
 
-/// A process that ends with its test.
+/// A process that is killed when this value is dropped.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: Child,
@@ -41,7 +41,7 @@
         Self::start_with(binary, args, log, Stdio::null())
     }
 
-    /// Starts a binary as [`ChildProcess::start`] does, with standard input.
+    /// Starts a binary as [`ChildProcess::start`] does, with a standard input.
     ///
     /// # Errors
     ///
@@ -79,18 +79,18 @@
         }
     }
 
-    /// Ends the process, if it runs.
+    /// Kills the process, if it runs, and waits for its end.
     pub fn end(&mut self) {
-        // A process that has ended already needs no end.
+        // Both fail if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// How the process ended; nothing while it runs.
+    /// Exit status of the process; none while it runs.
     ///
     /// # Errors
     ///
-    /// Fails when that can't be known.
+    /// Fails when the system can't report it.
     pub fn status(&mut self) -> Result<Option<ExitStatus>> {
         Ok(self.child.try_wait()?)
     }
@@ -109,7 +109,7 @@
         .await
     }
 
-    /// What the process has written so far.
+    /// Output of the process so far.
     ///
     /// # Errors
     ///
@@ -133,7 +133,7 @@
         Ok(kib << 10)
     }
 
-    /// Processor time used, user and system together.
+    /// Processor time used so far, user and system together.
     ///
     /// # Errors
     ///
@@ -143,7 +143,7 @@
         let (_, fields) = stat
             .rsplit_once(')')
             .ok_or_else(|| eyre!("the process is gone"))?;
-        // Fields 14 and 15 of proc(5), counted from field 3 here.
+        // Fields 14 and 15 of /proc/PID/stat, see proc(5); the first field here is field 3.
         let ticks: u64 = fields
             .split_whitespace()
             .skip(11)
@@ -163,7 +163,7 @@
     }
 }
 
-/// Finds a binary beside the test's own folder in the target directory.
+/// Path of a binary in the target directory that the test itself runs from.
 fn binary_path(binary: &str) -> Result<PathBuf> {
     let test = env::current_exe()?;
     let folder = test
--- a/crates/hoisthitch-tests/src/proxies.rs
+++ b/crates/hoisthitch-tests/src/proxies.rs
@@ -19,8 +19,8 @@
 };
 
 impl Fleet {
-    /// Starts a proxy in front of an address; its faults are set at the port
-    /// after the one it listens on.
+    /// Starts a TCP proxy in front of an address. It takes [`Fleet::set_proxy`] at the port after
+    /// the one it listens on.
     ///
     /// # Errors
     ///
@@ -29,7 +29,7 @@
         self.spawn_proxy(port, to, &[]).await
     }
 
-    /// Starts a proxy for datagrams.
+    /// Starts a UDP proxy in front of an address, with the same ports.
     ///
     /// # Errors
     ///
@@ -66,15 +66,15 @@
         Ok(child)
     }
 
-    /// Sets the faults of a proxy.
+    /// Sets the faults of the proxy that listens on `port`.
     ///
     /// # Errors
     ///
-    /// Fails when the proxy does not answer.
+    /// Fails when the proxy does not respond.
     pub async fn set_proxy(&self, port: u16, plan: serde_json::Value) -> Result<()> {
         let url = format!("http://{}/standin/plan", self.own_address(port + 1));
-        let answer = TestRequest::put_json(&url, &plan)?.send().await?;
-        ensure!(answer.status == 204, "proxy: {}", answer.text());
+        let response = TestRequest::put_json(&url, &plan)?.send().await?;
+        ensure!(response.status == 204, "proxy: {}", response.text());
         Ok(())
     }
 }
--- a/crates/hoisthitch-tests/src/scripted.rs
+++ b/crates/hoisthitch-tests/src/scripted.rs
@@ -1,4 +1,4 @@
-//! A runner that misbehaves by script, byte for byte, on raw sockets.
+//! A runner that follows a script, byte for byte, on raw sockets, and a client for raw bytes.
 
 use std::{
     net::SocketAddr,
@@ -23,7 +23,7 @@
     task::JoinHandle, //
 };
 
-/// What the runner does with each connection.
+/// A step of the script that the runner follows on each connection.
 #[derive(Clone, Debug)]
 pub enum ScriptStep {
     /// Reads one request, to the end of its body.
@@ -36,7 +36,7 @@
     Reset,
 }
 
-/// A runner that follows a script on each connection, then closes it.
+/// A runner that follows the same script on each connection, then closes it.
 pub struct ScriptedRunner {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Address that it listens on; the system's choice if port 0 was asked for.
+    /// Address that it listens on; its port is chosen by the system if 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -94,7 +94,7 @@
             ScriptStep::Read => {
                 let request = read_request(&mut stream).await?;
                 if request.is_empty() {
-                    // A connection that was opened ahead and never used.
+                    // The entry opened the connection in advance and never used it.
                     return Ok(());
                 }
                 let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
@@ -114,7 +114,7 @@
     Ok(())
 }
 
-/// Reads a head, and a body of the length that the head names.
+/// Reads a request: its head, and a body of the length given in the head.
 async fn read_request(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut bytes = Vec::new();
     let mut buffer = vec![0; 64 << 10];
@@ -141,45 +141,49 @@
         .unwrap_or(0)
 }
 
-/// Sends bytes on a connection of its own and reads until it is closed, or
-/// until nothing has come for `quiet`.
+/// Sends bytes on a new connection and reads until it is closed, or until nothing has arrived for
+/// `quiet`.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be connected to.
-pub async fn raw_exchange(address: SocketAddr, bytes: &[u8], quiet: Duration) -> Result<RawAnswer> {
+/// Fails when the connection can't be opened, or breaks.
+pub async fn raw_exchange(
+    address: SocketAddr,
+    bytes: &[u8],
+    quiet: Duration,
+) -> Result<RawResponse> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(bytes).await?;
-    let mut answer = RawAnswer::default();
+    let mut response = RawResponse::default();
     let mut buffer = vec![0; 64 << 10];
     loop {
         match tokio::time::timeout(quiet, stream.read(&mut buffer)).await {
-            Err(_) => return Ok(answer),
-            Ok(Ok(size)) if size > 0 => answer.bytes.extend_from_slice(&buffer[..size]),
+            Err(_) => return Ok(response),
+            Ok(Ok(size)) if size > 0 => response.bytes.extend_from_slice(&buffer[..size]),
             Ok(_) => {
-                answer.closed = true;
-                return Ok(answer);
+                response.closed = true;
+                return Ok(response);
             }
         }
     }
 }
 
-/// What came back on a raw connection.
+/// Bytes received on a raw connection.
 #[derive(Clone, Debug, Default)]
-pub struct RawAnswer {
+pub struct RawResponse {
     /// All bytes.
     pub bytes: Vec<u8>,
-    /// Whether the connection was closed.
+    /// Whether the other side closed the connection.
     pub closed: bool,
 }
 
-impl RawAnswer {
+impl RawResponse {
     /// The bytes as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.bytes).into_owned()
     }
 
-    /// Number of answers with the status line's start.
+    /// Number of responses whose status line begins with `start`.
     pub fn count(&self, start: &str) -> usize {
         self.text().matches(start).count()
     }
--- a/crates/hoisthitch-tests/src/wait.rs
+++ b/crates/hoisthitch-tests/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for conditions, so that no test depends on how fast the machine is.
+//! Waits for conditions, so that no test depends on the speed of the machine.
 
 use std::time::Duration;
 
@@ -8,24 +8,25 @@
 };
 use tokio::time::Instant;
 
-/// Longest time that a condition is waited for.
+/// Longest wait for a condition.
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// Time between two looks.
+/// Time between two checks of a condition.
 const INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `look` answers with a value.
+/// Calls `check` again and again until it returns a value; `what` names the condition in the
+/// error.
 ///
 /// # Errors
 ///
-/// Fails when the condition does not come true in time.
-pub async fn wait_until<T, F>(what: &str, mut look: impl FnMut() -> F) -> Result<T>
+/// Fails when there is no value in time.
+pub async fn wait_until<T, F>(what: &str, mut check: impl FnMut() -> F) -> Result<T>
 where
     F: Future<Output = Option<T>>,
 {
     let limit = Instant::now() + LIMIT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return Ok(found);
         }
         if Instant::now() > limit {
