--- a/crates/hoisthitch-tests/tests/at_most_once.rs
+++ b/crates/hoisthitch-tests/tests/at_most_once.rs
@@ -1,5 +1,7 @@
-//! At most once: requests that may not be repeated, and the claims of their
-//! idempotency keys, while entries, the store and answers fail.
+//! Requests that may run at most once, and the claims of their idempotency keys.
+//!
+//! The tests guard against a second run of a request, and against keys that stay claimed without
+//! a run, while entries are killed, the store fails, and responses are lost.
 
 use std::time::Duration;
 
@@ -20,8 +22,8 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-/// Longest time that a request which can't be claimed may take.
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Longest time until the response to a request whose key can't be claimed.
+const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
 
 /// Working time of a slow booking, in microseconds.
 const SLOW_US: &str = "600000";
@@ -43,7 +45,7 @@
     four_tries_at_once_run_once => tries_at_once();
 }
 
-/// Rounds of tries that come at once.
+/// Rounds of simultaneous tries.
 const ROUNDS: usize = 40;
 
 async fn fleet_of_two() -> Result<Fleet> {
@@ -61,11 +63,11 @@
     Ok(runs.iter().filter(|run| run.name == key).count())
 }
 
-/// Waits until the claim holds the answer.
+/// Sends the booking until it gets the response that the claim has recorded.
 async fn replayed(fleet: &Fleet, entry: usize, key: &str) -> Result<TestResponse> {
-    wait_until("the kept answer", || async {
-        let answer = booking(fleet, entry, key).send().await.ok()?;
-        (answer.status == 200).then_some(answer)
+    wait_until("the recorded response", || async {
+        let response = booking(fleet, entry, key).send().await.ok()?;
+        (response.status == 200).then_some(response)
     })
     .await
 }
@@ -120,22 +122,23 @@
 
 async fn lost_claim_answer(lost: u32) -> Result<()> {
     let fleet = fleet_of_two().await?;
-    // The lease is granted first, so that the loss meets the claim.
+    // The first booking has the lease granted, so that the write of the claim is the one whose
+    // response is lost.
     ensure!(booking(&fleet, 0, "warm").send().await?.status == 200);
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.set_faults(json!({"lose_answers": lost})).await?;
     let mut statuses = Vec::new();
-    let answer = wait_until("the booking to run", || {
-        let ask = booking(&fleet, 0, "b-4");
+    let response = wait_until("the booking to run", || {
+        let request = booking(&fleet, 0, "b-4");
         async {
-            let answer = ask.send().await.ok()?;
-            (answer.status == 200 || answer.outcome() != "not-run").then_some(answer)
+            let response = request.send().await.ok()?;
+            (response.status == 200 || response.outcome() != "not-run").then_some(response)
         }
     })
     .await?;
-    statuses.push(answer.status);
-    let answer = replayed(&fleet, 1, "b-4").await?;
-    statuses.push(answer.status);
+    statuses.push(response.status);
+    let response = replayed(&fleet, 1, "b-4").await?;
+    statuses.push(response.status);
     ensure!(runs_of(&fleet, "b-4").await? == 1, "statuses {statuses:?}");
     Ok(())
 }
@@ -145,10 +148,14 @@
     fleet.set_faults(faults).await?;
     for _ in 0..3 {
         let started = Instant::now();
-        let answer = booking(&fleet, 0, "b-5").send().await?;
-        ensure!(answer.status == 503 && answer.outcome() == "not-run");
-        ensure!(answer.header("retry-after").is_some());
-        ensure!(started.elapsed() < AT_ONCE, "took {:?}", started.elapsed());
+        let response = booking(&fleet, 0, "b-5").send().await?;
+        ensure!(response.status == 503 && response.outcome() == "not-run");
+        ensure!(response.header("retry-after").is_some());
+        ensure!(
+            started.elapsed() < REFUSAL_LIMIT,
+            "took {:?}",
+            started.elapsed()
+        );
     }
     ensure!(runs_of(&fleet, "b-5").await? == 0);
     fleet.set_faults(json!({})).await?;
@@ -165,11 +172,11 @@
     .await?;
     fleet.runners[0].signal("KILL")?;
     fleet.runners[0].ended().await?;
-    let answer = booking(&fleet, 0, "b-6").send().await?;
+    let response = booking(&fleet, 0, "b-6").send().await?;
     ensure!(
-        answer.outcome() == "not-run",
+        response.outcome() == "not-run",
         "outcome {}",
-        answer.outcome()
+        response.outcome()
     );
     fleet.restart_runner(0)?;
     replayed(&fleet, 1, "b-6").await?;
@@ -181,18 +188,18 @@
     let fleet = fleet_of_two().await?;
     ensure!(booking(&fleet, 0, "b-7").send().await?.status == 200);
     let other = TestRequest::post(&fleet.caller_url(1, "/quotes/book"), b"hall 4");
-    let answer = other.header("idempotency-key", "b-7").send().await?;
-    ensure!(answer.status == 422 && answer.outcome() == "not-run");
+    let response = other.header("idempotency-key", "b-7").send().await?;
+    ensure!(response.status == 422 && response.outcome() == "not-run");
     Ok(())
 }
 
 async fn bad_key() -> Result<()> {
     let fleet = fleet_of_two().await?;
     for key in ["a/b", "a b", ""] {
-        let ask = TestRequest::post(&fleet.caller_url(0, "/quotes/book"), b"hall 3");
-        let answer = ask.header("idempotency-key", key).send().await?;
-        ensure!(answer.status == 400, "key '{key}': {}", answer.status);
-        ensure!(answer.outcome() == "not-run");
+        let request = TestRequest::post(&fleet.caller_url(0, "/quotes/book"), b"hall 3");
+        let response = request.header("idempotency-key", key).send().await?;
+        ensure!(response.status == 400, "key '{key}': {}", response.status);
+        ensure!(response.outcome() == "not-run");
     }
     Ok(())
 }
@@ -204,8 +211,8 @@
     let tries: Vec<_> = (0..COUNT)
         .map(|number| actix_rt::spawn(booking(&fleet, 0, &format!("g-{number}")).send()))
         .collect();
-    for answer in tries {
-        ensure!(answer.await??.status == 200);
+    for response in tries {
+        ensure!(response.await??.status == 200);
     }
     let writes = store_writes(&fleet).await? - before;
     ensure!(
@@ -238,9 +245,8 @@
     Ok(())
 }
 
-/// All slots are taken, so that the booking waits in the queue when its caller
-/// hangs up. It may run all the same; what must not be is that it neither ran
-/// nor can run.
+/// Guards against a key that can't be used although its request never ran: all slots are taken,
+/// so that the booking waits in the queue when its caller hangs up. The booking itself may run.
 async fn queued_hang_up() -> Result<()> {
     let fleet = Fleet::start(FleetPlan {
         entries: 1,
@@ -251,7 +257,7 @@
     let slow = |_| TestRequest::get(&fleet.caller_url(0, "/quotes/1")).header("x-work-us", SLOW_US);
     let slow: Vec<_> = (0..8)
         .map(slow)
-        .map(|ask| actix_rt::spawn(ask.send()))
+        .map(|request| actix_rt::spawn(request.send()))
         .collect();
     wait_until("all slots to be taken", || async {
         let pool = fleet.status(0).await.ok()?.pools.pop()?;
@@ -261,15 +267,16 @@
     let request = b"POST /quotes/book HTTP/1.1\r\nhost: x\r\nidempotency-key: b-9\r\n\
         x-request-name: b-9\r\ncontent-length: 6\r\n\r\nhall 3";
     raw_exchange(fleet.caller_address(0), request, Duration::from_millis(150)).await?;
-    for answer in slow {
-        ensure!(answer.await??.status == 200);
+    for response in slow {
+        ensure!(response.await??.status == 200);
     }
     replayed(&fleet, 0, "b-9").await?;
     ensure!(runs_of(&fleet, "b-9").await? == 1);
     Ok(())
 }
 
-/// Two tries at each entry, so that both of an entry meet in one batch.
+/// Guards against two runs when tries with one key come together. There are two tries at each
+/// entry, so that both are claimed in one batch.
 async fn tries_at_once() -> Result<()> {
     let fleet = fleet_of_two().await?;
     for round in 0..ROUNDS {
@@ -277,13 +284,13 @@
         let tries: Vec<_> = [0, 0, 1, 1]
             .into_iter()
             .map(|entry| booking(&fleet, entry, &key).header("x-work-us", "50000"))
-            .map(|ask| actix_rt::spawn(ask.send()))
+            .map(|request| actix_rt::spawn(request.send()))
             .collect();
         let mut ran = 0;
-        for answer in tries {
-            let answer = answer.await??;
-            let fresh = answer.header("hoisthitch-replayed").is_none();
-            ran += usize::from(answer.status == 200 && fresh);
+        for response in tries {
+            let response = response.await??;
+            let fresh = response.header("hoisthitch-replayed").is_none();
+            ran += usize::from(response.status == 200 && fresh);
         }
         ensure!(ran == 1, "round {round}: {ran} tries were answered as run");
         ensure!(runs_of(&fleet, &key).await? == 1, "round {round}");
--- a/crates/hoisthitch-tests/tests/command_line.rs
+++ b/crates/hoisthitch-tests/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line: examples that check, faults that name file, line and key,
-//! and exit codes.
+//! The command line: the examples are valid, errors name file, line and key, and exit codes are
+//! as documented.
 
 use std::{
     fs,
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// Writes settings of the command line for a fleet's first entry.
+/// Writes settings with which the command line uses a fleet's first entry; returns their path.
 fn operator_settings(fleet: &Fleet) -> Result<String> {
     let path = fleet.folder().join("hoisthitch.ini");
     let entry = fleet.operator_url(0, "");
--- a/crates/hoisthitch-tests/tests/explain/log.rs
+++ b/crates/hoisthitch-tests/tests/explain/log.rs
@@ -1,4 +1,4 @@
-//! Logs made by hand, and the story that is told of them.
+//! Handwritten logs, and checks of the story that `hoisthitch explain` prints for them.
 
 use std::{
     fs,
@@ -17,7 +17,7 @@
 /// The job of all cases.
 pub const JOB: &str = "65bd3cee1af65aae";
 
-/// A log in a file of its own, removed at the end.
+/// A log in a file, which is removed at the end.
 pub struct NodeLog(pub PathBuf);
 
 impl NodeLog {
@@ -31,12 +31,12 @@
 
 impl Drop for NodeLog {
     fn drop(&mut self) {
-        // Files of the tests may be left over.
+        // A file that can't be removed stays in the temporary directory.
         let _ = fs::remove_file(&self.0);
     }
 }
 
-/// A log line, `ms` milliseconds into the story.
+/// A log line of a node, `ms` milliseconds after the start of the log.
 pub fn line(ms: u64, node: &str, event: &str) -> String {
     let (seconds, ms) = (ms / 1_000, ms % 1_000);
     let (minutes, seconds) = (seconds / 60, seconds % 60);
@@ -63,7 +63,7 @@
     line(ms, "node-2", &event)
 }
 
-/// A job that was accepted, taken in by node-2 and begun on runner r-1.
+/// The log of a job that node-1 accepted, and that node-2 took in and started on runner r-1.
 pub fn begun() -> String {
     [
         line(1_000, "node-2", "pool_taken pool=p term=1 epoch=11"),
@@ -79,7 +79,7 @@
     run_command(&["explain", JOB, "--log", &log.0.display().to_string()]).await
 }
 
-/// Runs a case and checks that the story holds all of `wanted`.
+/// Explains a log, and checks that the story contains all of `wanted`; returns the story.
 pub async fn check(name: &str, log: &str, wanted: &[&str]) -> Result<String> {
     let run = explain(name, log).await?;
     ensure!(run.code == Some(0), "{:?} {}", run.code, run.text);
--- a/crates/hoisthitch-tests/tests/explain/main.rs
+++ b/crates/hoisthitch-tests/tests/explain/main.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch explain`, on logs made by hand.
+//! `hoisthitch explain`, on handwritten logs.
 
 mod log;
 mod refusals;
@@ -55,7 +55,7 @@
     no_log_ends_with_code_2 => no_log();
 }
 
-/// A job that ended late, after it had waited for room.
+/// A job that ended late, after it had waited for free capacity.
 async fn ended() -> Result<()> {
     let event = format!(
         "job_ended job={JOB} queue=q pool=p phase=Completed took_ms=4000 objective_ms=2000 \
@@ -67,7 +67,6 @@
     Ok(())
 }
 
-/// A runner started again under its name while a task ran on it.
 /// The story names the runners that were lost under a task, and why its job failed.
 async fn given_up() -> Result<()> {
     let lost = |ms, run: u64, runner: &str| {
@@ -96,6 +95,7 @@
     Ok(())
 }
 
+/// A runner restarted under its name while a task ran on it.
 async fn restarted_runner() -> Result<()> {
     let event = "runner_answers_anew pool=p runner=r-1@1700000009000 before=r-1@1700000000000 \
                  ended=1 doubtful=0";
--- a/crates/hoisthitch-tests/tests/explain/refusals.rs
+++ b/crates/hoisthitch-tests/tests/explain/refusals.rs
@@ -1,4 +1,4 @@
-//! Submissions that were refused, or had no clear answer.
+//! Stories of submissions that were refused, or whose outcome is unknown.
 
 use eyre::{
     Result,
@@ -119,7 +119,7 @@
     let call = |method: &str| {
         format!("queue_unknown method={method} host=h.example path=/q/{JOB} policy=4 queues=7")
     };
-    // Questions for the state tell nothing of what became of it.
+    // The GET asks only for the job's state, so that its refusal says nothing of the submission.
     let log = [
         line(4_000, "node-1", &call("POST")),
         line(4_100, "node-2", &call("GET")),
--- a/crates/hoisthitch-tests/tests/job_watch.rs
+++ b/crates/hoisthitch-tests/tests/job_watch.rs
@@ -1,4 +1,4 @@
-//! `hoisthitch job submit --watch`, against a node that answers by script.
+//! `hoisthitch job submit --watch`, against a node with scripted responses.
 
 use std::{
     fs,
@@ -45,7 +45,7 @@
     time_without_watch_ends_with_code_2 => time_without_watch();
 }
 
-/// Files of one case, removed at the end.
+/// Node and files of one case; the files are removed at the end.
 struct WatchCase {
     node: ScriptedRunner,
     folder: PathBuf,
@@ -75,14 +75,14 @@
         run_command(&[&["--settings", settings.as_str()], words].concat()).await
     }
 
-    /// Hands a job in and watches it.
+    /// Submits a job and watches it.
     async fn watch(&self, words: &[&str]) -> Result<CommandRun> {
         let file = self.path("job.json");
         let submit = ["job", "submit", "q", &file, "--id", "j1", "--watch"];
         self.run(&[&submit, words].concat()).await
     }
 
-    /// Calls that the node read, by method.
+    /// Number of requests to the node that begin with `method`.
     fn calls(&self, method: &str) -> usize {
         let requests = self.node.requests();
         let calls = requests.iter().filter(|text| text.starts_with(method));
@@ -92,7 +92,7 @@
 
 impl Drop for WatchCase {
     fn drop(&mut self) {
-        // Files of the tests may be left over.
+        // A folder that can't be removed stays in the temporary directory.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
@@ -102,9 +102,9 @@
     Send(format!("HTTP/1.1 {status}\r\n{head}: {}\r\n\r\n{body}", body.len()).into_bytes())
 }
 
-/// An answer of the node: the job's state.
-fn seen(phase: JobPhase, done: usize) -> Result<ScriptStep> {
-    let answer = JobAnswer {
+/// A response of the node with the job's state.
+fn state(phase: JobPhase, done: usize) -> Result<ScriptStep> {
+    let response = JobAnswer {
         id: "j1".to_owned(),
         pool: "p".to_owned(),
         phase,
@@ -113,19 +113,19 @@
         done,
         failed_runs: 0,
     };
-    Ok(raw("200 OK", &serde_json::to_string(&answer)?))
+    Ok(raw("200 OK", &serde_json::to_string(&response)?))
 }
 
-/// Reads a call before each of the answers, on one connection.
-fn answers(answers: Vec<ScriptStep>) -> Vec<ScriptStep> {
-    let steps = answers.into_iter().flat_map(|answer| [Read, answer]);
+/// The script that reads a request before each of the responses, on one connection.
+fn one_connection(responses: Vec<ScriptStep>) -> Vec<ScriptStep> {
+    let steps = responses.into_iter().flat_map(|response| [Read, response]);
     steps.collect()
 }
 
 async fn completed() -> Result<()> {
-    let script = answers(vec![
-        seen(JobPhase::Queued, 0)?,
-        seen(JobPhase::Completed, 2)?,
+    let script = one_connection(vec![
+        state(JobPhase::Queued, 0)?,
+        state(JobPhase::Completed, 2)?,
     ]);
     let case = WatchCase::start("completed", script).await?;
     let run = case.watch(&[]).await?;
@@ -135,13 +135,13 @@
 }
 
 async fn changes() -> Result<()> {
-    let script = answers(vec![
-        seen(JobPhase::Queued, 0)?,
-        seen(JobPhase::Queued, 0)?,
-        seen(JobPhase::Running, 0)?,
-        seen(JobPhase::Running, 1)?,
-        seen(JobPhase::Running, 1)?,
-        seen(JobPhase::Completed, 2)?,
+    let script = one_connection(vec![
+        state(JobPhase::Queued, 0)?,
+        state(JobPhase::Queued, 0)?,
+        state(JobPhase::Running, 0)?,
+        state(JobPhase::Running, 1)?,
+        state(JobPhase::Running, 1)?,
+        state(JobPhase::Completed, 2)?,
     ]);
     let case = WatchCase::start("changes", script).await?;
     let run = case.watch(&[]).await?;
@@ -156,7 +156,7 @@
 
 /// Watches a job that ends in `phase` and checks the exit code.
 async fn ends(name: &str, phase: JobPhase, code: i32) -> Result<()> {
-    let script = answers(vec![seen(JobPhase::Running, 1)?, seen(phase, 1)?]);
+    let script = one_connection(vec![state(JobPhase::Running, 1)?, state(phase, 1)?]);
     let case = WatchCase::start(name, script).await?;
     let run = case.watch(&["--time-limit", "30s"]).await?;
     ensure!(run.code == Some(code), "{:?} {}", run.code, run.text);
@@ -174,7 +174,7 @@
 }
 
 async fn time_up() -> Result<()> {
-    let script = answers(vec![seen(JobPhase::Running, 1)?; 40]);
+    let script = one_connection(vec![state(JobPhase::Running, 1)?; 40]);
     let case = WatchCase::start("time-up", script).await?;
     let run = case.watch(&["--time-limit", "600ms"]).await?;
     ensure!(run.code == Some(6), "{:?} {}", run.code, run.text);
@@ -189,7 +189,7 @@
 
 async fn hanging_node() -> Result<()> {
     let hang = ScriptStep::Wait(Duration::from_secs(60));
-    let script = vec![Read, seen(JobPhase::Running, 1)?, Read, hang];
+    let script = vec![Read, state(JobPhase::Running, 1)?, Read, hang];
     let case = WatchCase::start("hanging", script).await?;
     let started = Instant::now();
     let run = case.watch(&["--time-limit", "1s"]).await?;
@@ -200,13 +200,13 @@
 }
 
 async fn growing_pauses() -> Result<()> {
-    let script = answers(vec![seen(JobPhase::Running, 1)?; 40]);
+    let script = one_connection(vec![state(JobPhase::Running, 1)?; 40]);
     let case = WatchCase::start("pauses", script).await?;
     let run = case.watch(&["--time-limit", "3s"]).await?;
     ensure!(run.code == Some(6), "{:?} {}", run.code, run.text);
-    // After 0.25, 0.75 and 1.75 seconds, at the earliest.
-    let looks = case.calls("GET");
-    ensure!((1..=3).contains(&looks), "{looks} looks in 3 s");
+    // The requests come after 0.25, 0.75 and 1.75 seconds at the earliest.
+    let requests = case.calls("GET");
+    ensure!((1..=3).contains(&requests), "{requests} requests in 3 s");
     ensure!(run.text.matches("in pool p").count() == 1, "{}", run.text);
     Ok(())
 }
@@ -216,23 +216,23 @@
         "503 Service Unavailable",
         r#"{"error":"can't be read now"}"#,
     );
-    let script = answers(vec![
-        seen(JobPhase::Running, 0)?,
+    let script = one_connection(vec![
+        state(JobPhase::Running, 0)?,
         fault.clone(),
         fault,
-        seen(JobPhase::Completed, 2)?,
+        state(JobPhase::Completed, 2)?,
     ]);
     let case = WatchCase::start("for-a-while", script).await?;
     let run = case.watch(&[]).await?;
     ensure!(run.code == Some(0), "{:?} {}", run.code, run.text);
-    let told = run.text.matches("can't be read now; asking again").count();
-    ensure!(told == 1, "{}", run.text);
+    let notices = run.text.matches("can't be read now; asking again").count();
+    ensure!(notices == 1, "{}", run.text);
     Ok(())
 }
 
 async fn node_lost() -> Result<()> {
-    // A new connection would be told of the job once more; each ends in a reset.
-    let script = vec![Read, seen(JobPhase::Running, 1)?, Read, Reset];
+    // The script starts anew on each connection: it reports the job once, and then resets.
+    let script = vec![Read, state(JobPhase::Running, 1)?, Read, Reset];
     let case = WatchCase::start("lost", script).await?;
     let run = case.watch(&["--time-limit", "2s"]).await?;
     ensure!(run.code == Some(6), "{:?} {}", run.code, run.text);
@@ -242,7 +242,7 @@
 }
 
 async fn refused() -> Result<()> {
-    let script = answers(vec![raw(
+    let script = one_connection(vec![raw(
         "503 Service Unavailable",
         r#"{"error":"not taken, and will not run; hand it in again"}"#,
     )]);
@@ -254,8 +254,8 @@
 }
 
 async fn gone() -> Result<()> {
-    let script = answers(vec![
-        seen(JobPhase::Running, 0)?,
+    let script = one_connection(vec![
+        state(JobPhase::Running, 0)?,
         raw("404 Not Found", r#"{"error":"there is no such job"}"#),
     ]);
     let case = WatchCase::start("gone", script).await?;
@@ -266,9 +266,9 @@
 }
 
 async fn status_watched() -> Result<()> {
-    let script = answers(vec![
-        seen(JobPhase::Running, 0)?,
-        seen(JobPhase::Failed, 1)?,
+    let script = one_connection(vec![
+        state(JobPhase::Running, 0)?,
+        state(JobPhase::Failed, 1)?,
     ]);
     let case = WatchCase::start("status", script).await?;
     let words = ["job", "status", "j1", "--watch", "--time-limit", "30s"];
--- a/crates/hoisthitch-tests/tests/leaving.rs
+++ b/crates/hoisthitch-tests/tests/leaving.rs
@@ -1,5 +1,7 @@
-//! Upstreams that leave: no new work reaches them after a few seconds, whatever
-//! the list of VMs, the store, the mesh and the entry itself go through.
+//! Upstreams whose VM is listed as leaving.
+//!
+//! The tests guard against new requests to such an upstream after the limit, while the list of
+//! VMs, the store or the mesh can't be reached, or the entry itself is frozen.
 
 use std::time::{
     Duration,
@@ -25,7 +27,7 @@
 /// Port of the proxy in front of one entry's platform.
 const PROXY_PORT: u16 = 9_600;
 
-/// Time after which a leaving upstream must get no new work.
+/// Time after which a leaving upstream must get no new requests.
 const LEAVING_LIMIT: Duration = Duration::from_secs(3);
 
 cases! {
@@ -37,19 +39,20 @@
     requests_under_way_at_a_leaving_runner_end_well => under_way();
 }
 
-/// Sends requests for a while through an entry; answers with how many ran.
+/// Sends `count` requests through an entry, one after another; returns how many ran.
 async fn load(fleet: &Fleet, entry: usize, count: usize) -> Result<usize> {
     let mut ran = 0;
     for number in 0..count {
         let url = fleet.caller_url(entry, "/quotes/1");
-        let ask = TestRequest::get(&url).header("x-request-name", &format!("r-{entry}-{number}"));
-        ran += usize::from(ask.send().await?.outcome() == "ran");
+        let request =
+            TestRequest::get(&url).header("x-request-name", &format!("r-{entry}-{number}"));
+        ran += usize::from(request.send().await?.outcome() == "ran");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     Ok(ran)
 }
 
-/// Checks that the runner started nothing after the limit.
+/// Checks that the runner started no request after the limit.
 async fn ensure_none_after(fleet: &Fleet, runner: usize, left_us: u64) -> Result<()> {
     let limit = left_us + u64::try_from(LEAVING_LIMIT.as_micros())?;
     let late = fleet.journal(runner).await?;
@@ -98,32 +101,32 @@
 
 async fn frozen() -> Result<()> {
     let mut fleet = Fleet::start(FleetPlan::default()).await?;
-    // Requests wait in the frozen entry's sockets and are served on waking.
+    // Requests wait in the frozen entry's sockets and are served when it continues.
     fleet.entries[1].signal("STOP")?;
     let mut waiting = Vec::new();
     for number in 0..20 {
         let url = fleet.caller_url(1, "/quotes/1");
-        let ask = TestRequest::get(&url).header("x-request-name", &format!("f-{number}"));
-        waiting.push(actix_rt::spawn(ask.send()));
+        let request = TestRequest::get(&url).header("x-request-name", &format!("f-{number}"));
+        waiting.push(actix_rt::spawn(request.send()));
     }
     fleet.list_runner(0, VmState::Leaving).await?;
     let left = now_us()?;
     tokio::time::sleep(LEAVING_LIMIT + Duration::from_millis(500)).await;
     fleet.entries[1].signal("CONT")?;
-    for answer in waiting {
-        let answer = answer.await??;
+    for response in waiting {
+        let response = response.await??;
         ensure!(
-            matches!(answer.outcome(), "ran" | "not-run"),
+            matches!(response.outcome(), "ran" | "not-run"),
             "{}",
-            answer.outcome()
+            response.outcome()
         );
     }
     ensure_none_after(&fleet, 0, left).await?;
     wait_until("the entry to serve again", || async {
-        let answer = TestRequest::get(&fleet.caller_url(1, "/quotes/1"))
+        let response = TestRequest::get(&fleet.caller_url(1, "/quotes/1"))
             .send()
             .await;
-        (answer.ok()?.status == 200).then_some(())
+        (response.ok()?.status == 200).then_some(())
     })
     .await?;
     ensure_none_after(&fleet, 0, left).await
@@ -143,8 +146,8 @@
     fleet.set_proxy(PROXY_PORT, json!({"cut": true})).await?;
     let url = fleet.caller_url(0, "/quotes/1");
     wait_until("the entry to refuse work", || async {
-        let answer = TestRequest::get(&url).send().await.ok()?;
-        (answer.status == 503 && answer.outcome() == "not-run").then_some(())
+        let response = TestRequest::get(&url).send().await.ok()?;
+        (response.status == 503 && response.outcome() == "not-run").then_some(())
     })
     .await?;
     let ready = TestRequest::get(&fleet.operator_url(0, "/ready"))
@@ -156,8 +159,8 @@
     );
     fleet.set_proxy(PROXY_PORT, json!({})).await?;
     wait_until("the entry to serve again", || async {
-        let answer = TestRequest::get(&url).send().await.ok()?;
-        (answer.status == 200).then_some(())
+        let response = TestRequest::get(&url).send().await.ok()?;
+        (response.status == 200).then_some(())
     })
     .await
 }
@@ -178,7 +181,7 @@
     })
     .await?;
     fleet.list_runner(0, VmState::Leaving).await?;
-    let answer = slow.await??;
-    ensure!(answer.status == 200 && answer.body == b"order");
+    let response = slow.await??;
+    ensure!(response.status == 200 && response.body == b"order");
     Ok(())
 }
--- a/crates/hoisthitch-tests/tests/mesh.rs
+++ b/crates/hoisthitch-tests/tests/mesh.rs
@@ -1,5 +1,7 @@
-//! The mesh: strangers, old versions and garbage are refused and logged, and do
-//! not disturb the entries; lost, late and doubled datagrams do neither.
+//! The mesh between entries.
+//!
+//! Peers with unknown keys, other versions and malformed frames must be refused and logged. Neither
+//! they nor lost, late and duplicated datagrams may affect the service of the entries.
 
 use std::{
     net::SocketAddr,
@@ -24,7 +26,7 @@
 use quinn::Endpoint;
 use serde_json::json;
 
-/// First port of the proxies in front of the entries' mesh addresses.
+/// Port of the proxy in front of the first entry's mesh address.
 const PROXY_PORT: u16 = 9_700;
 
 cases! {
@@ -53,18 +55,18 @@
     serves(&fleet).await
 }
 
-async fn bytes_refused(bytes: &[u8], told: &str) -> Result<()> {
+async fn bytes_refused(bytes: &[u8], reason: &str) -> Result<()> {
     let fleet = Fleet::start(FleetPlan::default()).await?;
     let keys = fleet.folder().join("keys");
     let _connection = send_bytes(&fleet, &keys, bytes).await?;
     wait_for_log(&fleet, "event=peer_refused").await?;
     let log = fleet.entries[0].log()?;
     let line = log.lines().find(|line| line.contains("event=peer_refused"));
-    ensure!(line.is_some_and(|line| line.contains(told)), "{line:?}");
+    ensure!(line.is_some_and(|line| line.contains(reason)), "{line:?}");
     serves(&fleet).await
 }
 
-/// Connects to the first entry with the keys in a folder and sends raw bytes.
+/// Connects to the first entry with the keys in a folder, and sends raw bytes.
 async fn send_bytes(
     fleet: &Fleet,
     keys: &Path,
@@ -92,14 +94,14 @@
     .await
 }
 
-/// Both entries serve, and a change reaches the other one.
+/// Checks that both entries serve, and that a change of the table at one reaches the other.
 async fn serves(fleet: &Fleet) -> Result<()> {
     for entry in 0..2 {
         let url = fleet.caller_url(entry, "/quotes/1");
         ensure!(TestRequest::get(&url).send().await?.status == 200);
     }
-    let answer = fleet.set_cell(0, "quotes", "queue_limit", "77").await?;
-    ensure!(answer.status == 200);
+    let response = fleet.set_cell(0, "quotes", "queue_limit", "77").await?;
+    ensure!(response.status == 200);
     let revision = fleet.table(0).await?.revision;
     fleet.wait_for_revision(1, revision).await
 }
@@ -119,7 +121,8 @@
     Ok((fleet, proxies))
 }
 
-/// The store is out, so that only the mesh can keep the view fresh.
+/// The store and the list of VMs are unavailable, so that only the mesh can confirm the entries'
+/// view, while datagrams are late and duplicated.
 async fn rough_network() -> Result<()> {
     let (fleet, _proxies) = proxied().await?;
     for entry in 0..2 {
@@ -133,8 +136,8 @@
         tokio::time::sleep(Duration::from_millis(400)).await;
         for entry in 0..2 {
             let url = fleet.caller_url(entry, "/quotes/1");
-            let answer = TestRequest::get(&url).send().await?;
-            ensure!(answer.status == 200, "{}", answer.text());
+            let response = TestRequest::get(&url).send().await?;
+            ensure!(response.status == 200, "{}", response.text());
         }
     }
     Ok(())
@@ -147,7 +150,7 @@
         let plan = json!({"hold_forward": true, "hold_back": entry == 0});
         fleet.set_proxy(PROXY_PORT + 2 * entry, plan).await?;
     }
-    // All links must be down: one that outlasts the cut heals without a sign.
+    // All links must go down: one that survives the cut would recover unnoticed.
     wait_for_links(&fleet, |links| links == 0).await?;
     serves(&fleet).await?;
     for entry in 0..2 {
@@ -157,7 +160,7 @@
     serves(&fleet).await
 }
 
-/// Waits until both entries have as many mesh connections as wanted.
+/// Waits until the number of mesh connections of each entry satisfies `wanted`.
 async fn wait_for_links(fleet: &Fleet, wanted: impl Fn(u64) -> bool) -> Result<()> {
     for entry in 0..2 {
         wait_until("the mesh connections", || async {
--- a/crates/hoisthitch-tests/tests/moves.rs
+++ b/crates/hoisthitch-tests/tests/moves.rs
@@ -1,5 +1,7 @@
-//! Moves of VMs between pools: no runner ever serves two pools' work, and moves
-//! come to their end, while stewards and entries are killed, frozen and cut off.
+//! Moves of VMs between pools.
+//!
+//! The tests guard against runners that serve two pools at once, and against moves that never
+//! end, while stewards and entries are killed, frozen and cut off from the store.
 
 use std::time::Duration;
 
@@ -28,7 +30,7 @@
 /// Working time of the load's requests, in microseconds.
 const WORK_US: u64 = 150_000;
 
-/// Runners of the pool that VMs are taken from.
+/// Runners of the pool that VMs are moved from.
 const RUNNERS: usize = 4;
 
 cases! {
@@ -65,14 +67,14 @@
     SteadyLoad::start(urls, WORK_US)
 }
 
-async fn ask_move(fleet: &Fleet, vm: &str) -> Result<()> {
+async fn request_move(fleet: &Fleet, vm: &str) -> Result<()> {
     let call = MoveCall {
         vm: vm.to_owned(),
         to: "picking".to_owned(),
     };
     wait_until("the move to be taken", || async {
-        let answer = fleet.operator_post(0, MOVE_PATH, &call).await.ok()?;
-        (answer.status == 200).then_some(())
+        let response = fleet.operator_post(0, MOVE_PATH, &call).await.ok()?;
+        (response.status == 200).then_some(())
     })
     .await
 }
@@ -91,7 +93,7 @@
         .is_some_and(|found| found.pool == "picking" && found.state == AssignmentState::Serving))
 }
 
-/// Checks that no runner's runs of one pool overlap those of another.
+/// Checks for each runner that its runs for one pool don't overlap those for the other.
 async fn ensure_unmixed(fleet: &Fleet) -> Result<()> {
     for runner in 0..fleet.runners.len() {
         let runs = fleet.journal(runner).await?;
@@ -124,7 +126,7 @@
     let fleet = fleet_with(1).await?;
     let load = load(&fleet, &[0, 1]);
     for vm in ["quotes-1", "quotes-2"] {
-        ask_move(&fleet, vm).await?;
+        request_move(&fleet, vm).await?;
     }
     for vm in ["quotes-1", "quotes-2"] {
         wait_moved(&fleet, vm).await?;
@@ -146,9 +148,9 @@
     let load = load(&fleet, &[0, 1]);
     let vms = ["quotes-1", "quotes-2", "quotes-3"];
     for vm in vms {
-        ask_move(&fleet, vm).await?;
+        request_move(&fleet, vm).await?;
     }
-    // Times of 10 ms to 170 ms after the start reach every step of a move.
+    // The stewards are killed 10 ms to 170 ms after their start, so at every step of a move.
     for round in 0..9 {
         tokio::time::sleep(Duration::from_millis(10 + 20 * round)).await;
         for steward in 0..2 {
@@ -168,12 +170,12 @@
     let load = load(&fleet, &[0, 1]);
     let vms = ["quotes-1", "quotes-2", "quotes-3"];
     for vm in vms {
-        ask_move(&fleet, vm).await?;
+        request_move(&fleet, vm).await?;
     }
     for round in 0..4 {
         let steward = &fleet.stewards[round % 2];
         steward.signal("STOP")?;
-        // Longer than the lease, so that the other one takes over.
+        // The first pause is longer than the lease, so that the other steward takes over.
         tokio::time::sleep(Duration::from_millis(if round == 0 { 7_000 } else { 700 })).await;
         steward.signal("CONT")?;
         tokio::time::sleep(Duration::from_millis(150)).await;
@@ -191,7 +193,7 @@
     let load = load(&fleet, &[0, 1]);
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.entries[1].signal("STOP")?;
-    ask_move(&fleet, "quotes-1").await?;
+    request_move(&fleet, "quotes-1").await?;
     tokio::time::sleep(Duration::from_secs(4)).await;
     ensure!(
         !moved(&fleet, "quotes-1").await?,
@@ -211,7 +213,7 @@
     if !listed {
         fleet.unlist_entry(1).await?;
     }
-    ask_move(&fleet, "quotes-1").await?;
+    request_move(&fleet, "quotes-1").await?;
     if listed {
         tokio::time::sleep(Duration::from_secs(3)).await;
         ensure!(
@@ -235,7 +237,7 @@
     fleet.wait_for_routes().await?;
     let load = load(&fleet, &[0, 1]);
     fleet.set_proxy(PROXY_PORT, json!({"cut": true})).await?;
-    ask_move(&fleet, "quotes-1").await?;
+    request_move(&fleet, "quotes-1").await?;
     wait_moved(&fleet, "quotes-1").await?;
     tokio::time::sleep(Duration::from_millis(500)).await;
     load.stop().await?;
@@ -247,7 +249,7 @@
     let load = load(&fleet, &[0, 1]);
     let vms = ["quotes-1", "quotes-2"];
     for vm in vms {
-        ask_move(&fleet, vm).await?;
+        request_move(&fleet, vm).await?;
     }
     for _ in 0..10 {
         fleet.set_faults(json!({"lose_answers": 1})).await?;
@@ -264,12 +266,12 @@
 
 async fn fewest_vms() -> Result<()> {
     let fleet = fleet_with(1).await?;
-    let answer = fleet.set_cell(0, "quotes", "min_vms", "4").await?;
-    ensure!(answer.status == 200);
-    ask_move(&fleet, "quotes-1").await?;
+    let response = fleet.set_cell(0, "quotes", "min_vms", "4").await?;
+    ensure!(response.status == 200);
+    request_move(&fleet, "quotes-1").await?;
     tokio::time::sleep(Duration::from_secs(1)).await;
     ensure!(!moved(&fleet, "quotes-1").await?);
-    let answer = fleet.set_cell(0, "quotes", "min_vms", "3").await?;
-    ensure!(answer.status == 200);
+    let response = fleet.set_cell(0, "quotes", "min_vms", "3").await?;
+    ensure!(response.status == 200);
     wait_moved(&fleet, "quotes-1").await
 }
--- a/crates/hoisthitch-tests/tests/planned_stop.rs
+++ b/crates/hoisthitch-tests/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: no request is cut short, none runs twice.
+//! Planned stops of entries: no request may be lost, cut short or run twice.
 
 use std::{
     collections::BTreeMap,
@@ -27,7 +27,7 @@
     rolling_replacement_loses_and_doubles_nothing => rolling();
 }
 
-/// One runner with 8 slots, of which 16 requests at once fill two rounds.
+/// A fleet with one runner with 8 slots, so that 16 simultaneous requests run in two rounds.
 async fn narrow_fleet(settings: &str) -> Result<Fleet> {
     Fleet::start(FleetPlan {
         entries: 1,
@@ -48,7 +48,7 @@
                 .header("x-request-name", &format!("s-{number}"))
                 .header("x-work-us", "500000")
         })
-        .map(|ask| actix_rt::spawn(ask.send()))
+        .map(|request| actix_rt::spawn(request.send()))
         .collect();
     wait_until("8 to run and 8 to wait", || async {
         let pool = fleet.status(0).await.ok()?.pools.pop()?;
@@ -62,9 +62,9 @@
     let mut fleet = narrow_fleet("stop_notice = 100ms").await?;
     let answers = send_two_rounds(&fleet).await?;
     fleet.entries[0].signal("TERM")?;
-    for answer in answers {
-        let answer = answer.await??;
-        ensure!(answer.status == 200 && answer.body == b"order");
+    for response in answers {
+        let response = response.await??;
+        ensure!(response.status == 200 && response.body == b"order");
     }
     let status = fleet.entries[0].ended().await?;
     ensure!(status.success(), "{status}");
@@ -82,9 +82,9 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     fleet.entries[0].signal("TERM")?;
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
-    for answer in answers {
-        let answer = answer.await??;
-        *outcomes.entry(answer.outcome().to_owned()).or_default() += 1;
+    for response in answers {
+        let response = response.await??;
+        *outcomes.entry(response.outcome().to_owned()).or_default() += 1;
     }
     let status = fleet.entries[0].ended().await?;
     ensure!(status.success(), "{status}");
@@ -100,20 +100,21 @@
     fleet.entries[0].signal("TERM")?;
     wait_until("the entry to be no longer ready", || async {
         let url = fleet.operator_url(0, "/ready");
-        let answer = TestRequest::get(&url).send().await.ok()?;
-        (answer.status == 503).then_some(())
+        let response = TestRequest::get(&url).send().await.ok()?;
+        (response.status == 503).then_some(())
     })
     .await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = TestRequest::post(&url, b"order").send().await?;
-    ensure!(answer.status == 200, "status {}", answer.status);
-    ensure!(answer.header("connection") == Some("close"));
+    let response = TestRequest::post(&url, b"order").send().await?;
+    ensure!(response.status == 200, "status {}", response.status);
+    ensure!(response.header("connection") == Some("close"));
     let status = fleet.entries[0].ended().await?;
     ensure!(status.success(), "{status}");
     Ok(())
 }
 
-/// Six entries are replaced one after the other while callers go on.
+/// Six entries are restarted one after another while callers send requests: each request must run
+/// exactly once.
 async fn rolling() -> Result<()> {
     const ENTRIES: usize = 6;
     let mut fleet = Fleet::start(FleetPlan {
@@ -159,8 +160,8 @@
     Ok(())
 }
 
-/// A caller behind a balancer that looks at readiness every 200 ms; answers with
-/// the number of requests, all of which must have run.
+/// A caller behind a load balancer that checks the readiness of entries every 200 ms; returns the
+/// number of requests, all of which must have run.
 async fn call_until(
     urls: Vec<(String, String)>,
     caller: usize,
@@ -176,15 +177,15 @@
         }
         ensure!(!ready.is_empty(), "no entry is ready");
         let url = &ready[sent % ready.len()];
-        let ask = TestRequest::post(url, b"order")
+        let request = TestRequest::post(url, b"order")
             .header("x-request-name", &format!("c-{caller}-{sent}"))
             .header("x-work-us", "5000");
-        let answer = ask.send().await?;
+        let response = request.send().await?;
         ensure!(
-            answer.status == 200,
+            response.status == 200,
             "status {}: {}",
-            answer.status,
-            answer.text()
+            response.status,
+            response.text()
         );
         sent += 1;
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -195,8 +196,8 @@
 async fn ready_urls(urls: &[(String, String)]) -> Vec<String> {
     let mut ready = Vec::new();
     for (probe, url) in urls {
-        let answer = TestRequest::get(probe).send().await;
-        if answer.is_ok_and(|answer| answer.status == 200) {
+        let response = TestRequest::get(probe).send().await;
+        if response.is_ok_and(|response| response.status == 200) {
             ready.push(url.clone());
         }
     }
--- a/crates/hoisthitch-tests/tests/soak.rs
+++ b/crates/hoisthitch-tests/tests/soak.rs
@@ -1,7 +1,9 @@
-//! Everything at once: entries and stewards killed and frozen, the store out,
-//! slow and losing answers, runners failing and hanging, the table edited, VMs
-//! moved, while callers go on. What must hold is read from the callers' and the
-//! runners' own records. The seed is printed; `HOISTHITCH_SEED` sets another.
+//! All faults together, at random, while callers send requests: entries and stewards are killed
+//! and frozen, the store is unavailable, slow or loses responses, runners fail and hang, the table
+//! is edited, and VMs are moved.
+//!
+//! The invariants are checked on the records of the callers and the journals of the runners. The
+//! seed is printed; `HOISTHITCH_SEED` sets another.
 
 use std::{
     cell::{
@@ -41,10 +43,10 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-/// Seed of a run that names none.
+/// Seed if `HOISTHITCH_SEED` sets none.
 const SEED: u64 = 20_261_202;
 
-/// Time in which faults are injected.
+/// Time for which faults are injected.
 const TIME: Duration = Duration::from_secs(25);
 
 /// Entries of the fleet.
@@ -53,22 +55,22 @@
 /// Runners of each of the two pools.
 const RUNNERS: usize = 3;
 
-/// Callers, a third of each kind.
+/// Number of callers, a third of each kind.
 const CALLERS: usize = 9;
 
 cases! {
     nothing_runs_twice_or_crosses_over_while_all_fails => soak();
 }
 
-/// What the callers were told.
+/// Outcomes that the callers got.
 #[derive(Default)]
 struct CallerLog {
-    /// Requests that were told `not-run` and not sent again.
+    /// Requests that got the outcome `not-run` and were not sent again.
     not_run: BTreeSet<String>,
-    /// Outcomes and how often they were told.
+    /// Number of requests for each outcome.
     outcomes: BTreeMap<String, usize>,
-    /// Faults that the callers saw.
-    faults: Vec<String>,
+    /// Wrong responses that the callers got.
+    wrong_responses: Vec<String>,
 }
 
 type SharedLog = Rc<RefCell<CallerLog>>;
@@ -105,7 +107,8 @@
     check_table(&fleet).await
 }
 
-/// A caller that sends one kind of request through the entries in turn.
+/// A caller that sends one kind of request, through the entries in turn: bookings with a key,
+/// posts without one, or repeatable requests.
 struct Caller {
     urls: Vec<String>,
     number: usize,
@@ -144,13 +147,13 @@
         }
     }
 
-    /// A booking that is tried again, under its key, through other entries.
+    /// Sends a booking, and repeats it with the same key through other entries until it ran.
     async fn keyed(&self, name: &str, sent: usize) {
         for attempt in 0..4 {
-            let ask = self
+            let request = self
                 .post(name, sent + attempt)
                 .header("idempotency-key", name);
-            let outcome = self.send(ask, name).await;
+            let outcome = self.send(request, name).await;
             if outcome == "ran" {
                 return;
             }
@@ -167,8 +170,8 @@
 
     async fn repeatable(&self, name: &str, sent: usize) {
         let url = &self.urls[sent % ENTRIES];
-        let ask = TestRequest::get(url).header("x-request-name", name);
-        self.send(ask.header("hoisthitch-deadline-ms", "2000"), name)
+        let request = TestRequest::get(url).header("x-request-name", name);
+        self.send(request.header("hoisthitch-deadline-ms", "2000"), name)
             .await;
     }
 
@@ -179,13 +182,13 @@
             .header("hoisthitch-deadline-ms", "2000")
     }
 
-    async fn send(&self, ask: TestRequest, name: &str) -> String {
-        let sent = tokio::time::timeout(Duration::from_secs(10), ask.send()).await;
+    async fn send(&self, request: TestRequest, name: &str) -> String {
+        let sent = tokio::time::timeout(Duration::from_secs(10), request.send()).await;
         let (outcome, body) = match sent {
-            Ok(Ok(answer)) => {
-                let whole = answer.status == 200;
-                let outcome = answer.outcome().to_owned();
-                (outcome, whole.then(|| answer.text()))
+            Ok(Ok(response)) => {
+                let whole = response.status == 200;
+                let outcome = response.outcome().to_owned();
+                (outcome, whole.then(|| response.text()))
             }
             Ok(Err(_)) => ("no-answer".to_owned(), None),
             Err(_) => ("frozen".to_owned(), None),
@@ -195,14 +198,15 @@
             && !body.is_empty()
             && body != name
         {
-            log.faults.push(format!("{name} got the answer {body}"));
+            log.wrong_responses
+                .push(format!("{name} got the response {body}"));
         }
         *log.outcomes.entry(outcome.clone()).or_default() += 1;
         outcome
     }
 }
 
-/// Injects faults, one after the other and overlapping, until the time is over.
+/// Injects random faults, some of them overlapping, until the time is over.
 async fn inject(fleet: &mut Fleet, mut random: StdRng) -> Result<()> {
     let start = Instant::now();
     while start.elapsed() < TIME {
@@ -238,7 +242,7 @@
             }
             9 => {
                 let value = random.random_range(50..500_u32).to_string();
-                // An entry that is out takes no edit, which is no fault.
+                // An entry that is down or has no store refuses the edit, which is allowed.
                 let _ = fleet
                     .set_cell(
                         random.random_range(0..ENTRIES),
@@ -271,7 +275,7 @@
     tokio::time::sleep(Duration::from_millis(time)).await;
 }
 
-/// Ends all faults and waits until every entry serves.
+/// Ends all faults and waits until every entry is ready.
 async fn heal(fleet: &mut Fleet) -> Result<()> {
     fleet.set_faults(json!({})).await?;
     for runner in 0..2 * RUNNERS {
@@ -280,8 +284,8 @@
     for entry in 0..ENTRIES {
         wait_until("an entry to be ready", || async {
             let url = fleet.operator_url(entry, "/ready");
-            let answer = TestRequest::get(&url).send().await.ok()?;
-            (answer.status == 200).then_some(())
+            let response = TestRequest::get(&url).send().await.ok()?;
+            (response.status == 200).then_some(())
         })
         .await?;
     }
@@ -290,7 +294,7 @@
 
 fn check_callers(log: &CallerLog) -> Result<()> {
     println!("outcomes {:?}", log.outcomes);
-    ensure!(log.faults.is_empty(), "{:?}", log.faults);
+    ensure!(log.wrong_responses.is_empty(), "{:?}", log.wrong_responses);
     let ran = log.outcomes.get("ran").copied().unwrap_or(0);
     ensure!(ran > 200, "only {ran} requests ran");
     Ok(())
@@ -328,7 +332,8 @@
             open = Some((busy.max(end), path));
         }
     }
-    // Names with k0 are keyed bookings, with k1 posts that are sent once.
+    // Names that begin with k0 are bookings with a key, those with k1 are posts sent once, and
+    // those with k2 are repeatable requests.
     let once = counts.iter().filter(|(name, _)| !name.starts_with("k2"));
     let twice: Vec<_> = once.filter(|(_, count)| **count > 1).collect();
     ensure!(twice.is_empty(), "ran more than once: {twice:?}");
@@ -339,7 +344,7 @@
         .collect();
     ensure!(
         false_not_run.is_empty(),
-        "told not-run and ran: {false_not_run:?}"
+        "outcome not-run, but ran: {false_not_run:?}"
     );
     Ok(())
 }
--- a/crates/hoisthitch-tests/tests/table_changes.rs
+++ b/crates/hoisthitch-tests/tests/table_changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the table: operators that race, answers that are lost, watches
-//! that are dead, a store that is out or comes back older.
+//! Changes of the table, while operators race, responses are lost, watches get no events, and the
+//! store is unavailable or is restored from an older backup.
 
 use std::time::Duration;
 
@@ -23,11 +23,11 @@
 /// Port of the proxy in front of the store.
 const PROXY_PORT: u16 = 9_600;
 
-/// Port that nobody listens on, in place of a mesh address.
-const NOBODY_PORT: u16 = 9_700;
+/// Unused ports that entries advertise as mesh addresses, so that they don't find one another.
+const UNUSED_PORT: u16 = 9_700;
 
-/// Time within which an accepted change must be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(9);
+/// Time within which an accepted change must be in effect in every entry.
+const EFFECT_LIMIT: Duration = Duration::from_secs(9);
 
 cases! {
     second_edit_of_a_row_is_refused_with_both_versions => same_row();
@@ -108,8 +108,8 @@
     let fleet = fleet_of(2).await?;
     let before = fleet.stored_table().await?.revision;
     fleet.set_faults(json!({"lose_answers": 1})).await?;
-    let answer = fleet.set_cell(0, "quotes", "queue_limit", "33").await?;
-    ensure!(answer.status == 200, "{}", answer.text());
+    let response = fleet.set_cell(0, "quotes", "queue_limit", "33").await?;
+    ensure!(response.status == 200, "{}", response.text());
     let table = fleet.stored_table().await?;
     ensure!(table.revision == before + 1, "revision {}", table.revision);
     fleet.wait_for_revision(1, table.revision).await
@@ -119,8 +119,8 @@
     let fleet = fleet_of(2).await?;
     let before = fleet.table(0).await?;
     fleet.set_faults(json!({"outage": true})).await?;
-    let answer = fleet.set_cell(0, "quotes", "queue_limit", "33").await?;
-    ensure!(answer.status >= 500, "{}", answer.text());
+    let response = fleet.set_cell(0, "quotes", "queue_limit", "33").await?;
+    ensure!(response.status >= 500, "{}", response.text());
     for entry in 0..2 {
         ensure!(fleet.table(entry).await? == before);
         let url = fleet.caller_url(entry, "/quotes/1");
@@ -141,29 +141,38 @@
     fleet.wait_for_routes().await?;
     fleet.set_proxy(PROXY_PORT, json!({"cut": true})).await?;
     let started = Instant::now();
-    let answer = fleet.set_cell(0, "quotes", "queue_limit", "44").await?;
-    ensure!(answer.status == 200, "{}", answer.text());
+    let response = fleet.set_cell(0, "quotes", "queue_limit", "44").await?;
+    ensure!(response.status == 200, "{}", response.text());
     let revision = fleet.table(0).await?.revision;
     fleet.wait_for_revision(1, revision).await?;
-    ensure!(started.elapsed() < IN_FORCE, "took {:?}", started.elapsed());
+    ensure!(
+        started.elapsed() < EFFECT_LIMIT,
+        "took {:?}",
+        started.elapsed()
+    );
     println!("in force by peers alone after {:?}", started.elapsed());
     Ok(())
 }
 
-/// Neither watches nor peers: only the readings of the store are left.
+/// With neither watches nor peers, entries learn of the change only by their regular reads of the
+/// store.
 async fn dead_watches() -> Result<()> {
     let fleet = Fleet::start(FleetPlan {
-        mesh_proxy_port: NOBODY_PORT,
+        mesh_proxy_port: UNUSED_PORT,
         ..FleetPlan::default()
     })
     .await?;
     fleet.set_faults(json!({"silent_watches": true})).await?;
     let before = fleet.table(1).await?.revision;
     let started = Instant::now();
-    let answer = fleet.set_cell(0, "quotes", "queue_limit", "55").await?;
-    ensure!(answer.status == 200, "{}", answer.text());
+    let response = fleet.set_cell(0, "quotes", "queue_limit", "55").await?;
+    ensure!(response.status == 200, "{}", response.text());
     fleet.wait_for_revision(1, before + 1).await?;
-    ensure!(started.elapsed() < IN_FORCE, "took {:?}", started.elapsed());
+    ensure!(
+        started.elapsed() < EFFECT_LIMIT,
+        "took {:?}",
+        started.elapsed()
+    );
     Ok(())
 }
 
@@ -177,9 +186,9 @@
     })
     .await?;
     let url = fleet.caller_url(1, "/quotes/1");
-    let answer = TestRequest::get(&url).send().await?;
-    ensure!(answer.status == 503 && answer.outcome() == "not-run");
-    ensure!(answer.header("retry-after").is_some());
+    let response = TestRequest::get(&url).send().await?;
+    ensure!(response.status == 503 && response.outcome() == "not-run");
+    ensure!(response.header("retry-after").is_some());
     fleet.set_faults(json!({})).await?;
     fleet.wait_for_routes().await?;
     ensure!(TestRequest::get(&url).send().await?.status == 200);
@@ -189,8 +198,8 @@
 async fn older_store() -> Result<()> {
     let fleet = fleet_of(2).await?;
     post_platform(&fleet, "/standin/save").await?;
-    let answer = fleet.set_cell(0, "quotes", "queue_limit", "66").await?;
-    ensure!(answer.status == 200);
+    let response = fleet.set_cell(0, "quotes", "queue_limit", "66").await?;
+    ensure!(response.status == 200);
     let accepted = fleet.table(0).await?;
     post_platform(&fleet, "/standin/restore").await?;
     ensure!(fleet.stored_table().await?.revision < accepted.revision);
@@ -210,8 +219,8 @@
     post_platform(&fleet, "/standin/save").await?;
     fleet.set_cell(0, "quotes", "queue_limit", "66").await?;
     post_platform(&fleet, "/standin/restore").await?;
-    let answer = fleet.set_cell(0, "picking", "queue_limit", "77").await?;
-    ensure!(answer.status == 200, "{}", answer.text());
+    let response = fleet.set_cell(0, "picking", "queue_limit", "77").await?;
+    ensure!(response.status == 200, "{}", response.text());
     let table = fleet.stored_table().await?;
     ensure!(
         table
@@ -227,25 +236,25 @@
 }
 
 async fn post_platform(fleet: &Fleet, path: &str) -> Result<()> {
-    let answer = TestRequest::post(&fleet.platform_url(path), b"")
+    let response = TestRequest::post(&fleet.platform_url(path), b"")
         .send()
         .await?;
-    ensure!(answer.status == 204, "{path}: {}", answer.status);
+    ensure!(response.status == 204, "{path}: {}", response.status);
     Ok(())
 }
 
 async fn bad_edit() -> Result<()> {
     let fleet = fleet_of(1).await?;
     let before = fleet.table(0).await?;
-    let answer = fleet.set_cell(0, "quotes", "slots_per_runner", "0").await?;
-    ensure!(answer.status == 422);
-    let text = answer.text();
+    let response = fleet.set_cell(0, "quotes", "slots_per_runner", "0").await?;
+    ensure!(response.status == 422);
+    let text = response.text();
     ensure!(
         text.contains("quotes") && text.contains("slots_per_runner"),
         "{text}"
     );
-    let answer = fleet.set_cell(0, "quotes", "path", "picking").await?;
-    ensure!(answer.status == 422 && answer.text().contains("two rows"));
+    let response = fleet.set_cell(0, "quotes", "path", "picking").await?;
+    ensure!(response.status == 422 && response.text().contains("two rows"));
     ensure!(fleet.table(0).await? == before);
     Ok(())
 }
--- a/crates/hoisthitch-tests/tests/waves.rs
+++ b/crates/hoisthitch-tests/tests/waves.rs
@@ -1,5 +1,5 @@
-//! Maintenance waves: the availability budget holds at every moment, and waves
-//! come to their end, while stewards, the store and VMs fail.
+//! Maintenance waves: the availability budget is kept at all times, and waves end, while stewards,
+//! the store and VMs fail.
 
 use std::{
     cell::Cell,
@@ -33,13 +33,13 @@
 use serde_json::json;
 use tokio::task::JoinHandle;
 
-/// Runners of the pool; two racks.
+/// Runners of the pool, in two racks of four.
 const RUNNERS: usize = 8;
 
 /// VMs that may be absent at once.
 const BUDGET: usize = 2;
 
-/// Name of the waves.
+/// Name of the wave in each test.
 const WAVE: &str = "kernel-1";
 
 cases! {
@@ -71,8 +71,8 @@
         name: WAVE.to_owned(),
         pools: Vec::new(),
     };
-    let answer = fleet.operator_post(0, WAVES_PATH, &call).await?;
-    ensure!(answer.status == 200, "{}", answer.text());
+    let response = fleet.operator_post(0, WAVES_PATH, &call).await?;
+    ensure!(response.status == 200, "{}", response.text());
     Ok(())
 }
 
@@ -81,8 +81,8 @@
         name: WAVE.to_owned(),
         state,
     };
-    let answer = fleet.operator_post(0, WAVE_STATE_PATH, &call).await?;
-    ensure!(answer.status == 200, "{}", answer.text());
+    let response = fleet.operator_post(0, WAVE_STATE_PATH, &call).await?;
+    ensure!(response.status == 200, "{}", response.text());
     Ok(())
 }
 
@@ -109,7 +109,7 @@
         .count())
 }
 
-/// Looks all the time that the budget is kept.
+/// Checks all the time that the budget is kept; reports the most VMs that were absent at once.
 struct BudgetWatch {
     end: Rc<Cell<bool>>,
     task: JoinHandle<Result<usize>>,
@@ -122,7 +122,7 @@
         let task = actix_rt::spawn(async move {
             let mut most = 0;
             while !seen.get() {
-                // The store's answers may be lost while a test has them so.
+                // The read may fail while a test injects faults of the store.
                 if let Ok(absent) = absent(&fleet).await {
                     ensure!(absent <= BUDGET, "{absent} VMs were absent");
                     most = most.max(absent);
@@ -194,7 +194,7 @@
 
 async fn losses_count() -> Result<()> {
     let fleet = fleet_with(1).await?;
-    // One VM in each rack, so that no rack is taken for lost.
+    // One VM in each rack, so that neither rack counts as lost.
     fleet.unlist_runner(0).await?;
     fleet.unlist_runner(4).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -285,7 +285,7 @@
         name: WAVE.to_owned(),
         state: WaveState::Running,
     };
-    let answer = fleet.operator_post(0, WAVE_STATE_PATH, &call).await?;
-    ensure!(answer.status == 409, "a cancelled wave was resumed");
+    let response = fleet.operator_post(0, WAVE_STATE_PATH, &call).await?;
+    ensure!(response.status == 409, "a cancelled wave was resumed");
     Ok(())
 }
--- a/crates/hoisthitch-tests/tests/whole_answers.rs
+++ b/crates/hoisthitch-tests/tests/whole_answers.rs
@@ -1,5 +1,8 @@
-//! Outcomes and whole answers: what a caller sees when runners, callers and
-//! connections between them break.
+//! Outcomes and complete responses: what a caller gets when runners, callers or the connections
+//! between them fail.
+//!
+//! The tests guard against incomplete responses that are passed on as complete, responses that
+//! reach the wrong caller, requests that are sent twice, and smuggled requests.
 
 use std::time::Duration;
 
@@ -25,10 +28,10 @@
     wait_until, //
 };
 
-/// Port of the test's own runner.
+/// Port of the scripted runner.
 const OWN_PORT: u16 = 9_500;
 
-/// Time without a byte after which a raw answer is taken to be at its end.
+/// Time without a byte after which a raw response is taken as ended.
 const QUIET: Duration = Duration::from_secs(2);
 
 cases! {
@@ -57,7 +60,7 @@
     problem_details_carry_the_outcome => problem_details();
 }
 
-/// A fleet with one entry and a runner of the test's own.
+/// Starts a fleet with one entry and a scripted runner.
 async fn scripted(script: Vec<ScriptStep>) -> Result<(Fleet, ScriptedRunner)> {
     let mut fleet = Fleet::start(FleetPlan {
         entries: 1,
@@ -71,47 +74,51 @@
     Ok((fleet, runner))
 }
 
-async fn cut_small(answer: &[u8]) -> Result<()> {
-    let (fleet, runner) = scripted(vec![Read, Send(answer.to_vec())]).await?;
+async fn cut_small(response: &[u8]) -> Result<()> {
+    let (fleet, runner) = scripted(vec![Read, Send(response.to_vec())]).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = TestRequest::post(&url, b"order").send().await?;
-    ensure!(answer.status == 502, "status {}", answer.status);
-    ensure!(answer.outcome() == "ran", "outcome {}", answer.outcome());
+    let response = TestRequest::post(&url, b"order").send().await?;
+    ensure!(response.status == 502, "status {}", response.status);
+    ensure!(
+        response.outcome() == "ran",
+        "outcome {}",
+        response.outcome()
+    );
     ensure!(runner.requests().len() == 1);
     Ok(())
 }
 
 async fn cut_long() -> Result<()> {
-    let mut answer = b"HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n".to_vec();
-    answer.extend(vec![b'x'; 200_000]);
-    let (fleet, _runner) = scripted(vec![Read, Send(answer)]).await?;
+    let mut response = b"HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n".to_vec();
+    response.extend(vec![b'x'; 200_000]);
+    let (fleet, _runner) = scripted(vec![Read, Send(response)]).await?;
     let request = b"GET /quotes/1 HTTP/1.1\r\nhost: x\r\n\r\n";
-    let answer = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
-    ensure!(answer.closed, "the connection stayed open");
-    ensure!(answer.text().contains("content-length: 1000000"));
-    ensure!(answer.bytes.len() < 1_000_000);
+    let response = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
+    ensure!(response.closed, "the connection stayed open");
+    ensure!(response.text().contains("content-length: 1000000"));
+    ensure!(response.bytes.len() < 1_000_000);
     Ok(())
 }
 
 async fn close_delimited() -> Result<()> {
-    let answer = b"HTTP/1.1 200 OK\r\n\r\nall of it".to_vec();
-    let (fleet, _runner) = scripted(vec![Read, Send(answer)]).await?;
-    let answer = TestRequest::get(&fleet.caller_url(0, "/quotes/1"))
+    let response = b"HTTP/1.1 200 OK\r\n\r\nall of it".to_vec();
+    let (fleet, _runner) = scripted(vec![Read, Send(response)]).await?;
+    let response = TestRequest::get(&fleet.caller_url(0, "/quotes/1"))
         .send()
         .await?;
-    ensure!(answer.status == 200 && answer.text() == "all of it");
+    ensure!(response.status == 200 && response.text() == "all of it");
     Ok(())
 }
 
 async fn unanswered(script: Vec<ScriptStep>) -> Result<()> {
     let (fleet, runner) = scripted(script).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = TestRequest::post(&url, b"order").send().await?;
-    ensure!(answer.status == 504, "status {}", answer.status);
+    let response = TestRequest::post(&url, b"order").send().await?;
+    ensure!(response.status == 504, "status {}", response.status);
     ensure!(
-        answer.outcome() == "unknown",
+        response.outcome() == "unknown",
         "outcome {}",
-        answer.outcome()
+        response.outcome()
     );
     ensure!(
         runner.requests().len() == 1,
@@ -135,8 +142,8 @@
     let (fleet, _runner) = scripted(script).await?;
     for _ in 0..5 {
         let url = fleet.caller_url(0, "/quotes/1");
-        let answer = TestRequest::get(&url).send().await?;
-        ensure!(answer.text() == "first", "got {}", answer.text());
+        let response = TestRequest::get(&url).send().await?;
+        ensure!(response.text() == "first", "got {}", response.text());
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
     Ok(())
@@ -148,10 +155,10 @@
         scripted(vec![Read, Wait(Duration::from_millis(700)), Send(late)]).await?;
     let url = fleet.caller_url(0, "/quotes/1");
     let hurried = TestRequest::post(&url, b"order").header("hoisthitch-deadline-ms", "200");
-    let answer = hurried.send().await?;
-    ensure!(answer.status == 504 && answer.outcome() == "unknown");
-    let answer = TestRequest::post(&url, b"another").send().await?;
-    ensure!(answer.status == 200 && answer.text() == "late");
+    let response = hurried.send().await?;
+    ensure!(response.status == 504 && response.outcome() == "unknown");
+    let response = TestRequest::post(&url, b"another").send().await?;
+    ensure!(response.status == 200 && response.text() == "late");
     let requests = runner.requests();
     ensure!(requests.len() == 2 && requests[1].ends_with("another"));
     Ok(())
@@ -164,12 +171,12 @@
         ..FleetPlan::default()
     })
     .await?;
-    let nobody = fleet.own_address(OWN_PORT);
-    fleet.add_runner("quotes", nobody).await?;
+    let unused = fleet.own_address(OWN_PORT);
+    fleet.add_runner("quotes", unused).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = TestRequest::post(&url, b"order").send().await?;
-    ensure!(answer.status == 503 && answer.outcome() == "not-run");
-    ensure!(answer.header("retry-after").is_some());
+    let response = TestRequest::post(&url, b"order").send().await?;
+    ensure!(response.status == 503 && response.outcome() == "not-run");
+    ensure!(response.header("retry-after").is_some());
     Ok(())
 }
 
@@ -180,12 +187,12 @@
         ..FleetPlan::default()
     })
     .await?;
-    let nobody = fleet.own_address(OWN_PORT);
-    fleet.add_runner("quotes", nobody).await?;
+    let unused = fleet.own_address(OWN_PORT);
+    fleet.add_runner("quotes", unused).await?;
     let url = fleet.caller_url(0, "/quotes/1");
     for _ in 0..20 {
-        let answer = TestRequest::post(&url, b"order").send().await?;
-        ensure!(answer.status == 200, "status {}", answer.status);
+        let response = TestRequest::post(&url, b"order").send().await?;
+        ensure!(response.status == 200, "status {}", response.status);
     }
     Ok(())
 }
@@ -202,8 +209,8 @@
     fleet.add_runner("quotes", address).await?;
     let url = fleet.caller_url(0, "/quotes/1");
     for _ in 0..5 {
-        let answer = TestRequest::get(&url).send().await?;
-        ensure!(answer.status == 200, "status {}", answer.status);
+        let response = TestRequest::get(&url).send().await?;
+        ensure!(response.status == 200, "status {}", response.status);
     }
     Ok(())
 }
@@ -236,10 +243,10 @@
 async fn smuggle(request: &[u8]) -> Result<()> {
     let ok = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec();
     let (fleet, runner) = scripted(vec![Read, Send(ok)]).await?;
-    let answer = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
-    ensure!(answer.closed, "the connection stayed open");
-    ensure!(answer.count("HTTP/1.1 200") == 0, "{}", answer.text());
-    ensure!(answer.count("HTTP/1.1 4") == 1, "{}", answer.text());
+    let response = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
+    ensure!(response.closed, "the connection stayed open");
+    ensure!(response.count("HTTP/1.1 200") == 0, "{}", response.text());
+    ensure!(response.count("HTTP/1.1 4") == 1, "{}", response.text());
     ensure!(runner.requests().is_empty(), "{:?}", runner.requests());
     Ok(())
 }
@@ -252,9 +259,9 @@
     })
     .await?;
     let request = b"POST /quotes/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 100001\r\n\r\n";
-    let answer = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
-    ensure!(answer.count("HTTP/1.1 413") == 1, "{}", answer.text());
-    ensure!(answer.text().contains("hoisthitch-outcome: not-run"));
+    let response = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
+    ensure!(response.count("HTTP/1.1 413") == 1, "{}", response.text());
+    ensure!(response.text().contains("hoisthitch-outcome: not-run"));
     Ok(())
 }
 
@@ -265,20 +272,20 @@
     })
     .await?;
     let body: Vec<u8> = (0..5_000_000_u32).map(|n| (n % 251) as u8).collect();
-    let answer = TestRequest::post(&fleet.caller_url(0, "/quotes/1"), &body)
+    let response = TestRequest::post(&fleet.caller_url(0, "/quotes/1"), &body)
         .send()
         .await?;
-    ensure!(answer.status == 200, "status {}", answer.status);
-    ensure!(answer.body == body, "the body came back changed");
+    ensure!(response.status == 200, "status {}", response.status);
+    ensure!(response.body == body, "the body came back changed");
     Ok(())
 }
 
 async fn head_answer() -> Result<()> {
-    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 1234\r\n\r\n".to_vec();
-    let (fleet, _runner) = scripted(vec![Read, Send(answer)]).await?;
+    let response = b"HTTP/1.1 200 OK\r\ncontent-length: 1234\r\n\r\n".to_vec();
+    let (fleet, _runner) = scripted(vec![Read, Send(response)]).await?;
     let request = b"HEAD /quotes/1 HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    let answer = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
-    let text = answer.text().to_ascii_lowercase();
+    let response = raw_exchange(fleet.caller_address(0), request, QUIET).await?;
+    let text = response.text().to_ascii_lowercase();
     ensure!(text.contains("content-length: 1234\r\n"), "{text}");
     ensure!(text.ends_with("\r\n\r\n"), "{text}");
     Ok(())
@@ -287,21 +294,21 @@
 async fn problem_details() -> Result<()> {
     let (fleet, _runner) = scripted(vec![Read]).await?;
     let url = fleet.caller_url(0, "/quotes/1");
-    let answer = TestRequest::post(&url, b"order").send().await?;
-    ensure!(answer.header("content-type") == Some("application/problem+json"));
-    let problem: serde_json::Value = answer.json()?;
+    let response = TestRequest::post(&url, b"order").send().await?;
+    ensure!(response.header("content-type") == Some("application/problem+json"));
+    let problem: serde_json::Value = response.json()?;
     ensure!(problem["outcome"] == "unknown");
     ensure!(problem["status"] == 504);
     ensure!(problem["type"] == "/problems/no-answer");
     Ok(())
 }
 
-/// An answer whose head is longer than an entry reads.
+/// A response whose head is longer than an entry accepts.
 fn oversize_head() -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nx-long: {}\r\n\r\n", "x".repeat(200_000)).into_bytes()
 }
 
-/// A request whose head is longer than an entry reads.
+/// A request whose head is longer than an entry accepts.
 fn oversize_request() -> Vec<u8> {
     format!(
         "GET /quotes/a HTTP/1.1\r\nx-long: {}\r\n\r\n",
--- a/crates/hoisthitch-tests/tests/whole_path.rs
+++ b/crates/hoisthitch-tests/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path: a request is served from one end to the other, and a change
-//! of the table comes into force in every entry.
+//! The path from end to end: a request is served through an entry by a runner, and a change of
+//! the table comes into effect in every entry.
 
 use eyre::{
     OptionExt,
@@ -26,13 +26,13 @@
     let fleet = Fleet::start(FleetPlan::default()).await?;
     for entry in 0..2 {
         let url = fleet.caller_url(entry, "/quotes/basket?week=3");
-        let answer = TestRequest::post(&url, b"milk").send().await?;
-        ensure!(answer.status == 200, "status {}", answer.status);
-        ensure!(answer.body == b"milk");
-        ensure!(answer.outcome() == "ran");
-        let answer = TestRequest::get(&url).send().await?;
-        ensure!(answer.status == 200);
-        ensure!(answer.outcome() == "ran");
+        let response = TestRequest::post(&url, b"milk").send().await?;
+        ensure!(response.status == 200, "status {}", response.status);
+        ensure!(response.body == b"milk");
+        ensure!(response.outcome() == "ran");
+        let response = TestRequest::get(&url).send().await?;
+        ensure!(response.status == 200);
+        ensure!(response.outcome() == "ran");
     }
     Ok(())
 }
@@ -42,8 +42,8 @@
     let table = fleet.table(0).await?;
     let row = table.pool("quotes").ok_or_eyre("row")?;
     let row = row.with_cell("in_flight_limit", "5")?;
-    let answer = fleet.edit(0, vec![RowEdit::PutPool(row)]).await?;
-    ensure!(answer.status == 200, "{}", answer.text());
+    let response = fleet.edit(0, vec![RowEdit::PutPool(row)]).await?;
+    ensure!(response.status == 200, "{}", response.text());
     for entry in 0..2 {
         wait_until("the limit in force", || async {
             let status = fleet.status(entry).await.ok()?;
@@ -56,25 +56,25 @@
 
 async fn token_needed() -> Result<()> {
     let fleet = Fleet::start(FleetPlan::default()).await?;
-    let answer = TestRequest::get(&fleet.operator_url(0, "/table"))
+    let response = TestRequest::get(&fleet.operator_url(0, "/table"))
         .send()
         .await?;
-    ensure!(answer.status == 401);
-    let answer = TestRequest::get(&fleet.caller_url(0, "/table"))
+    ensure!(response.status == 401);
+    let response = TestRequest::get(&fleet.caller_url(0, "/table"))
         .send()
         .await?;
-    ensure!(answer.status == 404);
+    ensure!(response.status == 404);
     Ok(())
 }
 
 async fn unknown_names() -> Result<()> {
     let fleet = Fleet::start(FleetPlan::default()).await?;
-    let answer = TestRequest::get(&fleet.caller_url(0, "/nothing"))
+    let response = TestRequest::get(&fleet.caller_url(0, "/nothing"))
         .send()
         .await?;
-    ensure!(answer.status == 404 && answer.outcome() == "not-run");
+    ensure!(response.status == 404 && response.outcome() == "not-run");
     let request = TestRequest::get(&fleet.caller_url(0, "/quotes/1"));
-    let answer = request.header("hoisthitch-team", "nobody").send().await?;
-    ensure!(answer.status == 403 && answer.outcome() == "not-run");
+    let response = request.header("hoisthitch-team", "nobody").send().await?;
+    ensure!(response.status == 403 && response.outcome() == "not-run");
     Ok(())
 }
