--- a/crates/hoisthitch-scheduler/tests/contracts/main.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/main.rs
@@ -46,7 +46,7 @@
 
 /// Checks that nothing broke a rule.
 fn kept(world: &TestWorld) -> Result<()> {
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/draws/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/draws/mod.rs
@@ -49,7 +49,7 @@
 }
 
 fn kept(world: &TestWorld) -> Result<()> {
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/histories.rs
+++ b/crates/hoisthitch-scheduler/tests/histories.rs
@@ -112,7 +112,7 @@
         .await?;
     sleep_ms(3_000).await;
     ensure!(world.fleet.running().is_empty(), "after the cancel");
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
@@ -294,7 +294,7 @@
         sleep_ms(LOOK_MS).await;
         look(&world, now, &mut last_run)?;
     }
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/ownership/main.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/main.rs
@@ -69,7 +69,7 @@
 }
 
 fn kept(world: &TestWorld) -> Result<()> {
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -249,7 +249,7 @@
     }
 
     /// Violations that the checkers found; empty if every invariant held.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         self.state.borrow().violations.clone()
     }
 
