--- a/crates/hoisthitch-scheduler/tests/contracts/advice.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/advice.rs
@@ -275,10 +275,10 @@
     let (world, _) = advised_world().await?;
     world.keep_begun(1_500, true);
     let killer = Duration::from_millis(20);
-    world.fleet.set_killer("j.0.0.1", killer);
+    world.fleet.set_crashing_task("j.0.0.1", killer);
     submit(&world, &job("work 500", &[3])).await?;
     world.wait_phase("j", JobPhase::Failed, 40_000).await?;
-    let kills = world.fleet.kills();
+    let kills = world.fleet.crash_count();
     ensure!(kills <= 4, "{kills} runners were lost to one task");
     kept(&world)
 }
--- a/crates/hoisthitch-scheduler/tests/draws/killers.rs
+++ b/crates/hoisthitch-scheduler/tests/draws/killers.rs
@@ -111,7 +111,7 @@
             let index = rng.random_range(0..counts[step]);
             let delay = Duration::from_millis(DELAYS_MS[delay]);
             let task = format!("{id}.0.{step}.{index}");
-            world.fleet.set_killer(&task, delay);
+            world.fleet.set_crashing_task(&task, delay);
             killers.push(id.clone());
         } else {
             jobs.push(id.clone());
--- a/crates/hoisthitch-scheduler/tests/ownership/killers.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/killers.rs
@@ -107,7 +107,7 @@
 fn set_killer(world: &TestWorld, task: &str, delay_ms: u64) {
     world
         .fleet
-        .set_killer(task, Duration::from_millis(delay_ms));
+        .set_crashing_task(task, Duration::from_millis(delay_ms));
 }
 
 /// Hands ordinary jobs in over a while.
@@ -162,7 +162,7 @@
     world.fleet.set_late(0);
     all_done(&world, &ids).await?;
     lasting_run(&world, 2).await?;
-    let kills = world.fleet.kills();
+    let kills = world.fleet.crash_count();
     ensure!(kills <= 4, "{kills} runners were lost to one task");
     for task in ["long.0.0.0", "long.0.0.1"] {
         let crashes = world.fleet.crashes_under(task);
@@ -186,10 +186,10 @@
     set_killer(&world, "bad.0.0.0", 10);
     world.submit("bad", job("work 1200", &[2])).await?;
     for _ in 0..6 {
-        let before = world.fleet.kills();
+        let before = world.fleet.crash_count();
         for _ in 0..200 {
             sleep_ms(50).await;
-            if world.fleet.kills() > before {
+            if world.fleet.crash_count() > before {
                 break;
             }
         }
@@ -201,7 +201,7 @@
         }
     }
     world.wait_phase("bad", JobPhase::Failed, DAY_MS).await?;
-    let kills = world.fleet.kills();
+    let kills = world.fleet.crash_count();
     ensure!(kills <= 5, "{kills} runners were lost to one task");
     kept(&world)
 }
@@ -218,7 +218,7 @@
     let ids = hand_in(&world, 20, 200).await?;
     world.wait_phase("bad", JobPhase::Failed, DAY_MS).await?;
     all_done(&world, &ids).await?;
-    let kills = world.fleet.kills();
+    let kills = world.fleet.crash_count();
     ensure!(kills <= 10, "{kills} runners were lost to one step");
     lasting_run(&world, 2).await?;
     kept(&world)
--- a/crates/hoisthitch-tests/src/world/crashing.rs
+++ b/crates/hoisthitch-tests/src/world/crashing.rs
@@ -65,19 +65,19 @@
 
 impl MemoryFleet {
     /// Makes a task crash each runner that starts it, `delay` after the start.
-    pub fn set_killer(&self, task: &str, delay: Duration) {
+    pub fn set_crashing_task(&self, task: &str, delay: Duration) {
         let mut state = self.state.borrow_mut();
         state.crashing.delays.insert(task.to_owned(), delay);
     }
 
     /// Turns off the check of repeated starts of crashing tasks: the bound holds only while nodes
     /// are connected.
-    pub fn leave_killers_uncounted(&self) {
+    pub fn skip_crash_check(&self) {
         self.state.borrow_mut().crashing.uncounted = true;
     }
 
     /// Number of runners that tasks have crashed.
-    pub fn kills(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.state.borrow().crashing.count
     }
 
