--- a/crates/hoisthitch-scheduler/tests/draws/lives.rs
+++ b/crates/hoisthitch-scheduler/tests/draws/lives.rs
@@ -86,7 +86,7 @@
     // A runner that is back at once can't be told in time from one that goes on, so that
     // an acknowledgement may reach it; what comes after must not be forgotten by that.
     let at_once = rng.random_bool(0.5);
-    world.fleet.forget_ahead(!at_once);
+    world.fleet.set_acks_cover_later_ends(!at_once);
     world.submit("long", lasting(LASTING, 1)).await?;
     let mut jobs = Vec::new();
     for number in 0..STEPS {
@@ -128,7 +128,9 @@
         8 => world.fleet.set_late(0),
         9 => fail_store(world, at_once, rng).await,
         10 => cut_runner(world, at_once, rng).await,
-        _ => world.fleet.set_births_back(rng.random_range(0..2) * 30_000),
+        _ => world
+            .fleet
+            .set_start_times_back(rng.random_range(0..2) * 30_000),
     }
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/ownership/lives.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/lives.rs
@@ -109,7 +109,7 @@
 /// may start a task again.
 async fn restarts_in_series(down_ms: u64) -> Result<()> {
     let world = worked_world(1, 3).await?;
-    world.fleet.forget_ahead(down_ms > 0);
+    world.fleet.set_acks_cover_later_ends(down_ms > 0);
     for (round, pause) in [150, 700, 3_000, 150, 1_500, 700, 3_000]
         .into_iter()
         .enumerate()
@@ -227,7 +227,7 @@
 /// The VMs' time of day went back, so that the new lives tell of earlier births.
 async fn births_back() -> Result<()> {
     let world = worked_world(1, 2).await?;
-    world.fleet.set_births_back(60_000);
+    world.fleet.set_start_times_back(60_000);
     restart_all(&world, RECORD_LATE_MS).await;
     sleep_ms(2_000).await;
     run_jobs(&world, "after", 4).await?;
@@ -294,7 +294,7 @@
 /// Nothing tells of births: the name stands for the life, as it did.
 async fn births_untold() -> Result<()> {
     let world = TestWorld::start(1, 0).await?;
-    world.fleet.tell_births(false);
+    world.fleet.set_start_times_reported(false);
     for vm in ["vm-0", "vm-1"] {
         world.begin_runner(vm);
     }
--- a/crates/hoisthitch-tests/src/world/runners/instances.rs
+++ b/crates/hoisthitch-tests/src/world/runners/instances.rs
@@ -41,18 +41,18 @@
     }
 
     /// Sets whether runners that start from now on report their start times.
-    pub fn tell_births(&self, told: bool) {
+    pub fn set_start_times_reported(&self, told: bool) {
         self.state.borrow_mut().start_times_hidden = !told;
     }
 
     /// Sets whether a runner, on an acknowledgement, also discards later ends with the numbers
     /// acknowledged, or only the ends that it has; the platform's description allows both.
-    pub fn forget_ahead(&self, ahead: bool) {
+    pub fn set_acks_cover_later_ends(&self, ahead: bool) {
         self.state.borrow_mut().acks_cover_later_ends = ahead;
     }
 
     /// Sets back the clock behind the start times that runners report which start from now on.
-    pub fn set_births_back(&self, time_ms: u64) {
+    pub fn set_start_times_back(&self, time_ms: u64) {
         self.state.borrow_mut().start_times_behind_ms = time_ms;
     }
 
