--- a/crates/hoisthitch-scheduler/tests/draws/drains.rs
+++ b/crates/hoisthitch-scheduler/tests/draws/drains.rs
@@ -82,7 +82,7 @@
 fn drain_one(world: &TestWorld, now: u64, rng: &mut StdRng) -> Option<(u64, String, String)> {
     let living = world.fleet.living().into_iter();
     let staying: Vec<_> = living
-        .filter(|(runner, _)| !world.fleet.is_leaving(runner))
+        .filter(|(runner, _)| !world.fleet.is_draining(runner))
         .collect();
     if staying.len() <= STAYING {
         return None;
--- a/crates/hoisthitch-scheduler/tests/ownership/drains.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/drains.rs
@@ -142,7 +142,7 @@
         Leave::Says => world.drain_runner(&runner),
         Leave::Vanishes => {
             world.store.put(&format!("runner/{runner}"), None, 0);
-            world.fleet.note_leaving(&runner);
+            world.fleet.mark_draining(&runner);
         }
     }
     world.begin_runner("vm-1");
--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -273,7 +273,7 @@
         if let Some(mut record) = record.filter(|record| !record.ends_with(DRAINING.as_bytes())) {
             record.extend(DRAINING.bytes());
             self.store.put(&key, Some(&record), 0);
-            self.fleet.note_leaving(name);
+            self.fleet.mark_draining(name);
         }
     }
 
--- a/crates/hoisthitch-tests/src/world/leaving.rs
+++ b/crates/hoisthitch-tests/src/world/leaving.rs
@@ -17,14 +17,14 @@
 
 impl MemoryFleet {
     /// Records that a runner instance is listed as draining from now on.
-    pub fn note_leaving(&self, name: &str) {
+    pub fn mark_draining(&self, name: &str) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.draining_since.get_or_insert(Instant::now());
         }
     }
 
     /// Whether a runner instance is listed as draining.
-    pub fn is_leaving(&self, name: &str) -> bool {
+    pub fn is_draining(&self, name: &str) -> bool {
         let state = self.state.borrow();
         let runner = state.runners.get(name);
         runner.is_some_and(|runner| runner.draining_since.is_some())
