--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -55,8 +55,8 @@
     MemoryStore,
     ROOM,
     StoreFaults,
-    forget_outside,
-    run_outside,
+    discard_detached,
+    run_detached,
     show_events, //
 };
 use tokio::task::{
@@ -242,7 +242,7 @@
             ahead: BTreeMap::new(),
             instances: 0,
         };
-        spawn_local(run_outside());
+        spawn_local(run_detached());
         world.store.put("op/policy", Some(b"1"), 0);
         for number in 0..runners {
             world.begin_runner(&format!("vm-{number}"));
@@ -490,7 +490,7 @@
 
 /// Runs a test on the paused clock.
 pub fn play(test: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
-    forget_outside();
+    discard_detached();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
--- a/crates/hoisthitch-tests/src/world/crashing.rs
+++ b/crates/hoisthitch-tests/src/world/crashing.rs
@@ -18,7 +18,7 @@
 use super::{
     MemoryFleet,
     runners::FleetState,
-    spawn_outside, //
+    spawn_detached, //
 };
 
 /// Runners that may crash under a task before its further starts are counted.
@@ -107,7 +107,7 @@
             return;
         };
         let (fleet, name, run) = (self.clone(), name.to_owned(), order.run);
-        spawn_outside(async move {
+        spawn_detached(async move {
             tokio::time::sleep(delay).await;
             if fleet.instance_began(&name) == Some(instance) && fleet.runs(&name, &task, run) {
                 fleet.crash_under_task(&name);
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -43,32 +43,32 @@
 pub const POOL: &str = "halls";
 
 /// Time between two checks for new tasks that belong to no node.
-const OUTSIDE_TICK: Duration = Duration::from_millis(5);
+const DETACHED_TICK: Duration = Duration::from_millis(5);
 
-type OutsideTask = Pin<Box<dyn Future<Output = ()>>>;
+type DetachedTask = Pin<Box<dyn Future<Output = ()>>>;
 
 thread_local! {
     /// Tasks that continue when a node stops, such as orders and writes that are under way.
-    static OUTSIDE: RefCell<Vec<OutsideTask>> = const { RefCell::new(Vec::new()) };
+    static DETACHED: RefCell<Vec<DetachedTask>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Queues a task that belongs to no node; [`run_outside`] runs it.
-fn spawn_outside(task: impl Future<Output = ()> + 'static) {
-    OUTSIDE.with(|tasks| tasks.borrow_mut().push(Box::pin(task)));
+fn spawn_detached(task: impl Future<Output = ()> + 'static) {
+    DETACHED.with(|tasks| tasks.borrow_mut().push(Box::pin(task)));
 }
 
 /// Discards tasks that an earlier test on this thread left.
-pub fn forget_outside() {
-    OUTSIDE.with(|tasks| tasks.borrow_mut().clear());
+pub fn discard_detached() {
+    DETACHED.with(|tasks| tasks.borrow_mut().clear());
 }
 
 /// Runs the tasks that belong to no node; never returns.
-pub async fn run_outside() {
+pub async fn run_detached() {
     loop {
-        let tasks: Vec<_> = OUTSIDE.with(|tasks| tasks.borrow_mut().drain(..).collect());
+        let tasks: Vec<_> = DETACHED.with(|tasks| tasks.borrow_mut().drain(..).collect());
         for task in tasks {
             actix_rt::spawn(task);
         }
-        tokio::time::sleep(OUTSIDE_TICK).await;
+        tokio::time::sleep(DETACHED_TICK).await;
     }
 }
--- a/crates/hoisthitch-tests/src/world/runners/control.rs
+++ b/crates/hoisthitch-tests/src/world/runners/control.rs
@@ -22,7 +22,7 @@
 use super::{
     super::{
         sharing::PaceFate,
-        spawn_outside, //
+        spawn_detached, //
     },
     CALL_TIMEOUT,
     MemoryFleet,
@@ -46,7 +46,7 @@
             let late_by = self.state.borrow().late_by;
             let late = late_by + Duration::from_millis(u64::from(order.run) * 700);
             let sent = Instant::now();
-            spawn_outside(async move {
+            spawn_detached(async move {
                 tokio::time::sleep(late).await;
                 let unguarded = fleet.is_unguarded(&name, sent);
                 fleet.state.borrow_mut().rules.set_late(true);
@@ -159,7 +159,7 @@
         }
         if let PaceFate::Late(late) = fate {
             let (fleet, name, order) = (self.clone(), runner.instance.name.clone(), order.clone());
-            spawn_outside(async move {
+            spawn_detached(async move {
                 tokio::time::sleep(late).await;
                 // The caller has timed out, so that nothing waits for the result.
                 let _ = fleet.set_pace(&name, &order, epoch);
--- a/crates/hoisthitch-tests/src/world/runners/vms.rs
+++ b/crates/hoisthitch-tests/src/world/runners/vms.rs
@@ -16,7 +16,7 @@
 use super::{
     super::{
         POOL,
-        spawn_outside, //
+        spawn_detached, //
     },
     CALL_TIMEOUT,
     FleetState,
@@ -108,7 +108,7 @@
         let (done, answer) = oneshot::channel();
         let (fleet, vm, holder) = (self.clone(), vm.to_owned(), holder.to_owned());
         // Not a task of the node: the order continues even if the node stops.
-        spawn_outside(async move {
+        spawn_detached(async move {
             tokio::time::sleep(ONE_WAY_TIME).await;
             fleet.check_turn(&vm, &holder);
             fleet.count_maintenance_order(&vm);
--- a/crates/hoisthitch-tests/src/world/store.rs
+++ b/crates/hoisthitch-tests/src/world/store.rs
@@ -436,7 +436,7 @@
         } else {
             let store = self.clone();
             // Not a task of the node: the write continues even if the node stops.
-            super::spawn_outside(async move {
+            super::spawn_detached(async move {
                 tokio::time::sleep(late).await;
                 store.apply(&items);
             });
