--- a/crates/hoisthitch-scheduler/tests/world/codec.rs
+++ b/crates/hoisthitch-scheduler/tests/world/codec.rs
@@ -18,8 +18,8 @@
     WaveRequest, //
 };
 use hoisthitch_tests::world::{
+    DEFAULT_CAPACITY, //
     POOL,
-    ROOM, //
 };
 
 /// End of the record of a runner that is about to leave.
@@ -115,8 +115,8 @@
 /// Room as a record tells it; the usual one where it does not.
 fn read_room(text: &str) -> ResourceAmounts {
     ResourceAmounts {
-        cpu_milli: text.parse().unwrap_or(ROOM.cpu_milli),
-        ..ROOM
+        cpu_milli: text.parse().unwrap_or(DEFAULT_CAPACITY.cpu_milli),
+        ..DEFAULT_CAPACITY
     }
 }
 
--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -50,10 +50,10 @@
     run_node, //
 };
 use hoisthitch_tests::world::{
+    DEFAULT_CAPACITY,
     MemoryAdviser,
     MemoryFleet,
     MemoryStore,
-    ROOM,
     StoreFaults,
     discard_detached,
     run_detached,
@@ -299,8 +299,13 @@
 
     /// Changes a runner's room, in thousandths of a core, and its record.
     pub fn set_room(&self, name: &str, vm: &str, cpu_milli: u64) {
-        self.fleet
-            .set_room(name, ResourceAmounts { cpu_milli, ..ROOM });
+        self.fleet.set_capacity(
+            name,
+            ResourceAmounts {
+                cpu_milli,
+                ..DEFAULT_CAPACITY
+            },
+        );
         self.record_runner(name, vm);
     }
 
@@ -443,7 +448,7 @@
     let started_at = fleet.started_at(name);
     let started_at =
         started_at.map_or_else(String::new, |started_at| format!("{BORN}{started_at}"));
-    let room = fleet.room(name).cpu_milli;
+    let room = fleet.capacity(name).cpu_milli;
     let record = format!("{vm}{started_at}{ROOMY}{room}");
     store.put(&format!("runner/{name}"), Some(record.as_bytes()), 0);
 }
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -30,7 +30,7 @@
 };
 pub use crashing::CrashedRunner;
 pub use events::show_events;
-pub use rooms::ROOM;
+pub use rooms::DEFAULT_CAPACITY;
 pub use rules::StartNote;
 pub use runners::MemoryFleet;
 pub use sharing::PaceFate;
--- a/crates/hoisthitch-tests/src/world/rooms.rs
+++ b/crates/hoisthitch-tests/src/world/rooms.rs
@@ -17,7 +17,7 @@
 };
 
 /// Capacity of a runner for which the test sets no other.
-pub const ROOM: ResourceAmounts = ResourceAmounts {
+pub const DEFAULT_CAPACITY: ResourceAmounts = ResourceAmounts {
     cpu_milli: 8_000,
     memory_mb: 32_000,
     gpus: 0,
@@ -36,7 +36,7 @@
 impl TimedCapacity {
     pub(super) fn usual() -> Self {
         Self {
-            capacity: ROOM,
+            capacity: DEFAULT_CAPACITY,
             since: Instant::now(),
         }
     }
@@ -44,7 +44,7 @@
 
 impl MemoryFleet {
     /// Changes a runner's capacity; the caller then writes the runner's record.
-    pub fn set_room(&self, name: &str, room: ResourceAmounts) {
+    pub fn set_capacity(&self, name: &str, room: ResourceAmounts) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.capacities.push(TimedCapacity {
                 capacity: room,
@@ -54,12 +54,12 @@
     }
 
     /// Capacity that a runner reports.
-    pub fn room(&self, name: &str) -> ResourceAmounts {
+    pub fn capacity(&self, name: &str) -> ResourceAmounts {
         let state = self.state.borrow();
         let capacities = state.runners.get(name).map(|runner| &runner.capacities);
         capacities
             .and_then(|capacities| capacities.last())
-            .map_or(ROOM, |last| last.capacity)
+            .map_or(DEFAULT_CAPACITY, |last| last.capacity)
     }
 }
 
