--- a/crates/hoisthitch-scheduler/tests/world/codec.rs
+++ b/crates/hoisthitch-scheduler/tests/world/codec.rs
@@ -18,8 +18,8 @@
     WaveRequest, //
 };
 use hoisthitch_tests::world::{
-    DEFAULT_CAPACITY, //
-    POOL,
+    DEFAULT_CAPACITY,
+    POOL, //
 };
 
 /// End of the record of a runner that is about to leave.
--- a/crates/hoisthitch-tests/src/world/rooms.rs
+++ b/crates/hoisthitch-tests/src/world/capacity.rs
@@ -44,10 +44,10 @@
 
 impl MemoryFleet {
     /// Changes a runner's capacity; the caller then writes the runner's record.
-    pub fn set_capacity(&self, name: &str, room: ResourceAmounts) {
+    pub fn set_capacity(&self, name: &str, capacity: ResourceAmounts) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.capacities.push(TimedCapacity {
-                capacity: room,
+                capacity,
                 since: Instant::now(),
             });
         }
--- a/crates/hoisthitch-tests/src/world/instance.rs
+++ b/crates/hoisthitch-tests/src/world/instance.rs
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 
 use super::{
-    rooms::TimedCapacity,
+    capacity::TimedCapacity,
     sharing::TailModel, //
 };
 
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -6,12 +6,12 @@
 //! whose clock may be simulated.
 
 mod adviser;
+mod capacity;
 mod crashing;
+mod draining;
 mod events;
 mod gangs;
 mod instance;
-mod leaving;
-mod rooms;
 mod rules;
 mod runners;
 mod sharing;
@@ -28,9 +28,9 @@
     AdviserMood,
     MemoryAdviser, //
 };
+pub use capacity::DEFAULT_CAPACITY;
 pub use crashing::CrashedRunner;
 pub use events::show_events;
-pub use rooms::DEFAULT_CAPACITY;
 pub use rules::StartNote;
 pub use runners::MemoryFleet;
 pub use sharing::PaceFate;
@@ -52,7 +52,7 @@
     static DETACHED: RefCell<Vec<DetachedTask>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Queues a task that belongs to no node; [`run_outside`] runs it.
+/// Queues a task that belongs to no node; [`run_detached`] runs it.
 fn spawn_detached(task: impl Future<Output = ()> + 'static) {
     DETACHED.with(|tasks| tasks.borrow_mut().push(Box::pin(task)));
 }
