--- a/crates/hoisthitch-scheduler/tests/contracts/route.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/route.rs
@@ -241,7 +241,7 @@
     world.store.put("op/wave/1", Some(vms.as_bytes()), 0);
     for _ in 0..600 {
         sleep_ms(100).await;
-        for vm in world.fleet.take_back() {
+        for vm in world.fleet.take_maintained() {
             let big = ["vm-0", "vm-1", "vm-2"].contains(&vm.as_str());
             world.begin_labelled(&vm, if big { "big" } else { "small" });
         }
@@ -249,7 +249,11 @@
             break;
         }
     }
-    ensure!(world.fleet.upkeeps().0 == 6, "{:?}", world.fleet.upkeeps());
+    ensure!(
+        world.fleet.maintenance_counts().0 == 6,
+        "{:?}",
+        world.fleet.maintenance_counts()
+    );
     sleep_ms(4_000).await;
     ensure!(
         world.fleet.runners_of("long").len() == 2,
@@ -286,7 +290,11 @@
             sleep_ms(100).await;
             world.revive();
         }
-        ensure!(world.fleet.upkeeps().0 == 4, "{:?}", world.fleet.upkeeps());
+        ensure!(
+            world.fleet.maintenance_counts().0 == 4,
+            "{:?}",
+            world.fleet.maintenance_counts()
+        );
         ensure!(world.fleet.runners_of("long").len() == 3);
         kept(&world)?;
     }
--- a/crates/hoisthitch-scheduler/tests/contracts/turns.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/turns.rs
@@ -72,7 +72,7 @@
             break;
         }
     }
-    let (vms, most) = world.fleet.upkeeps();
+    let (vms, most) = world.fleet.maintenance_counts();
     ensure!(vms == VMS && most <= 2, "{vms} VMs, {most} at once");
     sleep_ms(3_000).await;
     let at_work = world.fleet.runners_of("long").len();
--- a/crates/hoisthitch-scheduler/tests/ownership/lives.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/lives.rs
@@ -266,7 +266,7 @@
     let mut completed = false;
     for _ in 0..300 {
         sleep_ms(100).await;
-        for vm in world.fleet.take_back() {
+        for vm in world.fleet.take_maintained() {
             let back = all.iter().find(|(_, other)| *other == vm);
             if let Some((name, vm)) = back {
                 world.fleet.restart(name);
@@ -280,7 +280,7 @@
         }
     }
     ensure!(completed, "the wave is completed");
-    let (vms, most) = world.fleet.upkeeps();
+    let (vms, most) = world.fleet.maintenance_counts();
     ensure!((vms, most) == (3, 1), "{vms} VMs, {most} at once");
     sleep_ms(3_000).await;
     run_jobs(&world, "after", 6).await?;
--- a/crates/hoisthitch-scheduler/tests/ownership/waves.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/waves.rs
@@ -56,7 +56,7 @@
     world.submit("long", lasting(4, 1)).await?;
     sleep_ms(2_000).await;
     wave(&world, 6, 60_000).await?;
-    let (vms, most) = world.fleet.upkeeps();
+    let (vms, most) = world.fleet.maintenance_counts();
     ensure!(vms == 6 && most <= 2, "{vms} VMs, {most} at once");
     sleep_ms(2_000).await;
     ensure!(world.fleet.running().len() == 4);
@@ -75,11 +75,14 @@
         sleep_ms(100).await;
         world.revive();
         if world.store.get("status/wave/1").as_deref() == Some(b"completed") {
-            ensure!(world.fleet.upkeeps().0 == 60, "after {tenth} tenths");
+            ensure!(
+                world.fleet.maintenance_counts().0 == 60,
+                "after {tenth} tenths"
+            );
             return kept(&world);
         }
     }
-    eyre::bail!("{} upkeeps in 9 s", world.fleet.upkeeps().0)
+    eyre::bail!("{} upkeeps in 9 s", world.fleet.maintenance_counts().0)
 }
 
 async fn takes_wave_over() -> Result<()> {
@@ -92,7 +95,7 @@
     sleep_ms(1_200).await;
     world.nodes[&world.owner()].kill();
     wave(&world, 6, 60_000).await?;
-    ensure!(world.fleet.upkeeps().0 == 6);
+    ensure!(world.fleet.maintenance_counts().0 == 6);
     kept(&world)
 }
 
@@ -163,7 +166,11 @@
         sleep_ms(100).await;
         world.revive();
     }
-    ensure!(world.fleet.upkeeps().0 == 2, "{:?}", world.fleet.upkeeps());
+    ensure!(
+        world.fleet.maintenance_counts().0 == 2,
+        "{:?}",
+        world.fleet.maintenance_counts()
+    );
     kept(&world)
 }
 
@@ -173,7 +180,7 @@
     sleep_ms(3_000).await;
     world.store.put("op/wave/1", Some(b"vm-0"), 0);
     sleep_ms(900).await;
-    ensure!(world.fleet.upkeeps().0 == 1);
+    ensure!(world.fleet.maintenance_counts().0 == 1);
     world.begin_runner("vm-9");
     sleep_ms(900).await;
     let share = world.store.get("test/share/halls").unwrap_or_default();
@@ -197,7 +204,11 @@
     sleep_ms(3_000).await;
     world.fleet.lose_vm_orders(false);
     wave(&world, 3, 60_000).await?;
-    ensure!(world.fleet.upkeeps().0 == 3, "{:?}", world.fleet.upkeeps());
+    ensure!(
+        world.fleet.maintenance_counts().0 == 3,
+        "{:?}",
+        world.fleet.maintenance_counts()
+    );
     kept(&world)
 }
 
@@ -250,9 +261,13 @@
         sleep_ms(100).await;
         world.revive();
     }
-    let most = world.fleet.most_upkeep_orders();
+    let most = world.fleet.most_maintenance_orders();
     ensure!(most == 1, "a VM was ordered down {most} times");
-    ensure!(world.fleet.upkeeps().0 == 12, "{:?}", world.fleet.upkeeps());
+    ensure!(
+        world.fleet.maintenance_counts().0 == 12,
+        "{:?}",
+        world.fleet.maintenance_counts()
+    );
     kept(&world)
 }
 
@@ -286,12 +301,12 @@
         sleep_ms(100).await;
         world.revive();
         if world.store.get("status/wave/1").as_deref() == Some(b"completed") {
-            let (vms, most) = world.fleet.upkeeps();
+            let (vms, most) = world.fleet.maintenance_counts();
             ensure!(vms == 42 && most <= 16, "{vms}, {most}, {tenth} tenths");
             return kept(&world);
         }
     }
-    eyre::bail!("{} upkeeps in 26 s", world.fleet.upkeeps().0)
+    eyre::bail!("{} upkeeps in 26 s", world.fleet.maintenance_counts().0)
 }
 
 /// Seen on the same fleet: an owner looked at its pool's needs each six seconds while a
--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -438,7 +438,7 @@
 
     /// Gives VMs whose upkeep is over a new life.
     pub fn revive(&self) {
-        for vm in self.fleet.take_back() {
+        for vm in self.fleet.take_maintained() {
             self.begin_runner(&vm);
         }
     }
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -233,7 +233,7 @@
 
     /// Removes and returns the VMs whose maintenance is over, so that the caller can start a
     /// runner on each.
-    pub fn take_back(&self) -> Vec<String> {
+    pub fn take_maintained(&self) -> Vec<String> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let back: Vec<String> = state
@@ -293,7 +293,7 @@
     }
 
     /// Number of VMs that went down for maintenance, and the most at once.
-    pub fn upkeeps(&self) -> (usize, usize) {
+    pub fn maintenance_counts(&self) -> (usize, usize) {
         let state = self.state.borrow();
         let vms: HashSet<&String> = state.maintenance_starts.iter().map(|row| &row.0).collect();
         (vms.len(), state.down_most)
--- a/crates/hoisthitch-tests/src/world/runners/vms.rs
+++ b/crates/hoisthitch-tests/src/world/runners/vms.rs
@@ -54,7 +54,7 @@
     }
 
     /// Most maintenance orders that arrived for one VM.
-    pub fn most_upkeep_orders(&self) -> usize {
+    pub fn most_maintenance_orders(&self) -> usize {
         let state = self.state.borrow();
         state
             .maintenance_orders
