--- a/crates/hoisthitch-scheduler/tests/contracts/gang.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/gang.rs
@@ -266,7 +266,7 @@
     let world = TestWorld::start(3, MEMBERS as usize).await?;
     world.fleet.set_stop_time(STOP_TIME);
     let sick = world.fleet.living()[0].0.clone();
-    world.fleet.set_sick(&sick, true);
+    world.fleet.set_refusing_all(&sick, true);
     let spec = gang("work 800");
     world.submit("j", spec.clone()).await?;
     sleep_ms(8_000).await;
--- a/crates/hoisthitch-scheduler/tests/contracts/turns.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/turns.rs
@@ -216,7 +216,7 @@
 /// What the owner sends arrives, and no answer comes back: neither from the
 /// store nor from runners, nor about VMs.
 fn unhear(world: &TestWorld, nodes: &[String]) {
-    world.fleet.unhear(nodes);
+    world.fleet.drop_responses(nodes);
     world.fleet.disturb();
     world.store.set_faults(StoreFaults {
         unheard: nodes.iter().cloned().collect(),
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -280,7 +280,7 @@
     }
 
     /// Sets whether a runner refuses each start.
-    pub fn set_sick(&self, name: &str, sick: bool) {
+    pub fn set_refusing_all(&self, name: &str, sick: bool) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
             runner.refuses_starts = sick;
         }
@@ -295,7 +295,7 @@
 
     /// Drops the responses to calls of these nodes to runners and about VMs; the calls are
     /// carried out.
-    pub fn unhear(&self, nodes: &[String]) {
+    pub fn drop_responses(&self, nodes: &[String]) {
         let nodes: HashSet<String> = nodes.iter().cloned().collect();
         let mut state = self.state.borrow_mut();
         for runner in state.runners.values_mut() {
