--- a/crates/hoisthitch-scheduler/tests/contracts/gang.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/gang.rs
@@ -75,7 +75,7 @@
     for task in task_names(id, spec) {
         ensure!(world.fleet.is_done(&task), "{task}: {:?}", trace(world, id));
     }
-    let notes = world.fleet.start_notes();
+    let notes = world.fleet.start_records();
     let runs = |task: &str| -> Vec<u32> {
         let own = notes.iter().filter(|note| note.task == task);
         own.map(|note| note.run).collect()
@@ -121,7 +121,7 @@
     world.submit("j", spec.clone()).await?;
     sleep_ms(5_000).await;
     ensure!(
-        world.fleet.start_notes().is_empty(),
+        world.fleet.start_records().is_empty(),
         "{:?}",
         trace(&world, "j")
     );
--- a/crates/hoisthitch-scheduler/tests/contracts/main.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/main.rs
@@ -83,7 +83,7 @@
 /// needs.
 fn trace(world: &TestWorld, id: &str) -> BTreeMap<u64, Vec<String>> {
     let mut lines: BTreeMap<u64, Vec<String>> = BTreeMap::new();
-    for note in world.fleet.start_notes() {
+    for note in world.fleet.start_records() {
         if note.task.starts_with(&format!("{id}.")) {
             let line = format!("{} run {} on {}", note.task, note.run, note.runner);
             lines.entry(note.at_ms % 1_000_000).or_default().push(line);
--- a/crates/hoisthitch-scheduler/tests/contracts/order.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/order.rs
@@ -68,7 +68,7 @@
     for round in 0..TIMES {
         let due = first + u64::from(round) * INTERVAL_MS;
         let task = format!("j.{round}.0.0");
-        let notes = world.fleet.start_notes();
+        let notes = world.fleet.start_records();
         let began = notes.iter().find(|note| note.task == task);
         let began = began.map_or(0, |note| note.at_ms);
         let prompt = began >= due && began < due + PROMPT_MS;
@@ -204,10 +204,10 @@
     world.submit("j", spec.clone()).await?;
     sleep_ms(500 + INTERVAL_MS + 1_000).await;
     world.cancel("j").await?;
-    let begun = world.fleet.start_notes().len();
+    let begun = world.fleet.start_records().len();
     ensure!(begun == 10, "{:?}", trace(&world, "j"));
     sleep_ms(INTERVAL_MS * u64::from(TIMES)).await;
-    ensure!(world.fleet.start_notes().len() == begun);
+    ensure!(world.fleet.start_records().len() == begun);
     world.wait_phase("j", JobPhase::Cancelled, 1_000).await?;
     kept(&world)
 }
--- a/crates/hoisthitch-scheduler/tests/contracts/route.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/route.rs
@@ -79,7 +79,7 @@
     world.submit("j", spec.clone()).await?;
     sleep_ms(3_000).await;
     ensure!(
-        world.fleet.start_notes().is_empty(),
+        world.fleet.start_records().is_empty(),
         "{:?}",
         trace(&world, "j")
     );
--- a/crates/hoisthitch-scheduler/tests/ownership/drains.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/drains.rs
@@ -162,9 +162,9 @@
     sleep_ms(20).await;
     world.drain_runner(&runner);
     sleep_ms(400).await;
-    let sent = world.fleet.start_notes().len();
+    let sent = world.fleet.start_records().len();
     sleep_ms(3_000).await;
-    let later = world.fleet.start_notes().len();
+    let later = world.fleet.start_records().len();
     ensure!(later == sent, "{later} starts came, {sent} before");
     kept(&world)
 }
--- a/crates/hoisthitch-scheduler/tests/ownership/lives.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/lives.rs
@@ -284,7 +284,7 @@
     ensure!((vms, most) == (3, 1), "{vms} VMs, {most} at once");
     sleep_ms(3_000).await;
     run_jobs(&world, "after", 6).await?;
-    let notes = world.fleet.start_notes();
+    let notes = world.fleet.start_records();
     let after = notes.iter().filter(|note| note.task.starts_with("after"));
     let used: BTreeSet<&String> = after.map(|note| &note.runner).collect();
     ensure!(used.len() == 3, "tasks run on {used:?} after the wave");
--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -377,7 +377,7 @@
 
     /// Hands a job in to a queue, at some node until it is accepted.
     pub async fn submit_to(&self, queue: &QueueRoute, id: &str, spec: JobSpec) -> eyre::Result<()> {
-        self.fleet.note_job(id, &spec, queue.policy.advised);
+        self.fleet.record_job(id, &spec, queue.policy.advised);
         for _ in 0..100 {
             for node in self.nodes.values() {
                 if node.frozen.get() || node.killed.get() {
@@ -396,14 +396,14 @@
 
     /// Cancels a job at some node until that is accepted.
     pub async fn cancel(&self, id: &str) -> eyre::Result<()> {
-        self.fleet.note_cancel(id);
+        self.fleet.record_cancel(id);
         for node in self.nodes.values() {
             if node.frozen.get() || node.killed.get() {
                 continue;
             }
             let deadline = node.shared.clock.now() + 2_000;
             if node.service.cancel(CallScope::All, id, deadline).await == CancelAnswer::Accepted {
-                self.fleet.note_cancel_answer(id);
+                self.fleet.record_cancel_response(id);
                 return Ok(());
             }
         }
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -31,7 +31,7 @@
 pub use capacity::DEFAULT_CAPACITY;
 pub use crashing::CrashedRunner;
 pub use events::show_events;
-pub use rules::StartNote;
+pub use rules::StartRecord;
 pub use runners::MemoryFleet;
 pub use sharing::PaceFate;
 pub use store::{
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -43,7 +43,7 @@
 
 /// A start that a runner carried out.
 #[derive(Clone, Debug)]
-pub struct StartNote {
+pub struct StartRecord {
     /// Name of the task.
     pub task: String,
     /// Number of the run.
@@ -64,7 +64,7 @@
     disturbed: Option<Instant>,
     /// Nodes whose calls about VMs get no response.
     unheard: HashSet<String>,
-    starts: Vec<StartNote>,
+    starts: Vec<StartRecord>,
     /// Whether the order that is being carried out was delayed.
     late: bool,
     pub(super) adviser: AdviserState,
@@ -101,7 +101,7 @@
         FIRST_DAY_MS + self.first.elapsed().as_millis() as u64
     }
 
-    pub(super) fn note_cancel(&mut self, job: &str) {
+    pub(super) fn record_cancel(&mut self, job: &str) {
         let now = Instant::now();
         self.cancelled.entry(job.to_owned()).or_insert(now);
     }
@@ -180,7 +180,7 @@
 impl FleetState {
     /// Records a start that was just carried out, and checks it against its job's specification.
     pub(super) fn check_start(&mut self, runner: &str, order: &StartOrder, now: Instant) {
-        let note = StartNote {
+        let note = StartRecord {
             task: order.name.to_string(),
             run: order.run,
             runner: runner.to_owned(),
@@ -257,7 +257,7 @@
     }
 
     /// Records the specification of a job, and whether its queue has an adviser.
-    pub fn note_job(&self, id: &str, spec: &JobSpec, advised: bool) {
+    pub fn record_job(&self, id: &str, spec: &JobSpec, advised: bool) {
         let mut state = self.state.borrow_mut();
         state.rules.jobs.insert(id.to_owned(), spec.clone());
         if advised {
@@ -305,7 +305,7 @@
     }
 
     /// Starts that were carried out so far, in order.
-    pub fn start_notes(&self) -> Vec<StartNote> {
+    pub fn start_records(&self) -> Vec<StartRecord> {
         self.state.borrow().rules.starts.clone()
     }
 
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -208,10 +208,10 @@
     }
 
     /// Records that the caller cancels a job: its tasks may be stopped from now on.
-    pub fn note_cancel(&self, job: &str) {
+    pub fn record_cancel(&self, job: &str) {
         let mut state = self.state.borrow_mut();
         state.cancelled.insert(job.to_owned());
-        state.rules.note_cancel(job);
+        state.rules.record_cancel(job);
     }
 
     /// Live runners, each with its VM.
@@ -522,7 +522,7 @@
 
     /// Records that the cancel of a job got its response: its tasks may be started only for
     /// [`CANCEL_LIMIT`] from now on.
-    pub fn note_cancel_answer(&self, job: &str) {
+    pub fn record_cancel_response(&self, job: &str) {
         let mut state = self.state.borrow_mut();
         state.cancel_answers.insert(job.to_owned(), Instant::now());
     }
