--- a/crates/hoisthitch-scheduler/tests/contracts/advice.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/advice.rs
@@ -12,7 +12,7 @@
     JobSpec, //
 };
 use hoisthitch_tests::world::{
-    AdviserMood,
+    AdviserBehaviour,
     MemoryAdviser,
     StoreFaults, //
 };
@@ -137,7 +137,7 @@
 
 async fn goes_silent() -> Result<()> {
     let (world, adviser) = advised_world().await?;
-    adviser.set_mood(AdviserMood::Silent);
+    adviser.set_behaviour(AdviserBehaviour::Silent);
     let spec = job("work 300", &[6]);
     submit(&world, &spec).await?;
     let other = job("work 300", &[6, 6]);
@@ -148,7 +148,7 @@
     sleep_ms(8_000).await;
     let tasks = trace(&world, "j");
     ensure!(tasks.is_empty(), "{tasks:?}");
-    adviser.set_mood(AdviserMood::Answers {
+    adviser.set_behaviour(AdviserBehaviour::Answers {
         call: Duration::from_millis(40),
         each: Duration::from_millis(5),
     });
@@ -158,13 +158,13 @@
 /// The adviser refuses every call for seconds.
 async fn is_crowded() -> Result<()> {
     let (world, adviser) = advised_world().await?;
-    adviser.set_mood(AdviserMood::Crowded);
+    adviser.set_behaviour(AdviserBehaviour::Crowded);
     let spec = job("work 300", &[6]);
     submit(&world, &spec).await?;
     sleep_ms(7_000).await;
     let calls = adviser.calls();
     ensure!((4..=14).contains(&calls), "{calls} calls in 7 s");
-    adviser.set_mood(AdviserMood::Answers {
+    adviser.set_behaviour(AdviserBehaviour::Answers {
         call: Duration::from_millis(40),
         each: Duration::from_millis(5),
     });
@@ -174,7 +174,7 @@
 /// Forty jobs ask an adviser that takes half a second for each step.
 async fn is_slow() -> Result<()> {
     let (world, adviser) = advised_world().await?;
-    adviser.set_mood(AdviserMood::Answers {
+    adviser.set_behaviour(AdviserBehaviour::Answers {
         call: Duration::from_millis(500),
         each: Duration::from_millis(10),
     });
--- a/crates/hoisthitch-tests/src/world/adviser.rs
+++ b/crates/hoisthitch-tests/src/world/adviser.rs
@@ -32,7 +32,7 @@
 
 /// How the adviser responds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AdviserMood {
+pub enum AdviserBehaviour {
     /// After a time for the request and a time for each runner named in it.
     Answers {
         /// Time for the request.
@@ -48,7 +48,7 @@
 
 /// Tickets that the adviser has issued, and how it responds.
 pub(super) struct AdviserState {
-    mood: AdviserMood,
+    mood: AdviserBehaviour,
     valid: Duration,
     /// VMs whose runners are allowed to run the steps.
     good: HashSet<String>,
@@ -65,7 +65,7 @@
 impl Default for AdviserState {
     fn default() -> Self {
         Self {
-            mood: AdviserMood::Answers {
+            mood: AdviserBehaviour::Answers {
                 call: Duration::from_millis(40),
                 each: Duration::from_millis(5),
             },
@@ -122,7 +122,7 @@
 
 impl MemoryAdviser {
     /// Changes how the adviser responds.
-    pub fn set_mood(&self, mood: AdviserMood) {
+    pub fn set_behaviour(&self, mood: AdviserBehaviour) {
         self.fleet.state.borrow_mut().rules.adviser.mood = mood;
     }
 
@@ -157,11 +157,11 @@
         self.fleet.state.borrow().rules.adviser.most_waiting
     }
 
-    fn begin_call(&self) -> Result<AdviserMood, String> {
+    fn begin_call(&self) -> Result<AdviserBehaviour, String> {
         let mut state = self.fleet.state.borrow_mut();
         let adviser = &mut state.rules.adviser;
         adviser.calls += 1;
-        if adviser.waiting >= WAITING_LIMIT || adviser.mood == AdviserMood::Crowded {
+        if adviser.waiting >= WAITING_LIMIT || adviser.mood == AdviserBehaviour::Crowded {
             return Err("status 429".to_owned());
         }
         adviser.waiting += 1;
@@ -194,7 +194,7 @@
     async fn advise(&self, request: &AdviceRequest) -> Result<AdviceResponse, String> {
         let mood = self.begin_call()?;
         let answer = match mood {
-            AdviserMood::Answers { call, each } => {
+            AdviserBehaviour::Answers { call, each } => {
                 let count = u32::try_from(request.runners.len()).unwrap_or(u32::MAX);
                 let time = call + each * count;
                 tokio::time::sleep(time.min(CALL_TIMEOUT)).await;
@@ -204,7 +204,7 @@
                     Err("no answer".to_owned())
                 }
             }
-            AdviserMood::Silent | AdviserMood::Crowded => {
+            AdviserBehaviour::Silent | AdviserBehaviour::Crowded => {
                 tokio::time::sleep(CALL_TIMEOUT).await;
                 Err("no answer".to_owned())
             }
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -25,7 +25,7 @@
 };
 
 pub use adviser::{
-    AdviserMood,
+    AdviserBehaviour,
     MemoryAdviser, //
 };
 pub use capacity::DEFAULT_CAPACITY;
