--- a/crates/hoisthitch-scheduler/tests/contracts/main.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/main.rs
@@ -95,7 +95,7 @@
 impl TestWorld {
     /// Begins a life of a VM's runner with a label.
     fn begin_labelled(&self, vm: &str, label: &str) -> String {
-        let name = self.fleet.begin_kind(vm, label);
+        let name = self.fleet.begin_with_label(vm, label);
         let record = format!("{vm}{LABELLED}{label}");
         let key = format!("runner/{name}");
         self.store.put(&key, Some(record.as_bytes()), 0);
--- a/crates/hoisthitch-tests/src/world/gangs.rs
+++ b/crates/hoisthitch-tests/src/world/gangs.rs
@@ -114,7 +114,7 @@
 
 impl MemoryFleet {
     /// Runs that ended because other members of their gang did not start.
-    pub fn alone(&self) -> Vec<(String, u32)> {
+    pub fn incomplete_runs(&self) -> Vec<(String, u32)> {
         self.settle();
         self.state.borrow().rules.alone.clone()
     }
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -271,7 +271,7 @@
     }
 
     /// Starts a runner instance with a label on a VM; returns its name.
-    pub fn begin_kind(&self, vm: &str, label: &str) -> String {
+    pub fn begin_with_label(&self, vm: &str, label: &str) -> String {
         let name = self.begin(vm);
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(&name) {
             label.clone_into(&mut runner.label);
