--- a/crates/hoisthitch-scheduler/tests/contracts/turns.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/turns.rs
@@ -163,7 +163,7 @@
 async fn waving_slowly() -> Result<TestWorld> {
     let world = waving().await?;
     world.store.set_faults(StoreFaults {
-        back: Duration::from_millis(BACK_MS),
+        response_delay: Duration::from_millis(BACK_MS),
         ..StoreFaults::default()
     });
     Ok(world)
@@ -219,7 +219,7 @@
     world.fleet.drop_responses(nodes);
     world.fleet.disturb();
     world.store.set_faults(StoreFaults {
-        unheard: nodes.iter().cloned().collect(),
+        unanswered: nodes.iter().cloned().collect(),
         ..StoreFaults::default()
     });
 }
@@ -261,7 +261,7 @@
     world.submit("j", job("work 500", &[6, 3])).await?;
     sleep_ms(100).await;
     world.store.set_faults(StoreFaults {
-        unheard: [world.owner()].into_iter().collect(),
+        unanswered: [world.owner()].into_iter().collect(),
         ..StoreFaults::default()
     });
     world.fleet.disturb();
--- a/crates/hoisthitch-tests/src/world/instance.rs
+++ b/crates/hoisthitch-tests/src/world/instance.rs
@@ -89,7 +89,7 @@
     /// Since when it is listed as draining.
     pub(super) draining_since: Option<Instant>,
     /// Nodes whose calls arrive but get no response.
-    pub(super) unheard: HashSet<String>,
+    pub(super) unanswered: HashSet<String>,
     /// Whether its process has ended and its VM still runs: calls are refused at once.
     pub(super) process_ended: bool,
     /// Its capacities so far, the current one last.
@@ -169,7 +169,7 @@
             cut: HashSet::new(),
             cut_changed_at: Instant::now(),
             draining_since: None,
-            unheard: HashSet::new(),
+            unanswered: HashSet::new(),
             process_ended: false,
             capacities: vec![TimedCapacity::usual()],
             refuses_starts: false,
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -63,7 +63,7 @@
     cancelled: HashMap<String, Instant>,
     disturbed: Option<Instant>,
     /// Nodes whose calls about VMs get no response.
-    unheard: HashSet<String>,
+    unanswered: HashSet<String>,
     starts: Vec<StartRecord>,
     /// Whether the order that is being carried out was delayed.
     late: bool,
@@ -84,7 +84,7 @@
             advised: HashSet::new(),
             cancelled: HashMap::new(),
             disturbed: None,
-            unheard: HashSet::new(),
+            unanswered: HashSet::new(),
             starts: Vec::new(),
             late: false,
             adviser: AdviserState::default(),
@@ -112,8 +112,8 @@
         self.late = late;
     }
 
-    pub(super) fn is_unheard(&self, node: &str) -> bool {
-        self.unheard.contains(node)
+    pub(super) fn is_unanswered(&self, node: &str) -> bool {
+        self.unanswered.contains(node)
     }
 
     /// Whether the last fault was more than [`CONTACT_TIME`] before `since`.
@@ -299,9 +299,9 @@
         let nodes: HashSet<String> = nodes.iter().cloned().collect();
         let mut state = self.state.borrow_mut();
         for runner in state.runners.values_mut() {
-            runner.unheard.clone_from(&nodes);
+            runner.unanswered.clone_from(&nodes);
         }
-        state.rules.unheard = nodes;
+        state.rules.unanswered = nodes;
     }
 
     /// Starts that were carried out so far, in order.
--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -505,7 +505,7 @@
         let state = self.state.borrow();
         let runner = state.runners.get(name);
         self.request_arrives(name)
-            && runner.is_some_and(|runner| !runner.unheard.contains(&self.node))
+            && runner.is_some_and(|runner| !runner.unanswered.contains(&self.node))
     }
 
     fn is_late(&self) -> bool {
--- a/crates/hoisthitch-tests/src/world/runners/control.rs
+++ b/crates/hoisthitch-tests/src/world/runners/control.rs
@@ -96,7 +96,7 @@
         tokio::time::sleep(ONE_WAY_TIME).await;
         if !self.response_arrives(&runner.instance.name) {
             tokio::time::sleep(CALL_TIMEOUT).await;
-            return Err(RunnerError::NoAnswer("unheard".to_owned()));
+            return Err(RunnerError::NoAnswer("response lost".to_owned()));
         }
         stopped
     }
@@ -171,7 +171,7 @@
         tokio::time::sleep(ONE_WAY_TIME).await;
         if !self.response_arrives(&runner.instance.name) {
             tokio::time::sleep(CALL_TIMEOUT).await;
-            return Err(RunnerError::NoAnswer("unheard".to_owned()));
+            return Err(RunnerError::NoAnswer("response lost".to_owned()));
         }
         paced
     }
--- a/crates/hoisthitch-tests/src/world/runners/instances.rs
+++ b/crates/hoisthitch-tests/src/world/runners/instances.rs
@@ -27,7 +27,7 @@
         if let Some(runner) = state.runners.get_mut(name) {
             *runner = Runner {
                 cut: std::mem::take(&mut runner.cut),
-                unheard: std::mem::take(&mut runner.unheard),
+                unanswered: std::mem::take(&mut runner.unanswered),
                 label: std::mem::take(&mut runner.label),
                 stop_time: runner.stop_time,
                 ..Runner::begin(&runner.vm, started_at)
@@ -68,7 +68,7 @@
     pub(super) fn is_unguarded(&self, name: &str, sent: Instant) -> bool {
         let state = self.state.borrow();
         state.runners.get(name).is_some_and(|runner| {
-            let cut = !runner.cut.is_empty() || !runner.unheard.is_empty();
+            let cut = !runner.cut.is_empty() || !runner.unanswered.is_empty();
             let reached = runner.began.max(runner.cut_changed_at);
             runner.began > sent && (cut || reached.elapsed() <= UNGUARDED_TIME)
         })
--- a/crates/hoisthitch-tests/src/world/runners/vms.rs
+++ b/crates/hoisthitch-tests/src/world/runners/vms.rs
@@ -73,9 +73,9 @@
 impl VmControl for MemoryFleet {
     async fn list(&self) -> Result<Vec<VmStatus>, VmError> {
         tokio::time::sleep(ONE_WAY_TIME * 2).await;
-        if self.state.borrow().rules.is_unheard(&self.node) {
+        if self.state.borrow().rules.is_unanswered(&self.node) {
             tokio::time::sleep(CALL_TIMEOUT).await;
-            return Err(VmError::NoAnswer("unheard".to_owned()));
+            return Err(VmError::NoAnswer("response lost".to_owned()));
         }
         let state = self.state.borrow();
         let mut rows: Vec<VmStatus> = state
@@ -120,11 +120,11 @@
             }
         });
         let outcome = answer.await;
-        let unheard =
-            |state: &FleetState| state.vm_answers_lost || state.rules.is_unheard(&self.node);
-        if unheard(&self.state.borrow()) {
+        let unanswered =
+            |state: &FleetState| state.vm_answers_lost || state.rules.is_unanswered(&self.node);
+        if unanswered(&self.state.borrow()) {
             tokio::time::sleep(CALL_TIMEOUT).await;
-            return Err(VmError::NoAnswer("unheard".to_owned()));
+            return Err(VmError::NoAnswer("response lost".to_owned()));
         }
         let Ok(outcome) = outcome else {
             tokio::time::sleep(CALL_TIMEOUT).await;
--- a/crates/hoisthitch-tests/src/world/store.rs
+++ b/crates/hoisthitch-tests/src/world/store.rs
@@ -57,7 +57,7 @@
     /// Calls of these nodes are not carried out, and get no response.
     pub cut: HashSet<String>,
     /// Calls of these nodes are carried out, but get no response.
-    pub unheard: HashSet<String>,
+    pub unanswered: HashSet<String>,
     /// Watches of keys with this prefix get no response; empty for none.
     pub silent_watches: String,
     /// Each write of this many is carried out but gets no response; zero for none.
@@ -67,7 +67,7 @@
     /// Delay added to each call.
     pub delay: Duration,
     /// Travel time of responses.
-    pub back: Duration,
+    pub response_delay: Duration,
     /// Most calls of all nodes together in a second, beyond which it refuses calls; zero for no
     /// limit.
     pub calls_per_s: u32,
@@ -247,17 +247,17 @@
         state.faults.down || state.faults.cut.contains(&self.node)
     }
 
-    fn is_unheard(&self) -> bool {
-        self.state.borrow().faults.unheard.contains(&self.node)
+    fn is_unanswered(&self) -> bool {
+        self.state.borrow().faults.unanswered.contains(&self.node)
     }
 
     /// Waits for the travel time of the response; it times out for a node that gets no responses.
     async fn deliver_answer(&self, call: &'static str) -> Result<(), StoreError> {
-        if self.is_unheard() {
+        if self.is_unanswered() {
             tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout(call));
         }
-        let back = self.state.borrow().faults.back;
+        let back = self.state.borrow().faults.response_delay;
         if !back.is_zero() {
             tokio::time::sleep(back).await;
         }
@@ -545,7 +545,7 @@
             };
         loop {
             changed.borrow_and_update();
-            if self.store.is_cut() || self.store.is_unheard() || self.is_silent() {
+            if self.store.is_cut() || self.store.is_unanswered() || self.is_silent() {
                 tokio::time::sleep_until(until).await;
                 return Some(Err(timeout("watch")));
             }
