--- a/crates/hoisthitch-tests/src/world/runners/instances.rs
+++ b/crates/hoisthitch-tests/src/world/runners/instances.rs
@@ -41,8 +41,8 @@
     }
 
     /// Sets whether runners that start from now on report their start times.
-    pub fn set_start_times_reported(&self, told: bool) {
-        self.state.borrow_mut().start_times_hidden = !told;
+    pub fn set_start_times_reported(&self, reported: bool) {
+        self.state.borrow_mut().start_times_hidden = !reported;
     }
 
     /// Sets whether a runner, on an acknowledgement, also discards later ends with the numbers
--- a/crates/hoisthitch-tests/src/world/sharing.rs
+++ b/crates/hoisthitch-tests/src/world/sharing.rs
@@ -40,7 +40,7 @@
     /// Tail latency of serving tasks without best-effort tasks, in milliseconds.
     quiet_ms: u64,
     /// Latency that each unthrottled best-effort task adds, in milliseconds.
-    filler_ms: u64,
+    best_effort_ms: u64,
     /// Tail latencies so far, each with the time from which it applied.
     tails: Vec<(Instant, u64)>,
     over_since: Option<Instant>,
@@ -76,9 +76,9 @@
 impl Runner {
     /// Present tail latency of its serving tasks, in milliseconds.
     fn tail(&self) -> u64 {
-        let fillers = self.running.values().filter(|run| run.best_effort);
-        let pace: u64 = fillers.map(|run| u64::from(run.pace)).sum();
-        self.sharing.quiet_ms + self.sharing.filler_ms * pace / 100
+        let best_effort = self.running.values().filter(|run| run.best_effort);
+        let pace: u64 = best_effort.map(|run| u64::from(run.pace)).sum();
+        self.sharing.quiet_ms + self.sharing.best_effort_ms * pace / 100
     }
 
     /// Whether best-effort tasks hold a tail latency above its target.
@@ -120,11 +120,11 @@
 impl MemoryFleet {
     /// Sets the tail latency of serving tasks on all runners, and what an unthrottled best-effort
     /// task adds, both in milliseconds.
-    pub fn set_tails(&self, quiet_ms: u64, filler_ms: u64) {
+    pub fn set_tails(&self, quiet_ms: u64, best_effort_ms: u64) {
         self.settle();
         for runner in self.state.borrow_mut().runners.values_mut() {
             runner.sharing.quiet_ms = quiet_ms;
-            runner.sharing.filler_ms = filler_ms;
+            runner.sharing.best_effort_ms = best_effort_ms;
         }
         self.settle();
     }
--- a/crates/hoisthitch-tests/tests/explain/log.rs
+++ b/crates/hoisthitch-tests/tests/explain/log.rs
@@ -64,7 +64,7 @@
 }
 
 /// The log of a job that node-1 accepted, and that node-2 took in and started on runner r-1.
-pub fn begun() -> String {
+pub fn started_job() -> String {
     [
         line(1_000, "node-2", "pool_taken pool=p term=1 epoch=11"),
         submitted(5_000, "accepted"),
--- a/crates/hoisthitch-tests/tests/explain/main.rs
+++ b/crates/hoisthitch-tests/tests/explain/main.rs
@@ -16,11 +16,11 @@
 use crate::log::{
     JOB,
     NodeLog,
-    begun,
     check,
     explain,
     line,
     ordered,
+    started_job,
     submitted,
     taken, //
 };
@@ -61,7 +61,7 @@
         "job_ended job={JOB} queue=q pool=p phase=Completed took_ms=4000 objective_ms=2000 \
          taking_ms=20 waiting_ms=3000 ordering_ms=30 running_ms=950 reruns=0"
     );
-    let log = begun() + &line(9_000, "node-2", &event);
+    let log = started_job() + &line(9_000, "node-2", &event);
     let wanted = ["ended; this is where its time went", "waiting_ms=3000"];
     check("ended", &log, &wanted).await?;
     Ok(())
@@ -78,7 +78,7 @@
     };
     let event = format!("task_given_up task={JOB}.0.0.0 run=2 pool=p losses=2 weight=210");
     let log = [
-        begun(),
+        started_job(),
         lost(8_000, 1, "r-1"),
         ordered(8_010, 2, "r-2", "Started"),
         lost(11_000, 2, "r-2"),
@@ -100,7 +100,7 @@
     let event = "runner_answers_anew pool=p runner=r-1@1700000009000 before=r-1@1700000000000 \
                  ended=1 doubtful=0";
     let log = [
-        begun().replace("runner=r-1 ", "runner=r-1@1700000000000 "),
+        started_job().replace("runner=r-1 ", "runner=r-1@1700000000000 "),
         line(9_300, "node-2", event),
         ordered(9_400, 2, "r-1@1700000009000", "Started"),
     ]
@@ -114,7 +114,7 @@
 }
 
 async fn unclear_but_taken() -> Result<()> {
-    let log = begun().replace("outcome=accepted", "outcome=unknown");
+    let log = started_job().replace("outcome=accepted", "outcome=unknown");
     let text = check(
         "unclear-taken",
         &log,
@@ -165,7 +165,7 @@
 
 async fn handed_over() -> Result<()> {
     let log = [
-        begun(),
+        started_job(),
         line(
             6_000,
             "node-2",
@@ -238,14 +238,14 @@
 }
 
 async fn start_sent_again() -> Result<()> {
-    let log = [begun(), ordered(5_040, 1, "r-1", "Started")].concat();
+    let log = [started_job(), ordered(5_040, 1, "r-1", "Started")].concat();
     check("sent-again", &log, &["0 runs lost", "show no failure"]).await?;
     Ok(())
 }
 
 async fn lasting_task_away() -> Result<()> {
     let log = [
-        begun(),
+        started_job(),
         line(
             20_000,
             "node-2",
@@ -282,7 +282,7 @@
 
 async fn not_started_again() -> Result<()> {
     let log = [
-        begun(),
+        started_job(),
         line(20_000, "node-2", "runner_gone runner=r-1 why=down"),
         line(21_000, "node-2", "runner_gone runner=r-9 why=down"),
     ]
@@ -304,14 +304,14 @@
         "node-2",
         "runner_lost runner=r-1 error=\"no answer\"",
     );
-    let log = [begun(), lost].concat();
+    let log = [started_job(), lost].concat();
     check("missed", &log, &["0 runs lost", "show no failure"]).await?;
     Ok(())
 }
 
 async fn failing_runner() -> Result<()> {
     let log = [
-        begun(),
+        started_job(),
         ordered(6_000, 2, "r-1", "Started"),
         ordered(7_000, 3, "r-1", "Started"),
     ]
@@ -326,7 +326,7 @@
 
 async fn failing_job() -> Result<()> {
     let log = [
-        begun(),
+        started_job(),
         ordered(6_000, 2, "r-2", "Started"),
         ordered(7_000, 3, "r-3", "Started"),
     ]
@@ -338,7 +338,7 @@
 
 async fn cancelled() -> Result<()> {
     let log = [
-        begun(),
+        started_job(),
         line(
             8_000,
             "node-2",
@@ -370,7 +370,7 @@
 
 async fn others_stay_out() -> Result<()> {
     let log = [
-        begun(),
+        started_job(),
         line(
             5_100,
             "node-2",
@@ -397,7 +397,7 @@
 }
 
 async fn ordered_by_time() -> Result<()> {
-    let lines = begun();
+    let lines = started_job();
     let mut lines: Vec<&str> = lines.lines().collect();
     lines.reverse();
     let first = NodeLog::write("time-1", &lines[..2].join("\n"))?;
@@ -407,14 +407,14 @@
         second.0.display().to_string(),
     );
     let run = run_command(&["explain", JOB, "--log", &first, "--log", &second]).await?;
-    let whole = check("time", &begun(), &[]).await?;
+    let whole = check("time", &started_job(), &[]).await?;
     ensure!(run.text == whole, "{}\ninstead of\n{whole}", run.text);
     Ok(())
 }
 
 async fn unknown_events() -> Result<()> {
     let unknown = line(5_005, "node-2", &format!("new_event job={JOB} more=1"));
-    let log = [begun(), unknown].concat();
+    let log = [started_job(), unknown].concat();
     let text = check("unknown", &log, &["Lines read: 5, not log lines: 0"]).await?;
     ensure!(!text.contains("more=1"), "{text}");
     Ok(())
@@ -431,15 +431,15 @@
         "time=2026-04-29T18:00:05.000Z level=INFO process=node-1 event=runner_lost \u{fffd}\n",
         &long,
     ];
-    let log = [broken.concat(), begun()].concat();
+    let log = [broken.concat(), started_job()].concat();
     let wanted = ["show no failure", "Lines read: 11, not log lines: 7,"];
     check("broken", &log, &wanted).await?;
     Ok(())
 }
 
 async fn words_before() -> Result<()> {
-    let plain = check("plain", &begun(), &[]).await?;
-    let prefixed: String = begun()
+    let plain = check("plain", &started_job(), &[]).await?;
+    let prefixed: String = started_job()
         .lines()
         .map(|line| format!("  -4.95 node-9 {line}\n"))
         .collect();
@@ -449,8 +449,8 @@
 }
 
 async fn standard_input() -> Result<()> {
-    let plain = check("file", &begun(), &[]).await?;
-    let log = NodeLog::write("input", &begun())?;
+    let plain = check("file", &started_job(), &[]).await?;
+    let log = NodeLog::write("input", &started_job())?;
     let run = run_command_on(&["explain", JOB, "--log", "-"], &log.0).await?;
     ensure!(run.code == Some(0) && run.text == plain, "{}", run.text);
     Ok(())
@@ -469,7 +469,7 @@
 }
 
 async fn unknown_id() -> Result<()> {
-    let log = begun().replace(JOB, "another");
+    let log = started_job().replace(JOB, "another");
     let run = explain("unknown-id", &log).await?;
     ensure!(run.code == Some(1), "{:?} {}", run.code, run.text);
     let wanted = format!("no line names {JOB}, of 4 lines read, 0 of them not log lines");
--- a/crates/hoisthitch-tests/tests/leaving.rs
+++ b/crates/hoisthitch-tests/tests/leaving.rs
@@ -155,7 +155,7 @@
         .await?;
     ensure!(
         ready.status == 503,
-        "the balancer is told to send work here"
+        "the entry still reports that it is ready"
     );
     fleet.set_proxy(PROXY_PORT, json!({})).await?;
     wait_until("the entry to serve again", || async {
