--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -60,7 +60,8 @@
     pub(super) runners: BTreeMap<String, Runner>,
     /// VMs that are down for maintenance, and until when.
     in_maintenance: HashMap<String, Instant>,
-    instances: u64,
+    /// Names given to instances so far.
+    named_instances: u64,
     /// Whether runners don't report their start times.
     start_times_hidden: bool,
     /// How far the clock behind reported start times is set back, in milliseconds.
@@ -85,18 +86,23 @@
     pub(super) done: HashSet<String>,
     /// Number of acknowledged failures, by task.
     failed: HashMap<String, u32>,
+    /// Number of starts, by task.
     starts: HashMap<String, u32>,
+    /// Violations that the checkers found.
     pub(super) violations: Vec<String>,
     /// Each order of this many is carried out late and gets no response; zero for none.
     late_every: u64,
     /// Least delay of late orders.
     late_by: Duration,
+    /// Orders so far, for the count of late ones.
     orders: u64,
     /// Each start of this many is refused for lack of capacity; zero for none.
     refuse_every: u64,
-    /// Starts so far, for that count.
+    /// Starts so far, for the count of refused ones.
     start_calls: u64,
+    /// Starts of maintenance: VM, fencing token, time.
     maintenance_starts: Vec<(String, u64, Instant)>,
+    /// Most VMs that were in maintenance at once.
     down_most: usize,
     /// Last order about each VM: the node that sent it, and when it arrived.
     vm_orders: HashMap<String, (String, Instant)>,
@@ -151,8 +157,8 @@
     /// Starts a runner instance on a VM; returns its name.
     pub fn begin(&self, vm: &str) -> String {
         let mut state = self.state.borrow_mut();
-        state.instances += 1;
-        let name = format!("i-{}", state.instances);
+        state.named_instances += 1;
+        let name = format!("i-{}", state.named_instances);
         let started_at = state.next_start_time();
         state
             .runners
--- a/crates/hoisthitch-tests/src/world/runners/instances.rs
+++ b/crates/hoisthitch-tests/src/world/runners/instances.rs
@@ -47,11 +47,12 @@
 
     /// Sets whether a runner, on an acknowledgement, also discards later ends with the numbers
     /// acknowledged, or only the ends that it has; the platform's description allows both.
-    pub fn set_acks_cover_later_ends(&self, ahead: bool) {
-        self.state.borrow_mut().acks_cover_later_ends = ahead;
+    pub fn set_acks_cover_later_ends(&self, covered: bool) {
+        self.state.borrow_mut().acks_cover_later_ends = covered;
     }
 
-    /// Sets back the clock behind the start times that runners report which start from now on.
+    /// Sets back, by `time_ms` milliseconds, the clock from which runners that start from now on
+    /// take their start times.
     pub fn set_start_times_back(&self, time_ms: u64) {
         self.state.borrow_mut().start_times_behind_ms = time_ms;
     }
--- a/crates/hoisthitch-tests/tests/soak.rs
+++ b/crates/hoisthitch-tests/tests/soak.rs
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Sends a booking, and repeats it with the same key through other entries until it ran.
+    /// Sends a booking, and repeats it with the same key through other entries until it ran, at
+    /// most four times in all.
     async fn keyed(&self, name: &str, sent: usize) {
         for attempt in 0..4 {
             let request = self
