--- a/crates/hoisthitch-scheduler/tests/contracts/gang.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/gang.rs
@@ -75,7 +75,7 @@
     for task in task_names(id, spec) {
         ensure!(world.fleet.is_done(&task), "{task}: {:?}", trace(world, id));
     }
-    let notes = world.fleet.start_notes();
+    let notes = world.fleet.start_records();
     let runs = |task: &str| -> Vec<u32> {
         let own = notes.iter().filter(|note| note.task == task);
         own.map(|note| note.run).collect()
@@ -121,7 +121,7 @@
     world.submit("j", spec.clone()).await?;
     sleep_ms(5_000).await;
     ensure!(
-        world.fleet.start_notes().is_empty(),
+        world.fleet.start_records().is_empty(),
         "{:?}",
         trace(&world, "j")
     );
@@ -266,7 +266,7 @@
     let world = TestWorld::start(3, MEMBERS as usize).await?;
     world.fleet.set_stop_time(STOP_TIME);
     let sick = world.fleet.living()[0].0.clone();
-    world.fleet.set_sick(&sick, true);
+    world.fleet.set_refusing_all(&sick, true);
     let spec = gang("work 800");
     world.submit("j", spec.clone()).await?;
     sleep_ms(8_000).await;
--- a/crates/hoisthitch-scheduler/tests/contracts/main.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/main.rs
@@ -48,7 +48,7 @@
 
 /// Checks that no invariant was violated.
 fn check_invariants(world: &TestWorld) -> Result<()> {
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
@@ -84,7 +84,7 @@
 /// Starts of a job's runs by Unix time (ms, last six digits), for failure messages.
 fn trace(world: &TestWorld, id: &str) -> BTreeMap<u64, Vec<String>> {
     let mut lines: BTreeMap<u64, Vec<String>> = BTreeMap::new();
-    for note in world.fleet.start_notes() {
+    for note in world.fleet.start_records() {
         if note.task.starts_with(&format!("{id}.")) {
             let line = format!("{} run {} on {}", note.task, note.run, note.runner);
             lines.entry(note.at_ms % 1_000_000).or_default().push(line);
@@ -96,7 +96,7 @@
 impl TestWorld {
     /// Starts a new runner instance with a label on a VM.
     fn begin_labelled(&self, vm: &str, label: &str) -> String {
-        let name = self.fleet.begin_kind(vm, label);
+        let name = self.fleet.begin_with_label(vm, label);
         let record = format!("{vm}{LABELLED}{label}");
         let key = format!("runner/{name}");
         self.store.put(&key, Some(record.as_bytes()), 0);
--- a/crates/hoisthitch-scheduler/tests/contracts/turns.rs
+++ b/crates/hoisthitch-scheduler/tests/contracts/turns.rs
@@ -73,7 +73,7 @@
             break;
         }
     }
-    let (vms, most) = world.fleet.upkeeps();
+    let (vms, most) = world.fleet.maintenance_counts();
     ensure!(vms == VMS && most <= 2, "{vms} VMs, {most} at once");
     sleep_ms(3_000).await;
     let available = world.fleet.runners_of("long").len();
@@ -166,7 +166,7 @@
 async fn start_slow_wave() -> Result<TestWorld> {
     let world = start_wave().await?;
     world.store.set_faults(StoreFaults {
-        back: Duration::from_millis(RESPONSE_DELAY_MS),
+        response_delay: Duration::from_millis(RESPONSE_DELAY_MS),
         ..StoreFaults::default()
     });
     Ok(world)
@@ -219,10 +219,10 @@
 /// Loses all responses to those nodes, of the store, of runners and about VMs, while their
 /// requests arrive.
 fn lose_responses(world: &TestWorld, nodes: &[String]) {
-    world.fleet.unhear(nodes);
+    world.fleet.drop_responses(nodes);
     world.fleet.disturb();
     world.store.set_faults(StoreFaults {
-        unheard: nodes.iter().cloned().collect(),
+        unanswered: nodes.iter().cloned().collect(),
         ..StoreFaults::default()
     });
 }
@@ -266,7 +266,7 @@
     world.submit("j", job("work 500", &[6, 3])).await?;
     sleep_ms(100).await;
     world.store.set_faults(StoreFaults {
-        unheard: [world.owner()].into_iter().collect(),
+        unanswered: [world.owner()].into_iter().collect(),
         ..StoreFaults::default()
     });
     world.fleet.disturb();
--- a/crates/hoisthitch-scheduler/tests/draws/lives.rs
+++ b/crates/hoisthitch-scheduler/tests/draws/lives.rs
@@ -92,7 +92,7 @@
     // so that the new instance may receive an acknowledgement meant for the previous one. It
     // must not drop its later ends because of that.
     let at_once = rng.random_bool(0.5);
-    world.fleet.forget_ahead(!at_once);
+    world.fleet.set_acks_cover_later_ends(!at_once);
     world.submit("long", lasting(LONG_RUNNING_TASKS, 1)).await?;
     let mut jobs = Vec::new();
     for number in 0..STEPS {
@@ -139,7 +139,9 @@
         8 => world.fleet.set_late(0),
         9 => fail_store(world, at_once, rng).await,
         10 => cut_runner(world, at_once, rng).await,
-        _ => world.fleet.set_births_back(rng.random_range(0..2) * 30_000),
+        _ => world
+            .fleet
+            .set_start_times_back(rng.random_range(0..2) * 30_000),
     }
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/draws/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/draws/mod.rs
@@ -51,7 +51,7 @@
 
 /// Checks that the simulated fleet has seen no broken invariant.
 fn check_invariants(world: &TestWorld) -> Result<()> {
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/histories.rs
+++ b/crates/hoisthitch-scheduler/tests/histories.rs
@@ -123,7 +123,7 @@
         world.fleet.running().is_empty(),
         "tasks run after the cancellation"
     );
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
@@ -316,7 +316,7 @@
         sleep_ms(CHECK_INTERVAL_MS).await;
         check_availability(&world, now, &mut last_run)?;
     }
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/ownership/drains.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/drains.rs
@@ -145,7 +145,7 @@
         Departure::Announced => world.drain_runner(&runner),
         Departure::Unlisted => {
             world.store.put(&format!("runner/{runner}"), None, 0);
-            world.fleet.note_leaving(&runner);
+            world.fleet.mark_draining(&runner);
         }
     }
     world.begin_runner("vm-1");
@@ -165,9 +165,9 @@
     sleep_ms(20).await;
     world.drain_runner(&runner);
     sleep_ms(400).await;
-    let sent = world.fleet.start_notes().len();
+    let sent = world.fleet.start_records().len();
     sleep_ms(3_000).await;
-    let later = world.fleet.start_notes().len();
+    let later = world.fleet.start_records().len();
     ensure!(later == sent, "{later} starts came, {sent} before");
     check_invariants(&world)
 }
--- a/crates/hoisthitch-scheduler/tests/ownership/killers.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/killers.rs
@@ -107,7 +107,7 @@
 fn set_killer(world: &TestWorld, task: &str, delay_ms: u64) {
     world
         .fleet
-        .set_killer(task, Duration::from_millis(delay_ms));
+        .set_crashing_task(task, Duration::from_millis(delay_ms));
 }
 
 /// Submits `count` ordinary jobs, with a pause after each.
@@ -163,7 +163,7 @@
     world.fleet.set_late(0);
     wait_completed(&world, &ids).await?;
     wait_long_running(&world, 2).await?;
-    let kills = world.fleet.kills();
+    let kills = world.fleet.crash_count();
     ensure!(kills <= 4, "{kills} runners were lost to one task");
     for task in ["long.0.0.0", "long.0.0.1"] {
         let crashes = world.fleet.crashes_under(task);
@@ -187,10 +187,10 @@
     set_killer(&world, "bad.0.0.0", 10);
     world.submit("bad", job("work 1200", &[2])).await?;
     for _ in 0..6 {
-        let before = world.fleet.kills();
+        let before = world.fleet.crash_count();
         for _ in 0..200 {
             sleep_ms(50).await;
-            if world.fleet.kills() > before {
+            if world.fleet.crash_count() > before {
                 break;
             }
         }
@@ -202,7 +202,7 @@
         }
     }
     world.wait_phase("bad", JobPhase::Failed, LIMIT_MS).await?;
-    let kills = world.fleet.kills();
+    let kills = world.fleet.crash_count();
     ensure!(kills <= 5, "{kills} runners were lost to one task");
     check_invariants(&world)
 }
@@ -219,7 +219,7 @@
     let ids = submit_jobs(&world, 20, 200).await?;
     world.wait_phase("bad", JobPhase::Failed, LIMIT_MS).await?;
     wait_completed(&world, &ids).await?;
-    let kills = world.fleet.kills();
+    let kills = world.fleet.crash_count();
     ensure!(kills <= 10, "{kills} runners were lost to one step");
     wait_long_running(&world, 2).await?;
     check_invariants(&world)
--- a/crates/hoisthitch-scheduler/tests/ownership/lives.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/lives.rs
@@ -110,7 +110,7 @@
 /// task again.
 async fn restarts_in_series(down_ms: u64) -> Result<()> {
     let world = start_after_jobs(1, 3).await?;
-    world.fleet.forget_ahead(down_ms > 0);
+    world.fleet.set_acks_cover_later_ends(down_ms > 0);
     for (round, pause) in [150, 700, 3_000, 150, 1_500, 700, 3_000]
         .into_iter()
         .enumerate()
@@ -229,7 +229,7 @@
 /// The VMs' time of day was set back, so that the new instances report earlier start times.
 async fn earlier_start_times() -> Result<()> {
     let world = start_after_jobs(1, 2).await?;
-    world.fleet.set_births_back(60_000);
+    world.fleet.set_start_times_back(60_000);
     restart_all(&world, RECORD_DELAY_MS).await;
     sleep_ms(2_000).await;
     run_jobs(&world, "after", 4).await?;
@@ -268,7 +268,7 @@
     let mut completed = false;
     for _ in 0..300 {
         sleep_ms(100).await;
-        for vm in world.fleet.take_back() {
+        for vm in world.fleet.take_maintained() {
             let back = all.iter().find(|(_, other)| *other == vm);
             if let Some((name, vm)) = back {
                 world.fleet.restart(name);
@@ -282,11 +282,11 @@
         }
     }
     ensure!(completed, "the wave is completed");
-    let (vms, most) = world.fleet.upkeeps();
+    let (vms, most) = world.fleet.maintenance_counts();
     ensure!((vms, most) == (3, 1), "{vms} VMs, {most} at once");
     sleep_ms(3_000).await;
     run_jobs(&world, "after", 6).await?;
-    let notes = world.fleet.start_notes();
+    let notes = world.fleet.start_records();
     let after = notes.iter().filter(|note| note.task.starts_with("after"));
     let used: BTreeSet<&String> = after.map(|note| &note.runner).collect();
     ensure!(used.len() == 3, "tasks run on {used:?} after the wave");
@@ -297,7 +297,7 @@
 /// times were reported.
 async fn no_start_times() -> Result<()> {
     let world = TestWorld::start(1, 0).await?;
-    world.fleet.tell_births(false);
+    world.fleet.set_start_times_reported(false);
     for vm in ["vm-0", "vm-1"] {
         world.begin_runner(vm);
     }
--- a/crates/hoisthitch-scheduler/tests/ownership/main.rs
+++ b/crates/hoisthitch-scheduler/tests/ownership/main.rs
@@ -70,7 +70,7 @@
 
 /// Checks that no invariant was violated.
 fn check_invariants(world: &TestWorld) -> Result<()> {
-    let broken = world.fleet.broken();
+    let broken = world.fleet.violations();
     ensure!(broken.is_empty(), "{broken:?}");
     Ok(())
 }
--- a/crates/hoisthitch-scheduler/tests/world/codec.rs
+++ b/crates/hoisthitch-scheduler/tests/world/codec.rs
@@ -19,8 +19,8 @@
     WaveRequest, //
 };
 use hoisthitch_tests::world::{
-    POOL,
-    ROOM, //
+    DEFAULT_CAPACITY,
+    POOL, //
 };
 
 /// Suffix of the record of a runner that is draining.
@@ -117,8 +117,8 @@
 /// Parses the CPU capacity in a record; a record without one means the usual capacity.
 fn parse_capacity(text: &str) -> ResourceAmounts {
     ResourceAmounts {
-        cpu_milli: text.parse().unwrap_or(ROOM.cpu_milli),
-        ..ROOM
+        cpu_milli: text.parse().unwrap_or(DEFAULT_CAPACITY.cpu_milli),
+        ..DEFAULT_CAPACITY
     }
 }
 
--- a/crates/hoisthitch-scheduler/tests/world/mod.rs
+++ b/crates/hoisthitch-scheduler/tests/world/mod.rs
@@ -52,13 +52,13 @@
     run_node, //
 };
 use hoisthitch_tests::world::{
+    DEFAULT_CAPACITY,
     MemoryAdviser,
     MemoryFleet,
     MemoryStore,
-    ROOM,
     StoreFaults,
-    forget_outside,
-    run_outside,
+    discard_detached,
+    run_detached,
     show_events, //
 };
 use tokio::task::{
@@ -254,7 +254,7 @@
             ahead: BTreeMap::new(),
             instances: 0,
         };
-        spawn_local(run_outside());
+        spawn_local(run_detached());
         world.store.put("op/policy", Some(b"1"), 0);
         for number in 0..runners {
             world.begin_runner(&format!("vm-{number}"));
@@ -286,7 +286,7 @@
         if let Some(mut record) = record.filter(|record| !record.ends_with(DRAINING.as_bytes())) {
             record.extend(DRAINING.bytes());
             self.store.put(&key, Some(&record), 0);
-            self.fleet.note_leaving(name);
+            self.fleet.mark_draining(name);
         }
     }
 
@@ -312,8 +312,13 @@
 
     /// Changes the CPU capacity of a runner, in thousandths of a core, and its record.
     pub fn set_room(&self, name: &str, vm: &str, cpu_milli: u64) {
-        self.fleet
-            .set_room(name, ResourceAmounts { cpu_milli, ..ROOM });
+        self.fleet.set_capacity(
+            name,
+            ResourceAmounts {
+                cpu_milli,
+                ..DEFAULT_CAPACITY
+            },
+        );
         self.record_runner(name, vm);
     }
 
@@ -401,7 +406,7 @@
     ///
     /// Fails if no node accepts the job in 100 rounds.
     pub async fn submit_to(&self, queue: &QueueRoute, id: &str, spec: JobSpec) -> eyre::Result<()> {
-        self.fleet.note_job(id, &spec, queue.policy.advised);
+        self.fleet.record_job(id, &spec, queue.policy.advised);
         for _ in 0..100 {
             for node in self.nodes.values() {
                 if node.frozen.get() || node.killed.get() {
@@ -424,14 +429,14 @@
     ///
     /// Fails if no node accepts it.
     pub async fn cancel(&self, id: &str) -> eyre::Result<()> {
-        self.fleet.note_cancel(id);
+        self.fleet.record_cancel(id);
         for node in self.nodes.values() {
             if node.frozen.get() || node.killed.get() {
                 continue;
             }
             let deadline = node.shared.clock.now() + 2_000;
             if node.service.cancel(CallScope::All, id, deadline).await == CancelAnswer::Accepted {
-                self.fleet.note_cancel_answer(id);
+                self.fleet.record_cancel_response(id);
                 return Ok(());
             }
         }
@@ -470,7 +475,7 @@
 
     /// Starts a runner on each VM whose maintenance is over.
     pub fn revive(&self) {
-        for vm in self.fleet.take_back() {
+        for vm in self.fleet.take_maintained() {
             self.begin_runner(&vm);
         }
     }
@@ -482,7 +487,7 @@
     let started_at = started_at.map_or_else(String::new, |started_at| {
         format!("{STARTED_AT_MARK}{started_at}")
     });
-    let room = fleet.room(name).cpu_milli;
+    let room = fleet.capacity(name).cpu_milli;
     let record = format!("{vm}{started_at}{CAPACITY_MARK}{room}");
     store.put(&format!("runner/{name}"), Some(record.as_bytes()), 0);
 }
@@ -535,7 +540,7 @@
 ///
 /// Returns the error of the test, or that of the runtime's start.
 pub fn play(test: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
-    forget_outside();
+    discard_detached();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
--- a/crates/hoisthitch-tests/src/world/life.rs
+++ b/crates/hoisthitch-tests/src/world/instance.rs
@@ -1,4 +1,5 @@
-//! One life of a runner in memory: what it runs, its lease, its ends.
+//! One instance of a simulated runner: the tasks that it runs, its lease, and the ends that it
+//! reports.
 
 use std::{
     collections::{
@@ -19,18 +20,18 @@
 use tokio::time::Instant;
 
 use super::{
-    rooms::TimedRoom,
-    sharing::SharedRoom, //
+    capacity::TimedCapacity,
+    sharing::TailModel, //
 };
 
-/// Time after which a lasting task is at work.
-pub(super) const STARTED: Duration = Duration::from_millis(300);
+/// Time after its start until a long-running task is available.
+pub(super) const STARTUP_TIME: Duration = Duration::from_millis(300);
 
-/// Longest lease.
+/// Longest lease that a runner accepts.
 const LEASE_LIMIT: Duration = Duration::from_secs(10);
 
-/// Start of the runners' clocks.
-const CLOCK_START: u64 = 480_000;
+/// Value of a runner's clock at the start of the instance, in milliseconds.
+const CLOCK_START_MS: u64 = 480_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct Run {
@@ -38,35 +39,35 @@
     pub(super) began: Instant,
     pub(super) work: Duration,
     pub(super) fails: bool,
-    pub(super) lasts: bool,
-    /// When it has stopped, as it was told to.
+    pub(super) long_running: bool,
+    /// When a stop that was ordered is complete.
     pub(super) stops_at: Option<Instant>,
-    /// The gang that it is of.
+    /// Its gang, if it belongs to one.
     pub(super) gang: Option<GangPart>,
-    /// Target of a serving task, in milliseconds; zero for others.
+    /// Target latency of a serving task, in milliseconds; zero for others.
     pub(super) target_ms: u64,
-    /// Whether it is a filler.
-    pub(super) fills: bool,
-    /// Share at which it works, in percent.
+    /// Whether it is a best-effort task.
+    pub(super) best_effort: bool,
+    /// Throttle: the share of its full speed at which it works, in percent.
     pub(super) pace: u32,
-    /// Whether it was ordered of the life before, and nobody could keep it from starting.
+    /// Whether it was ordered from an earlier instance, and this one could not reject the start.
     pub(super) unguarded: bool,
 }
 
-/// A run's part in a gang.
+/// The gang of a run.
 #[derive(Clone, Debug)]
 pub(super) struct GangPart {
     /// Name of the step: job, round, step.
     pub(super) step: String,
-    /// Members of the gang.
+    /// Number of members.
     pub(super) size: usize,
     /// Since when all members are present.
-    pub(super) whole_since: Option<Instant>,
+    pub(super) complete_since: Option<Instant>,
 }
 
 pub(super) struct Runner {
     pub(super) vm: String,
-    /// When the life began, in milliseconds since 1970; none where runners don't tell.
+    /// Start time of the process, in milliseconds since 1970; none if runners don't report it.
     pub(super) started_at: Option<u64>,
     pub(super) alive: bool,
     pub(super) began: Instant,
@@ -75,64 +76,71 @@
     pub(super) running: BTreeMap<String, Run>,
     pub(super) ended: Vec<EndedTask>,
     pub(super) last_end: u64,
-    pub(super) seen: u64,
-    /// Last end before a lapse of the lease: the platform counts such ends as
-    /// taken note of only if that was before the lapse.
-    pub(super) void: u64,
-    /// Highest run that was stopped or ended, by task.
-    pub(super) over: HashMap<String, u32>,
+    pub(super) acked_end: u64,
+    /// Last end before the lease expired. The platform counts such ends as acknowledged only if
+    /// the acknowledgement came before the expiry.
+    pub(super) expired_end: u64,
+    /// Highest run that was stopped or has ended, by task.
+    pub(super) finished_runs: HashMap<String, u32>,
+    /// Nodes that are cut off from the runner in both directions.
     pub(super) cut: HashSet<String>,
     /// When a cut was last made or healed.
-    pub(super) healed: Instant,
-    /// Since when it is listed as leaving.
-    pub(super) leaves_since: Option<Instant>,
-    /// Nodes whose calls arrive and whose answers do not.
-    pub(super) unheard: HashSet<String>,
-    /// Whether its process is gone and its VM is not: calls are refused at once.
-    pub(super) refuses: bool,
-    /// Its rooms so far, the one of now last.
-    pub(super) rooms: Vec<TimedRoom>,
+    pub(super) cut_changed_at: Instant,
+    /// Since when it is listed as draining.
+    pub(super) draining_since: Option<Instant>,
+    /// Nodes whose calls arrive but get no response.
+    pub(super) unanswered: HashSet<String>,
+    /// Whether its process has ended and its VM still runs: calls are refused at once.
+    pub(super) process_ended: bool,
+    /// Its capacities so far, the current one last.
+    pub(super) capacities: Vec<TimedCapacity>,
     /// Whether it refuses each start.
-    pub(super) sick: bool,
-    /// Time that a stop takes.
+    pub(super) refuses_starts: bool,
+    /// Time that stopping a task takes.
     pub(super) stop_time: Duration,
-    /// What its kind is.
+    /// Label that steps may require.
     pub(super) label: String,
-    /// How tasks beside one another fare.
-    pub(super) sharing: SharedRoom,
+    /// Latency of serving tasks, as best-effort tasks on the runner affect it.
+    pub(super) sharing: TailModel,
 }
 
 impl Run {
-    /// The run that an order begins; its payload tells how it goes.
+    /// The run that an order starts. The order's payload sets how it goes: a number is its work
+    /// in milliseconds, `fail` makes it fail, `lasts` makes it long-running, and with `uneven`
+    /// the work grows with the task's index.
     pub(super) fn begin(order: &StartOrder, now: Instant) -> Self {
         Self {
             run: order.run,
             began: now,
             work: Duration::from_millis(work_ms(&order.payload)) * work_share(order),
             fails: order.payload.contains("fail"),
-            lasts: order.payload.contains("lasts"),
+            long_running: order.payload.contains("lasts"),
             stops_at: None,
             gang: None,
             target_ms: 0,
-            fills: false,
+            best_effort: false,
             pace: 100,
             unguarded: false,
         }
     }
 
-    /// When it went to work; a member of a gang waits for the others.
+    /// When it started its work; a member of a gang first waits for the others.
     pub(super) fn work_since(&self) -> Option<Instant> {
         let part = self.gang.as_ref();
-        part.map_or(Some(self.began), |part| part.whole_since)
+        part.map_or(Some(self.began), |part| part.complete_since)
     }
 
     fn is_over(&self, now: Instant) -> bool {
-        let since = self.work_since().filter(|_| !self.lasts);
+        let since = self.work_since().filter(|_| !self.long_running);
         since.is_some_and(|since| since + self.work <= now)
     }
 
     pub(super) fn percent(&self, now: Instant) -> u32 {
-        let work = if self.lasts { STARTED } else { self.work };
+        let work = if self.long_running {
+            STARTUP_TIME
+        } else {
+            self.work
+        };
         let Some(since) = self.work_since() else {
             return 0;
         };
@@ -143,7 +151,7 @@
 }
 
 impl Runner {
-    /// A life that begins now.
+    /// An instance that starts now.
     pub(super) fn begin(vm: &str, started_at: Option<u64>) -> Self {
         Self {
             vm: vm.to_owned(),
@@ -155,29 +163,29 @@
             running: BTreeMap::new(),
             ended: Vec::new(),
             last_end: 0,
-            seen: 0,
-            void: 0,
-            over: HashMap::new(),
+            acked_end: 0,
+            expired_end: 0,
+            finished_runs: HashMap::new(),
             cut: HashSet::new(),
-            healed: Instant::now(),
-            leaves_since: None,
-            unheard: HashSet::new(),
-            refuses: false,
-            rooms: vec![TimedRoom::usual()],
-            sick: false,
+            cut_changed_at: Instant::now(),
+            draining_since: None,
+            unanswered: HashSet::new(),
+            process_ended: false,
+            capacities: vec![TimedCapacity::usual()],
+            refuses_starts: false,
             stop_time: Duration::ZERO,
             label: String::new(),
-            sharing: SharedRoom::default(),
+            sharing: TailModel::default(),
         }
     }
 
-    pub(super) fn at(&self, clock_ms: u64) -> Instant {
-        let since = clock_ms.saturating_sub(CLOCK_START);
+    pub(super) fn instant_at(&self, clock_ms: u64) -> Instant {
+        let since = clock_ms.saturating_sub(CLOCK_START_MS);
         self.began + Duration::from_millis(since)
     }
 
-    pub(super) fn extend(&mut self, lease_end_ms: u64, now: Instant) {
-        let until = self.at(lease_end_ms).min(now + LEASE_LIMIT);
+    pub(super) fn extend_lease(&mut self, lease_end_ms: u64, now: Instant) {
+        let until = self.instant_at(lease_end_ms).min(now + LEASE_LIMIT);
         self.lease = self.lease.max(until);
     }
 
@@ -186,7 +194,7 @@
             return;
         };
         self.last_end += 1;
-        let over = self.over.entry(task.to_owned()).or_insert(0);
+        let over = self.finished_runs.entry(task.to_owned()).or_insert(0);
         *over = (*over).max(run.run);
         self.ended.push(EndedTask {
             number: self.last_end,
@@ -197,7 +205,8 @@
         });
     }
 
-    /// Ends what is over by now; answers with the tasks that are done.
+    /// Ends the runs that are complete, stopped, or without a lease by now; returns the tasks
+    /// that are done.
     pub(super) fn settle(&mut self, now: Instant) -> Vec<String> {
         let mut done = Vec::new();
         let lapse = self.lease;
@@ -225,7 +234,7 @@
             self.end(&task, EndKind::Stopped);
         }
         if lapse <= now {
-            self.void = self.last_end;
+            self.expired_end = self.last_end;
             let lapsed: Vec<String> = self.running.keys().cloned().collect();
             for task in lapsed {
                 self.end(&task, EndKind::LeaseExpired);
@@ -247,7 +256,7 @@
             },
         });
         HeartbeatReport {
-            clock_ms: CLOCK_START + now.duration_since(self.began).as_millis() as u64,
+            clock_ms: CLOCK_START_MS + now.duration_since(self.began).as_millis() as u64,
             started_at: self.started_at,
             running: running.collect(),
             ended: self.ended.clone(),
@@ -255,13 +264,13 @@
     }
 }
 
-/// The work of a task: the number in its payload.
+/// Work of a task in milliseconds: the number in its payload, or 300.
 fn work_ms(payload: &str) -> u64 {
     let digits: String = payload.chars().filter(char::is_ascii_digit).collect();
     digits.parse().unwrap_or(300)
 }
 
-/// How often an uneven task does the work of the first of its step.
+/// Factor on the work of a task, larger for each further task of an uneven step.
 fn work_share(order: &StartOrder) -> u32 {
     if order.payload.contains("uneven") {
         order.name.index + 1
--- a/crates/hoisthitch-tests/src/world/mod.rs
+++ b/crates/hoisthitch-tests/src/world/mod.rs
@@ -1,15 +1,17 @@
-//! A store, runners and VMs in memory, for tests of the job service.
+//! The simulated cluster: a store, runners and VMs in memory, for tests of the job service.
 //!
-//! They keep to what the service's traits promise, fail as told, and a judge
-//! looks at what runners are told.
+//! They implement the traits that the service calls, keep the contracts of those traits, and
+//! inject the faults that a test sets. Checkers look at each order that a runner or VM gets and
+//! record violations; a test fails if there are any. All times are those of the test's runtime,
+//! whose clock may be simulated.
 
 mod adviser;
+mod capacity;
+mod crashing;
+mod draining;
 mod events;
 mod gangs;
-mod killers;
-mod leaving;
-mod life;
-mod rooms;
+mod instance;
 mod rules;
 mod runners;
 mod sharing;
@@ -23,13 +25,13 @@
 };
 
 pub use adviser::{
-    AdviserMood,
+    AdviserBehaviour,
     MemoryAdviser, //
 };
+pub use capacity::DEFAULT_CAPACITY;
+pub use crashing::CrashedRunner;
 pub use events::show_events;
-pub use killers::CrashedRunner;
-pub use rooms::ROOM;
-pub use rules::StartNote;
+pub use rules::StartRecord;
 pub use runners::MemoryFleet;
 pub use sharing::PaceFate;
 pub use store::{
@@ -40,33 +42,33 @@
 /// The pool of the tests.
 pub const POOL: &str = "halls";
 
-/// Time between two looks for tasks that belong to nobody.
-const OUTSIDE_TICK: Duration = Duration::from_millis(5);
+/// Time between two checks for new tasks that belong to no node.
+const DETACHED_TICK: Duration = Duration::from_millis(5);
 
-type OutsideTask = Pin<Box<dyn Future<Output = ()>>>;
+type DetachedTask = Pin<Box<dyn Future<Output = ()>>>;
 
 thread_local! {
-    /// What goes on whatever becomes of a node.
-    static OUTSIDE: RefCell<Vec<OutsideTask>> = const { RefCell::new(Vec::new()) };
+    /// Tasks that continue when a node stops, such as orders and writes that are under way.
+    static DETACHED: RefCell<Vec<DetachedTask>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Runs a task that belongs to no node.
-fn spawn_outside(task: impl Future<Output = ()> + 'static) {
-    OUTSIDE.with(|tasks| tasks.borrow_mut().push(Box::pin(task)));
+/// Queues a task that belongs to no node; [`run_detached`] runs it.
+fn spawn_detached(task: impl Future<Output = ()> + 'static) {
+    DETACHED.with(|tasks| tasks.borrow_mut().push(Box::pin(task)));
 }
 
-/// Forgets tasks of an earlier test on this thread.
-pub fn forget_outside() {
-    OUTSIDE.with(|tasks| tasks.borrow_mut().clear());
+/// Discards tasks that an earlier test on this thread left.
+pub fn discard_detached() {
+    DETACHED.with(|tasks| tasks.borrow_mut().clear());
 }
 
-/// Carries out tasks that belong to no node, for ever.
-pub async fn run_outside() {
+/// Runs the tasks that belong to no node; never returns.
+pub async fn run_detached() {
     loop {
-        let tasks: Vec<_> = OUTSIDE.with(|tasks| tasks.borrow_mut().drain(..).collect());
+        let tasks: Vec<_> = DETACHED.with(|tasks| tasks.borrow_mut().drain(..).collect());
         for task in tasks {
             actix_rt::spawn(task);
         }
-        tokio::time::sleep(OUTSIDE_TICK).await;
+        tokio::time::sleep(DETACHED_TICK).await;
     }
 }
--- a/crates/hoisthitch-tests/src/world/rules.rs
+++ b/crates/hoisthitch-tests/src/world/rules.rs
@@ -1,4 +1,5 @@
-//! What jobs ask for, and the judge of starts that go against it.
+//! Specifications of the submitted jobs, and the checkers of starts that violate them: time,
+//! order of steps, label, tasks per runner, gangs.
 
 use std::{
     collections::{
@@ -19,7 +20,7 @@
 use super::{
     MemoryFleet,
     adviser::AdviserState,
-    life::{
+    instance::{
         GangPart,
         Run,
         Runner, //
@@ -28,50 +29,50 @@
     sharing::PaceFate, //
 };
 
-/// Time of day when a fleet begins, in milliseconds since 1970; any will do.
+/// Time of day at which a simulated fleet starts, in milliseconds since 1970; an arbitrary value.
 const FIRST_DAY_MS: u64 = 1_800_000_000_000;
 
-/// Time by which a task may start before it is due, in milliseconds.
+/// Time by which a task may start before its scheduled time, in milliseconds.
 const EARLY_MS: u64 = 250;
 
-/// Time within which nothing of a cancelled job starts any more.
+/// Time after a cancel after which no task of the job may start.
 const CANCEL_TIME: Duration = Duration::from_secs(3);
 
-/// Time after a disturbance in which rules with a time bound do not hold.
+/// Time after a fault in which rules with a time bound aren't checked.
 pub(super) const CONTACT_TIME: Duration = Duration::from_secs(3);
 
 /// A start that a runner carried out.
 #[derive(Clone, Debug)]
-pub struct StartNote {
+pub struct StartRecord {
     /// Name of the task.
     pub task: String,
     /// Number of the run.
     pub run: u32,
-    /// Life of the runner.
+    /// Instance of the runner.
     pub runner: String,
     /// Time of day, in milliseconds since 1970.
     pub at_ms: u64,
 }
 
-/// What jobs ask for.
+/// Specifications of the submitted jobs, and the state of the checkers.
 pub(super) struct RuleBook {
     first: Instant,
     jobs: HashMap<String, JobSpec>,
-    /// Jobs of queues that have an adviser.
+    /// Jobs of queues with an adviser.
     advised: HashSet<String>,
     cancelled: HashMap<String, Instant>,
     disturbed: Option<Instant>,
-    /// Nodes that get no answer about VMs.
-    unheard: HashSet<String>,
-    starts: Vec<StartNote>,
-    /// Whether the order at hand was under way for long.
+    /// Nodes whose calls about VMs get no response.
+    unanswered: HashSet<String>,
+    starts: Vec<StartRecord>,
+    /// Whether the order that is being carried out was delayed.
     late: bool,
     pub(super) adviser: AdviserState,
     pub(super) pace_fates: Vec<PaceFate>,
     pub(super) longest_harm: Duration,
-    /// Runs that ended since the others of their gang did not come.
+    /// Runs that ended because other members of their gang did not start.
     pub(super) alone: Vec<(String, u32)>,
-    /// Runs that ended since another of their gang did.
+    /// Runs that ended because another member of their gang ended.
     pub(super) broken_runs: Vec<(String, u32)>,
 }
 
@@ -83,7 +84,7 @@
             advised: HashSet::new(),
             cancelled: HashMap::new(),
             disturbed: None,
-            unheard: HashSet::new(),
+            unanswered: HashSet::new(),
             starts: Vec::new(),
             late: false,
             adviser: AdviserState::default(),
@@ -100,28 +101,28 @@
         FIRST_DAY_MS + self.first.elapsed().as_millis() as u64
     }
 
-    pub(super) fn note_cancel(&mut self, job: &str) {
+    pub(super) fn record_cancel(&mut self, job: &str) {
         let now = Instant::now();
         self.cancelled.entry(job.to_owned()).or_insert(now);
     }
 
-    /// Tells whether the order at hand was under way for long; bounds on time do
-    /// not hold for it.
+    /// Sets whether the order that is being carried out was delayed; bounds on time aren't
+    /// checked for it then.
     pub(super) fn set_late(&mut self, late: bool) {
         self.late = late;
     }
 
-    pub(super) fn is_unheard(&self, node: &str) -> bool {
-        self.unheard.contains(node)
+    pub(super) fn is_unanswered(&self, node: &str) -> bool {
+        self.unanswered.contains(node)
     }
 
-    /// Whether nothing has disturbed the nodes since some time before `since`.
+    /// Whether the last fault was more than [`CONTACT_TIME`] before `since`.
     pub(super) fn is_calm(&self, since: Instant) -> bool {
         let disturbed = self.disturbed;
         disturbed.is_none_or(|disturbed| disturbed + CONTACT_TIME < since)
     }
 
-    /// Since when rules with a time bound hold, if that is later than `since`.
+    /// The time from which rules with a time bound are checked; `since` at the earliest.
     pub(super) fn calm_since(&self, since: Instant) -> Instant {
         let calm = self.disturbed.map(|disturbed| disturbed + CONTACT_TIME);
         calm.map_or(since, |calm| calm.max(since))
@@ -139,29 +140,29 @@
         self.late
     }
 
-    /// Whether the order brings leave for that runner, or needs none.
+    /// Whether the order carries a valid ticket for that runner, or needs none.
     pub(super) fn has_ticket(&mut self, runner: &str, order: &StartOrder, now: Instant) -> bool {
         let advised = self.advised.contains(&order.name.job);
         !advised || self.adviser.check_ticket(runner, order, now)
     }
 
-    /// A run with what its step asks for.
-    pub(super) fn fit_out(&self, mut run: Run, order: &StartOrder) -> Run {
+    /// Sets what the run takes from its step: target latency, best effort, gang.
+    pub(super) fn apply_step(&self, mut run: Run, order: &StartOrder) -> Run {
         let Some(step) = self.step(order) else {
             return run;
         };
         run.target_ms = step.target_ms;
-        run.fills = step.best_effort;
+        run.best_effort = step.best_effort;
         run.gang = step.gang.then(|| GangPart {
             step: step_name(order),
             size: step.count as usize,
-            whole_since: None,
+            complete_since: None,
         });
         run
     }
 
-    /// What is wrong with the time of a start.
-    fn judge_time(&self, order: &StartOrder, now: Instant) -> Option<String> {
+    /// Returns a violation if the task starts too early, or too late after a cancel.
+    fn check_time(&self, order: &StartOrder, now: Instant) -> Option<String> {
         let name = &order.name;
         if let Some(cancelled) = self.cancelled.get(&name.job)
             && *cancelled + CANCEL_TIME < now
@@ -177,26 +178,26 @@
 }
 
 impl FleetState {
-    /// Judges a start that was just carried out by what its job asks for.
-    pub(super) fn judge_terms(&mut self, runner: &str, order: &StartOrder, now: Instant) {
-        let note = StartNote {
+    /// Records a start that was just carried out, and checks it against its job's specification.
+    pub(super) fn check_start(&mut self, runner: &str, order: &StartOrder, now: Instant) {
+        let note = StartRecord {
             task: order.name.to_string(),
             run: order.run,
             runner: runner.to_owned(),
             at_ms: self.rules.unix_ms(),
         };
         self.rules.starts.push(note);
-        let found = [
-            self.rules.judge_time(order, now),
-            self.judge_order(order),
-            self.judge_place(runner, order),
-            self.judge_members(order),
+        let violations = [
+            self.rules.check_time(order, now),
+            self.check_order(order),
+            self.check_placement(runner, order),
+            self.check_gang(order),
         ];
-        self.broken.extend(found.into_iter().flatten());
+        self.violations.extend(violations.into_iter().flatten());
     }
 
-    /// Whether a step before the task's is not done.
-    fn judge_order(&self, order: &StartOrder) -> Option<String> {
+    /// Returns a violation if a task that this one depends on is not done.
+    fn check_order(&self, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         let job = self.rules.jobs.get(&name.job)?;
         let after = self.rules.step(order)?.after.iter();
@@ -208,8 +209,8 @@
         Some(format!("{name} began before {open} was done"))
     }
 
-    /// Whether the runner has another label, or too many tasks of the step.
-    fn judge_place(&self, runner: &str, order: &StartOrder) -> Option<String> {
+    /// Returns a violation if the runner has another label, or too many tasks of the step.
+    fn check_placement(&self, runner: &str, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         let step = self.rules.step(order)?;
         let instance = self.runners.get(runner)?;
@@ -230,12 +231,12 @@
             .then(|| format!("{name} began as number {count} of its step on {runner}"))
     }
 
-    /// Whether other members of the gang are of another run, or done.
-    fn judge_members(&self, order: &StartOrder) -> Option<String> {
+    /// Returns a violation if other members of the gang are in another run, or done.
+    fn check_gang(&self, order: &StartOrder) -> Option<String> {
         let name = &order.name;
         self.rules.step(order).filter(|step| step.gang)?;
         let alike = format!("{}.", step_name(order));
-        if self.noted.iter().any(|task| task.starts_with(&alike)) {
+        if self.acked_done.iter().any(|task| task.starts_with(&alike)) {
             return Some(format!("{name} began after its gang was done"));
         }
         let living = self.runners.values().filter(|runner| runner.alive);
@@ -255,8 +256,8 @@
         self.state.borrow().rules.unix_ms()
     }
 
-    /// Notes what a job asks for.
-    pub fn note_job(&self, id: &str, spec: &JobSpec, advised: bool) {
+    /// Records the specification of a job, and whether its queue has an adviser.
+    pub fn record_job(&self, id: &str, spec: &JobSpec, advised: bool) {
         let mut state = self.state.borrow_mut();
         state.rules.jobs.insert(id.to_owned(), spec.clone());
         if advised {
@@ -264,13 +265,13 @@
         }
     }
 
-    /// Notes that something disturbs nodes or runners now.
+    /// Records that a fault affects nodes or runners now.
     pub fn disturb(&self) {
         self.state.borrow_mut().rules.disturbed = Some(Instant::now());
     }
 
-    /// Begins a life of a VM's runner of a kind; answers with its name.
-    pub fn begin_kind(&self, vm: &str, label: &str) -> String {
+    /// Starts a runner instance with a label on a VM; returns its name.
+    pub fn begin_with_label(&self, vm: &str, label: &str) -> String {
         let name = self.begin(vm);
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(&name) {
             label.clone_into(&mut runner.label);
@@ -278,43 +279,43 @@
         name
     }
 
-    /// Has a runner refuse each start, or not.
-    pub fn set_sick(&self, name: &str, sick: bool) {
+    /// Sets whether a runner refuses each start.
+    pub fn set_refusing_all(&self, name: &str, sick: bool) {
         if let Some(runner) = self.state.borrow_mut().runners.get_mut(name) {
-            runner.sick = sick;
+            runner.refuses_starts = sick;
         }
     }
 
-    /// Has stops take that long on all runners.
+    /// Sets how long a stop takes on all runners.
     pub fn set_stop_time(&self, time: Duration) {
         for runner in self.state.borrow_mut().runners.values_mut() {
             runner.stop_time = time;
         }
     }
 
-    /// Has calls of nodes to runners and about VMs be carried out without an
-    /// answer.
-    pub fn unhear(&self, nodes: &[String]) {
+    /// Drops the responses to calls of these nodes to runners and about VMs; the calls are
+    /// carried out.
+    pub fn drop_responses(&self, nodes: &[String]) {
         let nodes: HashSet<String> = nodes.iter().cloned().collect();
         let mut state = self.state.borrow_mut();
         for runner in state.runners.values_mut() {
-            runner.unheard.clone_from(&nodes);
+            runner.unanswered.clone_from(&nodes);
         }
-        state.rules.unheard = nodes;
+        state.rules.unanswered = nodes;
     }
 
-    /// Starts so far, in order.
-    pub fn start_notes(&self) -> Vec<StartNote> {
+    /// Starts that were carried out so far, in order.
+    pub fn start_records(&self) -> Vec<StartRecord> {
         self.state.borrow().rules.starts.clone()
     }
 
-    /// Whether a task ended done.
+    /// Whether a task has ended as done.
     pub fn is_done(&self, task: &str) -> bool {
         self.settle();
         self.state.borrow().done.contains(task)
     }
 
-    /// Living runners that run something of a job.
+    /// Live runners that run a task of a job.
     pub fn runners_of(&self, job: &str) -> Vec<String> {
         let runs = |runner: &&Runner| {
             let mut tasks = runner.running.keys();
--- a/crates/hoisthitch-tests/src/world/runners/vms.rs
+++ b/crates/hoisthitch-tests/src/world/runners/vms.rs
@@ -1,4 +1,4 @@
-//! Orders about the VMs of the fleet in memory, and the judge of who gives them.
+//! Orders about the simulated VMs, and the checker that no two nodes alternate in giving them.
 
 use std::time::Duration;
 
@@ -16,24 +16,24 @@
 use super::{
     super::{
         POOL,
-        spawn_outside, //
+        spawn_detached, //
     },
+    CALL_TIMEOUT,
     FleetState,
-    GIVE_UP,
     MemoryFleet,
-    WAY, //
+    ONE_WAY_TIME, //
 };
 
-/// Time within which two holders may not give orders about one VM.
-const TURN: Duration = Duration::from_secs(3);
+/// Time within which orders about one VM may come from one holder only.
+const TURN_TIME: Duration = Duration::from_secs(3);
 
-/// Time that an upkeep takes.
-const UPKEEP: Duration = Duration::from_secs(2);
+/// Time that maintenance of a VM takes.
+const MAINTENANCE_TIME: Duration = Duration::from_secs(2);
 
 impl MemoryFleet {
-    /// Notes an order about a VM, answered or not, and whether two holders took
-    /// turns.
-    fn judge_turn(&self, vm: &str, holder: &str) {
+    /// Records an order about a VM, with or without a response, and a violation if another
+    /// holder gave one shortly before.
+    fn check_turn(&self, vm: &str, holder: &str) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let last = state
@@ -41,25 +41,30 @@
             .insert(vm.to_owned(), (holder.to_owned(), now));
         if let Some((other, at)) = last
             && other != holder
-            && now < at + TURN
+            && now < at + TURN_TIME
         {
-            let broken = format!("{vm}: {other} and {holder} take turns");
-            state.broken.push(broken);
+            let violation = format!("{vm}: {other} and {holder} take turns");
+            state.violations.push(violation);
         }
     }
 
-    fn count_upkeep(&self, vm: &str) {
+    fn count_maintenance_order(&self, vm: &str) {
         let mut state = self.state.borrow_mut();
-        *state.upkeep_orders.entry(vm.to_owned()).or_insert(0) += 1;
+        *state.maintenance_orders.entry(vm.to_owned()).or_insert(0) += 1;
     }
 
-    /// Most orders for upkeep that came about one VM.
-    pub fn most_upkeep_orders(&self) -> usize {
+    /// Most maintenance orders that arrived for one VM.
+    pub fn most_maintenance_orders(&self) -> usize {
         let state = self.state.borrow();
-        state.upkeep_orders.values().copied().max().unwrap_or(0)
+        state
+            .maintenance_orders
+            .values()
+            .copied()
+            .max()
+            .unwrap_or(0)
     }
 
-    /// Whether an order about the VM was given.
+    /// Whether an order about the VM has arrived.
     pub fn was_ordered(&self, vm: &str) -> bool {
         self.state.borrow().vm_orders.contains_key(vm)
     }
@@ -67,10 +72,10 @@
 
 impl VmControl for MemoryFleet {
     async fn list(&self) -> Result<Vec<VmStatus>, VmError> {
-        tokio::time::sleep(WAY * 2).await;
-        if self.state.borrow().rules.is_unheard(&self.node) {
-            tokio::time::sleep(GIVE_UP).await;
-            return Err(VmError::NoAnswer("unheard".to_owned()));
+        tokio::time::sleep(ONE_WAY_TIME * 2).await;
+        if self.state.borrow().rules.is_unanswered(&self.node) {
+            tokio::time::sleep(CALL_TIMEOUT).await;
+            return Err(VmError::NoAnswer("response lost".to_owned()));
         }
         let state = self.state.borrow();
         let mut rows: Vec<VmStatus> = state
@@ -84,7 +89,7 @@
                 runner: Some(name.clone()),
             })
             .collect();
-        rows.extend(state.upkeep.keys().map(|vm| VmStatus {
+        rows.extend(state.in_maintenance.keys().map(|vm| VmStatus {
             name: vm.clone(),
             pool: POOL.to_owned(),
             condition: VmCondition::Maintenance,
@@ -102,27 +107,27 @@
     ) -> Result<(), VmError> {
         let (done, answer) = oneshot::channel();
         let (fleet, vm, holder) = (self.clone(), vm.to_owned(), holder.to_owned());
-        // Not a task of the node: the order is under way whatever becomes of it.
-        spawn_outside(async move {
-            tokio::time::sleep(WAY).await;
-            fleet.judge_turn(&vm, &holder);
-            fleet.count_upkeep(&vm);
-            let way = fleet.state.borrow().vms_way;
-            tokio::time::sleep(way).await;
+        // Not a task of the node: the order continues even if the node stops.
+        spawn_detached(async move {
+            tokio::time::sleep(ONE_WAY_TIME).await;
+            fleet.check_turn(&vm, &holder);
+            fleet.count_maintenance_order(&vm);
+            let delay = fleet.state.borrow().vm_order_delay;
+            tokio::time::sleep(delay).await;
             if !fleet.state.borrow().vms_lost {
-                // A node that is gone needs no answer.
-                let _ = done.send(fleet.take_down(&vm, epoch));
+                // Fails if the node has stopped and waits no more.
+                let _ = done.send(fleet.begin_maintenance(&vm, epoch));
             }
         });
         let outcome = answer.await;
-        let unheard =
-            |state: &FleetState| state.vm_answers_lost || state.rules.is_unheard(&self.node);
-        if unheard(&self.state.borrow()) {
-            tokio::time::sleep(GIVE_UP).await;
-            return Err(VmError::NoAnswer("unheard".to_owned()));
+        let unanswered =
+            |state: &FleetState| state.vm_answers_lost || state.rules.is_unanswered(&self.node);
+        if unanswered(&self.state.borrow()) {
+            tokio::time::sleep(CALL_TIMEOUT).await;
+            return Err(VmError::NoAnswer("response lost".to_owned()));
         }
         let Ok(outcome) = outcome else {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(VmError::NoAnswer("lost".to_owned()));
         };
         outcome
@@ -140,15 +145,19 @@
 }
 
 impl MemoryFleet {
-    /// Takes a VM down for its upkeep.
-    fn take_down(&self, vm: &str, epoch: u64) -> Result<(), VmError> {
+    /// Takes a VM down for maintenance, unless that was done before.
+    fn begin_maintenance(&self, vm: &str, epoch: u64) -> Result<(), VmError> {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        let last = state.upkeeps.iter().rev().find(|row| row.0 == vm);
+        let last = state
+            .maintenance_starts
+            .iter()
+            .rev()
+            .find(|row| row.0 == vm);
         if let Some((_, token, _)) = last {
             if *token > epoch {
                 state
-                    .broken
+                    .violations
                     .push(format!("{vm}: a lower token after a higher"));
             }
             return Ok(());
@@ -162,7 +171,7 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in &ends {
-            state.judge_end(task);
+            state.check_end(task);
         }
         for runner in state.runners.values_mut() {
             if runner.vm == vm {
@@ -171,9 +180,11 @@
             }
         }
         let now = Instant::now();
-        state.upkeeps.push((vm.to_owned(), epoch, now));
-        state.upkeep.insert(vm.to_owned(), now + UPKEEP);
-        state.down_most = state.down_most.max(state.upkeep.len());
+        state.maintenance_starts.push((vm.to_owned(), epoch, now));
+        state
+            .in_maintenance
+            .insert(vm.to_owned(), now + MAINTENANCE_TIME);
+        state.down_most = state.down_most.max(state.in_maintenance.len());
         Ok(())
     }
 }
--- a/crates/hoisthitch-tests/src/world/store.rs
+++ b/crates/hoisthitch-tests/src/world/store.rs
@@ -1,5 +1,5 @@
-//! A key-value store in memory: revisions, conditions, leases, watches, and
-//! the ways in which it fails.
+//! A key-value store in memory: revisions, conditional writes, leases and watches, and the
+//! faults that tests inject.
 
 use std::{
     cell::RefCell,
@@ -34,45 +34,46 @@
 /// Time of a call.
 const CALL_TIME: Duration = Duration::from_millis(4);
 
-/// Time after which a caller gives up.
-const GIVE_UP: Duration = Duration::from_millis(900);
+/// Time after which a caller's request times out.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for which a watch waits.
+/// Time for which a watch waits for changes.
 const WATCH_TIME: Duration = Duration::from_millis(1_200);
 
-/// The same where the watch hurries.
-const HURRIED_TIME: Duration = Duration::from_millis(300);
+/// The same after [`WatchStream::shorten_next_wait`].
+const SHORT_WATCH_TIME: Duration = Duration::from_millis(300);
 
-/// Time over which calls are counted.
+/// Period over which calls are counted.
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Most values in a write.
+/// Most entries in a write; a condition is an entry as well.
 const ENTRY_LIMIT: usize = 32;
 
-/// How the store fails.
+/// Faults of the store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreFaults {
-    /// Nobody gets an answer, and nothing is done.
+    /// No call gets a response, and none is carried out.
     pub down: bool,
-    /// These nodes get no answer.
+    /// Calls of these nodes are not carried out, and get no response.
     pub cut: HashSet<String>,
-    /// Calls of these nodes are carried out, and get no answer.
-    pub unheard: HashSet<String>,
-    /// Watches of keys that begin so get no answer; empty for none.
+    /// Calls of these nodes are carried out, but get no response.
+    pub unanswered: HashSet<String>,
+    /// Watches of keys with this prefix get no response; empty for none.
     pub silent_watches: String,
-    /// Each write of this many is done and not answered; zero for none.
+    /// Each write of this many is carried out but gets no response; zero for none.
     pub lose_every: u64,
-    /// Lost writes are done this much later.
+    /// Delay after which such writes are carried out.
     pub late: Duration,
-    /// Added to each call.
+    /// Delay added to each call.
     pub delay: Duration,
-    /// Time that answers take on their way.
-    pub back: Duration,
-    /// Calls of all nodes together that it answers in a second; zero for any number.
+    /// Travel time of responses.
+    pub response_delay: Duration,
+    /// Most calls of all nodes together in a second, beyond which it refuses calls; zero for no
+    /// limit.
     pub calls_per_s: u32,
 }
 
-/// Calls of the second at hand.
+/// Calls in the current second.
 #[derive(Default)]
 struct CallCount {
     since: Option<Instant>,
@@ -80,7 +81,7 @@
 }
 
 impl CallCount {
-    /// Counts a call; answers how many there were in the second.
+    /// Counts a call; returns the number of calls in the current second.
     fn add(&mut self, now: Instant) -> u32 {
         if self.since.is_none_or(|since| now >= since + SECOND) {
             (self.since, self.calls) = (Some(now), 0);
@@ -102,12 +103,12 @@
     count: CallCount,
 }
 
-/// The store.
+/// The store, as a node calls it.
 #[derive(Clone)]
 pub struct MemoryStore {
     state: Rc<RefCell<StoreState>>,
     changed: Rc<watch::Sender<i64>>,
-    /// Node that calls.
+    /// Name of the calling node.
     node: String,
 }
 
@@ -131,12 +132,12 @@
         }
     }
 
-    /// Changes how the store fails.
+    /// Replaces the faults of the store.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.state.borrow_mut().faults = faults;
     }
 
-    /// Takes away the leased values of a node, without a sign.
+    /// Deletes the leased values whose keys contain `part`, while their leases remain.
     pub fn revoke(&self, part: &str) {
         let keys: Vec<String> = {
             let state = self.state.borrow();
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Writes without a condition, as operators and runners do.
+    /// Writes or deletes a value without a condition, as operators and runners do.
     pub fn put(&self, key: &str, value: Option<&[u8]>, lease: i64) {
         let mut state = self.state.borrow_mut();
         state.revision += 1;
@@ -159,13 +160,13 @@
         self.changed.send_replace(state.revision);
     }
 
-    /// A value, as it is.
+    /// The present value of a key, without faults.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
         let state = self.state.borrow();
         state.values.get(key).map(|value| value.0.clone())
     }
 
-    /// Keys that begin so, and their values.
+    /// Keys with a prefix, and their values, without faults.
     pub fn prefix(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
         let state = self.state.borrow();
         let values = state.values.iter();
@@ -175,7 +176,7 @@
             .collect()
     }
 
-    /// Whether nobody gets an answer.
+    /// Whether no call gets a response.
     pub fn is_down(&self) -> bool {
         self.state.borrow().faults.down
     }
@@ -185,8 +186,8 @@
         self.state.borrow().revision
     }
 
-    /// Changes since a revision, as soon as there are some, and the revision
-    /// that they reach to.
+    /// Changes after a revision, as soon as there are some, and the revision up to which they
+    /// are complete; none if there are no changes within `wait`.
     pub async fn changes(
         &self,
         prefix: &str,
@@ -199,14 +200,14 @@
             after,
             ready: VecDeque::new(),
             complete_as_of: Instant::now(),
-            hurries: false,
+            next_wait_is_short: false,
         };
         let mut changed = self.changed.subscribe();
         let until = Instant::now() + wait;
         loop {
             changed.borrow_and_update();
             self.expire();
-            watch.gather();
+            watch.collect_changes();
             let waited = tokio::time::timeout_at(until, changed.changed());
             if !watch.ready.is_empty() || waited.await.is_err() {
                 return (watch.ready.into(), watch.after);
@@ -214,23 +215,23 @@
         }
     }
 
-    async fn enter(&self, call: &'static str) -> Result<(), StoreError> {
+    async fn begin_call(&self, call: &'static str) -> Result<(), StoreError> {
         let delay = self.state.borrow().faults.delay;
-        if delay > GIVE_UP {
-            tokio::time::sleep(GIVE_UP).await;
+        if delay > CALL_TIMEOUT {
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout(call));
         }
         tokio::time::sleep(CALL_TIME + delay).await;
         self.count_call(call)?;
         if self.is_cut() {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout(call));
         }
         self.expire();
         Ok(())
     }
 
-    /// Turns a call away that is beyond what the store answers in a second.
+    /// Refuses a call beyond the store's limit for a second.
     fn count_call(&self, call: &'static str) -> Result<(), StoreError> {
         let mut state = self.state.borrow_mut();
         let calls = state.count.add(Instant::now());
@@ -246,18 +247,17 @@
         state.faults.down || state.faults.cut.contains(&self.node)
     }
 
-    fn is_unheard(&self) -> bool {
-        self.state.borrow().faults.unheard.contains(&self.node)
+    fn is_unanswered(&self) -> bool {
+        self.state.borrow().faults.unanswered.contains(&self.node)
     }
 
-    /// Lets the answer take its way; keeps it back from a node that is cut off
-    /// one way.
-    async fn leave(&self, call: &'static str) -> Result<(), StoreError> {
-        if self.is_unheard() {
-            tokio::time::sleep(GIVE_UP).await;
+    /// Waits for the travel time of the response; it times out for a node that gets no responses.
+    async fn deliver_answer(&self, call: &'static str) -> Result<(), StoreError> {
+        if self.is_unanswered() {
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout(call));
         }
-        let back = self.state.borrow().faults.back;
+        let back = self.state.borrow().faults.response_delay;
         if !back.is_zero() {
             tokio::time::sleep(back).await;
         }
@@ -347,7 +347,8 @@
     }
 }
 
-/// The store takes at most 32 entries, and a key once; nothing here swaps singly.
+/// The error for writes of more than 32 entries or with a key twice, and for single swaps, which
+/// the job service doesn't use.
 fn refused(call: &'static str) -> StoreError {
     StoreError::Status { call, status: 400 }
 }
@@ -355,7 +356,7 @@
 fn timeout(call: &'static str) -> StoreError {
     StoreError::Timeout {
         call,
-        limit: GIVE_UP,
+        limit: CALL_TIMEOUT,
     }
 }
 
@@ -363,14 +364,14 @@
     type Watch = MemoryWatch;
 
     async fn read(&self, key: &str) -> Result<Option<StoredValue>, StoreError> {
-        self.enter("read").await?;
-        self.leave("read").await?;
+        self.begin_call("read").await?;
+        self.deliver_answer("read").await?;
         Ok(self.state.borrow().stored(key))
     }
 
     async fn read_prefix(&self, prefix: &str) -> Result<Vec<StoredValue>, StoreError> {
-        self.enter("read_prefix").await?;
-        self.leave("read_prefix").await?;
+        self.begin_call("read_prefix").await?;
+        self.deliver_answer("read_prefix").await?;
         let state = self.state.borrow();
         let keys = state.values.keys().filter(|key| key.starts_with(prefix));
         Ok(keys.filter_map(|key| state.stored(key)).collect())
@@ -404,7 +405,7 @@
     }
 
     async fn swap_all(&self, items: Vec<SwapItem>) -> Result<BatchOutcome, StoreError> {
-        // A condition is an entry of its own.
+        // Each condition counts as a separate entry.
         let conditions = items
             .iter()
             .filter(|item| item.expected != StoreRevision::ANY);
@@ -415,7 +416,7 @@
         if keys.len() != items.len() {
             return Err(refused("swap_all"));
         }
-        self.enter("swap_all").await?;
+        self.begin_call("swap_all").await?;
         let (lost, late) = {
             let mut state = self.state.borrow_mut();
             state.writes += 1;
@@ -427,25 +428,25 @@
         };
         if !lost {
             let outcome = self.apply(&items);
-            self.leave("swap_all").await?;
+            self.deliver_answer("swap_all").await?;
             return Ok(outcome);
         }
         if late.is_zero() {
             self.apply(&items);
         } else {
             let store = self.clone();
-            // Not a task of the node: the write is under way whatever becomes of it.
-            super::spawn_outside(async move {
+            // Not a task of the node: the write continues even if the node stops.
+            super::spawn_detached(async move {
                 tokio::time::sleep(late).await;
                 store.apply(&items);
             });
         }
-        tokio::time::sleep(GIVE_UP).await;
+        tokio::time::sleep(CALL_TIMEOUT).await;
         Err(timeout("swap_all"))
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        self.enter("grant_lease").await?;
+        self.begin_call("grant_lease").await?;
         let id = {
             let mut state = self.state.borrow_mut();
             state.next_lease += 1;
@@ -453,12 +454,12 @@
             state.leases.insert(id, (ttl, Instant::now() + ttl));
             id
         };
-        self.leave("grant_lease").await?;
+        self.deliver_answer("grant_lease").await?;
         Ok(LeaseId(id))
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<bool, StoreError> {
-        self.enter("keep_alive").await?;
+        self.begin_call("keep_alive").await?;
         let kept = {
             let mut state = self.state.borrow_mut();
             let lease = state.leases.get_mut(&lease.0);
@@ -466,48 +467,48 @@
                 .map(|lease| lease.1 = Instant::now() + lease.0)
                 .is_some()
         };
-        self.leave("keep_alive").await?;
+        self.deliver_answer("keep_alive").await?;
         Ok(kept)
     }
 
     async fn watch(&self, prefix: &str, _from: StoreRevision) -> Result<MemoryWatch, StoreError> {
-        self.enter("watch").await?;
-        self.leave("watch").await?;
+        self.begin_call("watch").await?;
+        self.deliver_answer("watch").await?;
         let watch = MemoryWatch {
             store: self.clone(),
             prefix: prefix.to_owned(),
             after: self.state.borrow().revision,
             ready: VecDeque::from([WatchEvent::Created]),
             complete_as_of: Instant::now(),
-            hurries: false,
+            next_wait_is_short: false,
         };
         if watch.is_silent() {
-            tokio::time::sleep(GIVE_UP).await;
+            tokio::time::sleep(CALL_TIMEOUT).await;
             return Err(timeout("watch"));
         }
         Ok(watch)
     }
 }
 
-/// A watch.
+/// A watch of the keys with a prefix.
 pub struct MemoryWatch {
     store: MemoryStore,
     prefix: String,
     after: i64,
     ready: VecDeque<WatchEvent>,
     complete_as_of: Instant,
-    /// Whether the next look is to wait only shortly.
-    hurries: bool,
+    /// Whether the next wait for changes is to be a short one.
+    next_wait_is_short: bool,
 }
 
 impl MemoryWatch {
-    /// Whether nothing is told of what is watched.
+    /// Whether the faults suppress all events of this watch.
     fn is_silent(&self) -> bool {
         let silent = &self.store.state.borrow().faults.silent_watches;
         !silent.is_empty() && self.prefix.starts_with(silent.as_str())
     }
 
-    fn gather(&mut self) {
+    fn collect_changes(&mut self) {
         let state = self.store.state.borrow();
         let news = state.log.iter().rev();
         let news = news.take_while(|(revision, _)| *revision > self.after);
@@ -535,15 +536,20 @@
             return Some(Err(err));
         }
         let mut changed = self.store.changed.subscribe();
-        let hurries = std::mem::take(&mut self.hurries);
-        let until = Instant::now() + if hurries { HURRIED_TIME } else { WATCH_TIME };
+        let next_wait_is_short = std::mem::take(&mut self.next_wait_is_short);
+        let until = Instant::now()
+            + if next_wait_is_short {
+                SHORT_WATCH_TIME
+            } else {
+                WATCH_TIME
+            };
         loop {
             changed.borrow_and_update();
-            if self.store.is_cut() || self.store.is_unheard() || self.is_silent() {
+            if self.store.is_cut() || self.store.is_unanswered() || self.is_silent() {
                 tokio::time::sleep_until(until).await;
                 return Some(Err(timeout("watch")));
             }
-            self.gather();
+            self.collect_changes();
             if let Some(event) = self.ready.pop_front() {
                 tokio::time::sleep(CALL_TIME).await;
                 return Some(Ok(event));
@@ -552,12 +558,12 @@
                 .await
                 .is_err()
             {
-                // The store may have been lost during the wait.
+                // The store may have become unreachable during the wait.
                 if self.store.is_cut() || self.is_silent() {
                     return Some(Err(timeout("watch")));
                 }
                 self.store.expire();
-                self.gather();
+                self.collect_changes();
                 return Some(Ok(self.ready.pop_front().unwrap_or(WatchEvent::Unchanged)));
             }
         }
@@ -572,7 +578,7 @@
     }
 
     fn shorten_next_wait(&mut self) {
-        self.hurries = true;
+        self.next_wait_is_short = true;
     }
 
     fn can_resume_after(&self, err: &StoreError) -> bool {
