--- a/crates/hoisthitch-jobs/src/plan.rs
+++ b/crates/hoisthitch-jobs/src/plan.rs
@@ -37,8 +37,8 @@
 pub struct FlushPlan {
     /// Records, by job identifier.
     pub records: Vec<(String, JobProgress)>,
-    /// Last recorded end of each runner, by number; the runner may forget it and those before
-    /// it.
+    /// Number of the last recorded end of each runner, which may forget it and those before
+    /// it; empty unless this write completes a batch.
     pub acked_ends: Vec<(RunnerKey, u64)>,
     starts: Vec<(TaskRef, u32)>,
 }
@@ -50,22 +50,24 @@
 pub(crate) struct FlushBatch {
     /// Jobs whose record is still to be written.
     left: HashSet<JobKey>,
-    /// Number of the last end that was processed, by runner.
-    acked_ends: Vec<(RunnerKey, u64)>,
+    /// Number of the last end that was processed when the batch began, by runner.
+    seen_ends: Vec<(RunnerKey, u64)>,
 }
 
-/// Requested resources for which no runner has free capacity. Free capacity only shrinks while
-/// a plan is made, so a task that requests at least as much fits nowhere either. Under a
+/// Reservations for which no runner has free capacity. Free capacity only shrinks while a plan
+/// is made, so a task that reserves at least as much fits nowhere either. Under a
 /// backlog this saves a search over all runners for each waiting task.
 #[derive(Default)]
 struct FullResources {
-    needs: Vec<ResourceAmounts>,
+    reservations: Vec<ResourceAmounts>,
 }
 
 impl FullResources {
     fn rules_out(&self, step: &StepSpec) -> bool {
         let reservation = step.reservation();
-        self.needs.iter().any(|full| reservation.covers(*full))
+        self.reservations
+            .iter()
+            .any(|full| reservation.covers(*full))
     }
 }
 
@@ -117,7 +119,7 @@
         for key in order {
             planned += self.plan_job(key, &mut full, &mut budget, now);
         }
-        self.lacked_capacity = !full.needs.is_empty();
+        self.lacked_capacity = !full.reservations.is_empty();
         planned
     }
 
@@ -193,8 +195,8 @@
         self.mark_dirty(task.job);
     }
 
-    /// Places a suspect on a runner of its own, or reserves a runner for it; returns whether
-    /// it was placed.
+    /// Places a suspect (a task that may have crashed a runner) on a runner of its own, or
+    /// reserves a runner for it; returns whether it was placed.
     fn plan_isolated(&mut self, task: TaskRef, now: Millis) -> bool {
         let Some(runner) = self.choose_runner(task, None, now) else {
             self.reserve_runner(task, now);
@@ -204,7 +206,8 @@
         true
     }
 
-    /// Cancels planned starts whose records were not written: they will not be ordered.
+    /// Cancels all starts that are planned and not ordered yet, whether their records are
+    /// written or not: they will not be ordered.
     pub fn cancel_planned_starts(&mut self, now: Millis) {
         let planned: Vec<TaskRef> = self
             .active_tasks()
@@ -227,9 +230,10 @@
             return None;
         }
         let chosen = self.choose_runner(task, None, now);
+        // An advised step may lack a ticket for a runner that has free capacity.
         let advised = self.jobs.get(task.job)?.policy.advised;
         if chosen.is_none() && !advised && is_unbound(step) {
-            full.needs.push(step.reservation());
+            full.reservations.push(step.reservation());
         }
         chosen
     }
@@ -270,7 +274,7 @@
         }
         // An end counts as recorded once every record that it changed is written.
         if batch.left.is_empty() {
-            plan.acked_ends = batch.acked_ends;
+            plan.acked_ends = batch.seen_ends;
         } else {
             self.flush_batch = Some(batch);
         }
@@ -290,7 +294,7 @@
         let runners = self.runners.iter();
         FlushBatch {
             left: dirty.iter().copied().collect(),
-            acked_ends: runners
+            seen_ends: runners
                 .map(|(key, runner)| (key, runner.last_seen_end))
                 .collect(),
         }
@@ -322,7 +326,7 @@
         }));
     }
 
-    /// Records that the plan's records are written; returns the starts that may be ordered
+    /// Completes a flush whose records are written; returns the starts that may be ordered
     /// now.
     pub fn finish_flush(&mut self, plan: &FlushPlan, now: Millis) -> Vec<StartOrder> {
         let mut orders = Vec::new();
@@ -361,7 +365,8 @@
         }
     }
 
-    /// The next copy of the start order for a task's last run.
+    /// The next copy of the start order for a task's last run, with the adviser's ticket if
+    /// there is one.
     pub(crate) fn next_start_order(
         &mut self,
         task: TaskRef,
