--- a/crates/hoisthitch-jobs/src/suspects.rs
+++ b/crates/hoisthitch-jobs/src/suspects.rs
@@ -37,8 +37,8 @@
     }, //
 };
 
-/// Weight of all tasks of a step that crashed a runner in isolation, from which the last of
-/// them is failed, in tenths of a bit. So a step of a hundred tasks that all crash their
+/// Total weight of the tasks of a step that crashed a runner in isolation, in tenths of a bit.
+/// The task whose crash reaches it is failed. So a step of a hundred tasks that all crash their
 /// runners costs only a few runners.
 const STEP_LIMIT: i32 = 300;
 
@@ -49,14 +49,15 @@
 /// The same for a long-running task, which may be unavailable for less time.
 const LONG_RUNNING_ISOLATION_WAIT_MS: Millis = 1_500;
 
-/// Time for which a runner is reserved for a suspect, in milliseconds: some short tasks.
+/// Time for which a runner is reserved for a suspect, in milliseconds: the duration of
+/// some short tasks.
 const RESERVE_MS: Millis = 3_000;
 
 /// Number of suspects of a step that are isolated at the same time: a step of which no task is
 /// the cause must not be held up for long.
 const ISOLATED_PER_STEP: usize = 2;
 
-/// Number of isolated runs at the same time that is always allowed.
+/// Number of isolated runs at the same time that is always allowed, and of reserved runners.
 const ISOLATED_MIN: usize = 2;
 
 /// Part of the pool's runners that isolated runs may take: one in this many.
@@ -161,7 +162,7 @@
         std::mem::take(&mut self.crashing_tasks)
     }
 
-    /// Clears suspects that have run for long enough, and plans those that wait.
+    /// Clears suspects that have run for long enough, and requests a new plan if one waits.
     pub fn clear_suspects(&mut self, now: Millis) {
         let suspects: Vec<TaskRef> = self.suspects.iter().copied().collect();
         for task in suspects {
@@ -182,6 +183,8 @@
         }
     }
 
+    /// Clears a suspect that has run for its clear time. Its isolation ends then, or after the
+    /// time that it has to run alone, whichever comes first.
     fn clear_running(&mut self, task: TaskRef, runner: RunnerKey, now: Millis) {
         // It is not known what the task did since the runner's last response.
         let last_heartbeat_at = self
@@ -208,7 +211,8 @@
         }
     }
 
-    /// Removes a suspect that is not the cause, and with it the doubt about its step.
+    /// Removes a suspect that was cleared, is done or belongs to no active job, and with it the
+    /// doubt about its step.
     fn drop_suspect(&mut self, task: TaskRef) {
         self.suspects.remove(&task);
         if let Some(step) = self.round_step(task) {
@@ -245,7 +249,7 @@
             ISOLATION_WAIT_MS
         };
         let waited = || entry.state == TaskState::Waiting && entry.changed_at + wait <= now;
-        // If other tasks of the step point to a cause, nothing is placed beside it.
+        // If crashes in isolation point to the step, its tasks are never placed beside others.
         self.needs_isolation(task) && (self.step_weight(task) > 0 || !waited())
     }
 
@@ -265,10 +269,12 @@
             .count();
         // A gang starts with all its members or not at all.
         let step_is_free = alike < ISOLATED_PER_STEP || self.is_gang(task);
-        step_is_free && isolated().count() < self.max_isolated(ISOLATED_DIVISOR)
+        step_is_free && isolated().count() < self.max_taken(ISOLATED_DIVISOR)
     }
 
-    fn max_isolated(&self, divisor: usize) -> usize {
+    /// Number of runners that suspects may take: one in `divisor`, but at least
+    /// [`ISOLATED_MIN`].
+    fn max_taken(&self, divisor: usize) -> usize {
         ISOLATED_MIN.max(self.runners.len() / divisor)
     }
 
@@ -315,14 +321,14 @@
         cost + RANDOM_COST * pseudo_random(&(&runner.facts.name, run))
     }
 
-    /// Reserves a runner for a suspect that found none: the one with the least reserved that
-    /// could run the task.
+    /// Reserves a runner for a suspect that found none: of those that could run the task,
+    /// the one with the least processor time in use.
     pub(crate) fn reserve_runner(&mut self, task: TaskRef, now: Millis) {
         let taken = self
             .runners
             .values()
             .filter(|runner| runner.isolated_task.is_some() || runner.reserved_until > now);
-        if taken.count() >= self.max_isolated(RESERVED_DIVISOR) || !self.may_isolate(task) {
+        if taken.count() >= self.max_taken(RESERVED_DIVISOR) || !self.may_isolate(task) {
             return;
         }
         let candidates = self.runners.iter().filter(|(_, runner)| {
