--- a/crates/hoisthitch-jobs/src/losses.rs
+++ b/crates/hoisthitch-jobs/src/losses.rs
@@ -55,8 +55,8 @@
 /// responded for less than this.
 const RATE_WINDOW_MIN_MS: Millis = 5_000;
 
-/// Running time up to which a loss may be due to the run's step, if other tasks of the step
-/// that had run as briefly were lost on other runners, in milliseconds.
+/// Running time, in milliseconds, up to which a loss may be due to the run's step, if other
+/// tasks of the step that had run as briefly were lost on other runners.
 const YOUNG_RUN_MS: Millis = 1_500;
 
 /// Age up to which a start order without an answer counts as a run that began when it was
@@ -140,7 +140,8 @@
     instance: RunnerInstance,
     loss: RunnerLoss,
     moment: LossMoment,
-    /// Estimated end of its runs: between its last response and the first that did not come.
+    /// Estimated end of its runs: the time of the loss if its connections were reset, otherwise
+    /// midway between its last response and the first that did not come.
     ended_at: Millis,
     tasks: Vec<TaskRef>,
 }
@@ -202,6 +203,7 @@
         };
         let was_recorded = runner.loss_recorded;
         self.record_lost_runs(&lost, Some(key));
+        // Stored only now, so that its runs are compared with earlier losses.
         if !was_recorded {
             self.store_loss(&lost);
         }
@@ -266,8 +268,8 @@
         self.record_lost_runs(&lost, None);
     }
 
-    /// Records that the runs have ended by now which earlier owners ordered on runners that
-    /// have not responded since.
+    /// Records as lost the runs that earlier owners ordered on runners that have not responded
+    /// since, if those runs have ended by now.
     pub(crate) fn record_expired(&mut self, now: Millis) {
         if !self.has_unconfirmed() {
             return;
@@ -286,7 +288,10 @@
         }
     }
 
+    /// Records the lost runs of a runner as evidence against their tasks; `key` is none if the
+    /// runner is not listed or another instance of it is.
     fn record_lost_runs(&mut self, lost: &LostRunner, key: Option<RunnerKey>) {
+        // The shorter a run, the larger its share of the blame.
         let inverse_time = |task: &TaskRef| {
             let ran = self
                 .task(*task)
@@ -425,6 +430,8 @@
     ) -> f64 {
         let young = ran.is_some_and(is_young);
         let step = self.round_step(task).filter(|_| young);
+        // Losses with a likely cause are left out, and for a young run also those of the same
+        // task or of young runs of its step.
         let recent = self.recent_losses.iter().filter(|loss| {
             let alike = step.is_some_and(|step| loss.young_steps.contains(&step));
             let is_recent = loss.moment.at + RATE_WINDOW_MS > at;
@@ -432,10 +439,10 @@
             is_recent && !alike && !own && !self.has_likely_cause(loss)
         });
         let others = recent.count() + self.silent_others(key).count();
-        let heard = at.saturating_sub(self.responding_since.unwrap_or(at));
-        let heard = seconds(heard.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
+        let responding_for = at.saturating_sub(self.responding_since.unwrap_or(at));
+        let window = seconds(responding_for.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MS));
         let runners = self.runners.len().max(1) as f64;
-        (others as f64 + UNSEEN_LOSSES) / (runners * heard)
+        (others as f64 + UNSEEN_LOSSES) / (runners * window)
     }
 
     /// Whether one of the tasks on the lost runner is likely to be the cause of the loss.
