--- a/crates/hoisthitch-scheduler/src/owner/silent.rs
+++ b/crates/hoisthitch-scheduler/src/owner/silent.rs
@@ -32,9 +32,9 @@
     }, //
 };
 
-/// Time without a response after which a runner is recorded as silent, in milliseconds: one
-/// failed heartbeat and the next one. This time and the wait of the next owner together stay
-/// under the nine seconds that a long-running task may be unavailable.
+/// Time without a response after a failed heartbeat, in milliseconds, after which a runner is
+/// recorded as silent: the next heartbeat is sent within it. This time and the wait of the next
+/// owner together stay under the nine seconds that a long-running task may be unavailable.
 const SILENT_AFTER_MS: Millis = 300;
 
 /// Age at which the record of silent runners is written again, in milliseconds; the next owner
@@ -87,25 +87,25 @@
             return;
         }
         let since = now.saturating_sub(SILENT_AFTER_MS);
-        let long = self.state.silent_runs(self.owner_since, since);
-        self.log_silences(&long, now);
+        let long_silent = self.state.silent_runs(self.owner_since, since);
+        self.log_silences(&long_silent, now);
         // A runner that the head names stays in it until it responds; otherwise the end that
         // an earlier owner recorded would be lost.
         let mut silent = self.state.silent_runs(self.owner_since, now);
         let recorded = &self.silence.recorded;
-        silent.retain(|runner, _| long.contains_key(runner) || recorded.contains(runner));
+        silent.retain(|runner, _| long_silent.contains_key(runner) || recorded.contains(runner));
         self.silent = silent;
     }
 
     /// Logs which silences began and which are over.
-    fn log_silences(&mut self, long: &BTreeMap<String, SilentRuns>, now: Millis) {
-        for (runner, runs) in long {
+    fn log_silences(&mut self, long_silent: &BTreeMap<String, SilentRuns>, now: Millis) {
+        for (runner, runs) in long_silent {
             if self.silence.logged.insert(runner.clone()) {
                 self.log_silence(runner, *runs, now);
             }
         }
         self.silence.logged.retain(|runner| {
-            let is_silent = long.contains_key(runner);
+            let is_silent = long_silent.contains_key(runner);
             if !is_silent {
                 event!(
                     Info,
@@ -152,7 +152,7 @@
         self.sessions.clear();
         self.instances.clear_waiting();
         self.state.cancel_planned_starts(self.now());
-        // Leases that were granted until now.
+        // Leases that were granted until now; other events of the ended sessions are dropped.
         while let Ok(event) = events.try_recv() {
             if let SessionEvent::LeaseGranted { runner, until } = event {
                 self.state.extend_lease(runner, until);
