--- a/crates/hoisthitch-scheduler/src/session/heartbeats.rs
+++ b/crates/hoisthitch-scheduler/src/session/heartbeats.rs
@@ -36,9 +36,9 @@
     RunnerError, //
 };
 
-/// Time for which a heartbeat waits for an end. The pace of best-effort tasks is decided as
-/// often, which has to be several times within the time that a tail latency may be over its
-/// target.
+/// Time for which a heartbeat waits for an end. The pace of best-effort tasks is decided once
+/// for each heartbeat, which has to happen several times within the time for which a tail
+/// latency may be over its target.
 const HEARTBEAT_WAIT: Duration = Duration::from_millis(700);
 
 /// Maximum delay of the next heartbeat while ends, or the end of a silence, are not recorded.
@@ -80,7 +80,8 @@
 pub(super) struct HeartbeatSignals {
     /// Number of the last recorded end.
     pub(super) recorded_end: watch::Receiver<u64>,
-    /// Number of missed heartbeats up to which the runner may have leases again.
+    /// Number of missed heartbeats up to which the runner may have leases again; it gets none
+    /// while it has missed more.
     pub(super) cleared_misses: watch::Receiver<u64>,
     /// Notified when the runner may have another instance.
     pub(super) instance_check: Rc<Notify>,
@@ -173,6 +174,8 @@
                     }
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
+                // The heartbeat was cancelled for one that is sent at once. Whether it arrived is
+                // not known, so it counts as missed.
                 None => self.record_miss(false),
             }
         }
