--- a/crates/hoisthitch-scheduler/src/group.rs
+++ b/crates/hoisthitch-scheduler/src/group.rs
@@ -86,7 +86,8 @@
 /// Ratio at which an owner hands a pool over, in halves: its own relative load to the load that
 /// another node would have with the pool. A handover costs as much as a planned stop, some tens
 /// of milliseconds in which the pool starts nothing. A node with an eighth of a core is too slow
-/// for a hundred runners; one with half a core is not.
+/// for a hundred runners; one with half a core is not. Beside an idle node with a whole core,
+/// their ratios with one pool are 8 and 2.
 const HANDOVER_RATIO_HALVES: usize = 5;
 
 /// Time for which the group has to be unchanged before a pool is handed over, in milliseconds.
@@ -237,6 +238,7 @@
         let mut to_own = Vec::new();
         for pool in vacant {
             let order = self.candidates(pool, &pool_counts);
+            // Counted as taken, so that several vacant pools do not all go to one node.
             if let Some(first) = order.first() {
                 *pool_counts.entry(first.clone()).or_insert(0) += 1;
             }
