--- a/crates/hoisthitch-scheduler/src/vms/waves.rs
+++ b/crates/hoisthitch-scheduler/src/vms/waves.rs
@@ -124,10 +124,10 @@
         }
         let context = &self.ledger.context;
         let rows = self.list.read(context).await?;
-        let due = self.own_vms(request, &rows);
-        self.record_done(&due, &rows, state).await;
-        let mut ready = self.unconfirmed(&due, &rows, state);
-        let fresh = self.evacuate_next(request, &due, &rows, state).await;
+        let own_vms = self.own_vms(request, &rows);
+        self.record_done(&own_vms, &rows, state).await;
+        let mut ready = self.unconfirmed(&own_vms, &rows, state);
+        let fresh = self.evacuate_next(request, &own_vms, &rows, state).await;
         // Drop VMs of an earlier write that failed: they may not be able to go down now.
         state.pending.down.clear();
         for row in &fresh {
@@ -152,10 +152,10 @@
     /// Records which VMs have completed their maintenance or are removed. If the maintenance was
     /// ordered twice, the current instance of the runner was evacuated for the second order;
     /// its evacuation has to be cancelled.
-    async fn record_done(&mut self, due: &[String], rows: &VmListing, state: &mut WaveState) {
+    async fn record_done(&mut self, own_vms: &[String], rows: &VmListing, state: &mut WaveState) {
         let now = self.ledger.now();
         let mut runners = Vec::new();
-        for vm in due {
+        for vm in own_vms {
             if state.progress.done.contains(vm) {
                 continue;
             }
@@ -183,14 +183,15 @@
     }
 
     /// VMs that are up though they are recorded as down, and whose maintenance the platform has
-    /// not confirmed: the order or its response was lost.
+    /// not confirmed: the order or its response was lost. Those that are returned are claimed.
     fn unconfirmed<'a>(
         &self,
-        due: &[String],
+        own_vms: &[String],
         rows: &'a VmListing,
         state: &WaveState,
     ) -> Vec<&'a VmStatus> {
-        due.iter()
+        own_vms
+            .iter()
             .filter(|vm| state.progress.down.contains_key(*vm) && !state.has_begun(vm))
             .filter(|vm| {
                 let ordered = state.ordered.get(*vm);
@@ -206,11 +207,11 @@
     async fn evacuate_next<'a>(
         &mut self,
         request: &WaveRequest,
-        due: &[String],
+        own_vms: &[String],
         rows: &'a VmListing,
         state: &WaveState,
     ) -> Vec<&'a VmStatus> {
-        let mut candidates: Vec<&VmStatus> = due
+        let mut candidates: Vec<&VmStatus> = own_vms
             .iter()
             .filter(|vm| state.progress.is_due(vm) && !state.pending.done.contains(*vm))
             .filter_map(|vm| rows.find(vm))
@@ -368,10 +369,10 @@
         state.ordered.insert(row.name.clone(), self.ledger.now());
         if let Some(instance) = instance {
             // An order that had been carried out before does not affect a later instance.
-            let same_life = state.went_down_with(&row.name, &instance);
+            let same_instance = state.went_down_with(&row.name, &instance);
             let runner = instance.name.clone();
             let request = match outcome {
-                Ok(()) if same_life => Some(VmRequest::VmDown { instance }),
+                Ok(()) if same_instance => Some(VmRequest::VmDown { instance }),
                 Ok(()) | Err(VmError::NoAnswer(_)) => Some(VmRequest::VmDownUnconfirmed { runner }),
                 Err(_) => None,
             };
