--- a/crates/hoisthitch-core/src/fleet.rs
+++ b/crates/hoisthitch-core/src/fleet.rs
@@ -1,5 +1,8 @@
 //! Plans a steward's next actions for one pool.
 //!
+//! A steward is the process on an entry VM that moves VMs between pools and reboots
+//! them in maintenance waves; an entry sends callers' requests to the VMs.
+//!
 //! [`plan_pool`] is given a snapshot of the fleet and returns a list of
 //! [`FleetAction`]s. It has no side effects. Each action is carried out by
 //! compare-and-swap, which checks again the state that the action was planned
@@ -175,6 +178,7 @@
                 });
                 (!leaves).then(|| FleetAction::WithdrawPermit {
                     pool: self.row.name.clone(),
+                    // A VM without an assignment has no fence to check.
                     target: VmTarget {
                         hall: permit.hall.clone(),
                         vm: permit.vm.clone(),
@@ -301,6 +305,8 @@
     }
 
     /// Number of VMs that may still become absent within the availability budget.
+    /// Moves and waves are each planned within all of it; a drain that exceeds the
+    /// budget gets no permit when it is carried out.
     fn absence_headroom(&self) -> usize {
         let none = PermitLedger::default();
         let absent = self.ledger().unwrap_or(&none).absent(&self.lost);
