--- a/crates/hoisthitch-store/src/claim.rs
+++ b/crates/hoisthitch-store/src/claim.rs
@@ -455,6 +455,7 @@
 }
 
 fn resolve_create_conflict(create: CreateJob, found: Option<StoredValue>) -> Option<ClaimJob> {
+    // The key is free, so another job of the batch caused the conflict.
     let Some(stored) = found else {
         return Some(ClaimJob::Create(create));
     };
@@ -462,6 +463,7 @@
         reply(create, ClaimOutcome::InProgress);
         return None;
     };
+    // The stored claim is this request's own: it was written earlier.
     if record.operation == create.record.operation && record.entry == create.record.entry {
         return grant(create, stored.revision);
     }
@@ -499,6 +501,7 @@
     };
     let ticket = ClaimTicket {
         key: create.key.clone(),
+        // The swap conflicts, and the value that it finds shows whether the key was claimed.
         revision: StoreRevision::UNKNOWN,
         record: create.record.clone(),
     };
