--- a/crates/hoisthitch-tests/src/world/runners.rs
+++ b/crates/hoisthitch-tests/src/world/runners.rs
@@ -380,9 +380,9 @@
         let excused = state.unguarded || (sent_before && state.unguarded_tasks.contains(&task));
         if acked_at.is_some() && !excused {
             let run = order.run;
-            state.violations.push(format!(
-                "{task} run {run} began after its end was acknowledged"
-            ));
+            state
+                .violations
+                .push(format!("{task} run {run} began after its end was noted"));
         }
         if state.failed.get(&task).copied().unwrap_or(0) >= 3 {
             state
